--- a/ledgehitch/owners/words.py
+++ b/ledgehitch/owners/words.py
@@ -44,8 +44,15 @@
 
 
 def written(words: Words) -> bytes:
-    head = HEAD.pack(FIRST + KINDS.index(words.kind), words.duty, words.sequence & 0xFFFFFFFF, words.term,
-                     words.who, words.list, words.former)  # fmt: skip
+    head = HEAD.pack(
+        FIRST + KINDS.index(words.kind),
+        words.duty,
+        words.sequence & 0xFFFFFFFF,
+        words.term,
+        words.who,
+        words.list,
+        words.former,
+    )
     if words.kind in ("deny", "told", "yield"):
         return head + TAIL.pack(words.member, max(0, min(int(words.left * 1000), 0xFFFFFFFF)))
     if words.kind in ("greet", "greeted"):
--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -112,13 +112,28 @@
                 held = int(pages.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") >> 10
         except OSError:  # no descriptor is free: the counts matter most then
             held = -1
-        log("counts", waiting=c.desk.waiting, playing=len(c.desk.by_vw) - c.desk.waiting, conns=len(f.conns),
-            aside=aside, lines=h.count, opened=h.opened, spoilt=h.spoilt, refused=f.refused, off=f.turned_off,
+        log(
+            "counts",
+            waiting=c.desk.waiting,
+            playing=len(c.desk.by_vw) - c.desk.waiting,
+            conns=len(f.conns),
+            aside=aside,
+            lines=h.count,
+            opened=h.opened,
+            spoilt=h.spoilt,
+            refused=f.refused,
+            off=f.turned_off,
             room=f.made_room,
-            calls=self.journal.calls, doubled=self.journal.doubled, unread=self.journal.unread,
-            pos=self.journal.pos, strangers=self.peers.refused if self.peers is not None else 0,
-            kb=held, cpu=f"{time.process_time():.2f}",
-            lag=f"{self.loop.lag.quantile(0.99)}/{self.loop.lag.worst:.3f}", **c.counts)  # fmt: skip
+            calls=self.journal.calls,
+            doubled=self.journal.doubled,
+            unread=self.journal.unread,
+            pos=self.journal.pos,
+            strangers=self.peers.refused if self.peers is not None else 0,
+            kb=held,
+            cpu=f"{time.process_time():.2f}",
+            lag=f"{self.loop.lag.quantile(0.99)}/{self.loop.lag.worst:.3f}",
+            **c.counts,
+        )
         self.loop.lag.worst = 0.0
 
     def reload(self) -> None:
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -22,8 +22,14 @@
 from ledgehitch.platform.log import log
 from ledgehitch.platform.lost import Open, Watch
 
-CAUSES = {16: Outcome.OK, 31: Outcome.CANCELLED, 34: Outcome.FULL, 41: Outcome.RESET, 47: Outcome.ERROR,
-          102: Outcome.MOOT}  # fmt: skip
+CAUSES = {
+    16: Outcome.OK,
+    31: Outcome.CANCELLED,
+    34: Outcome.FULL,
+    41: Outcome.RESET,
+    47: Outcome.ERROR,
+    102: Outcome.MOOT,
+}
 NOTES = {"kept_up": 1, "tier": 2, "wire": 3, "trunk": 4}
 CUT = 41  # cause in releases to viewers whose media host was lost
 
@@ -31,8 +37,22 @@
 class Viewing:
     """What carrying out needs to know of a viewing; let go with its end."""
 
-    __slots__ = ("sid", "package", "title", "blob", "rung", "tune_ins", "host", "line", "sent_at", "until",
-                 "timer", "out", "plays", "began")  # fmt: skip
+    __slots__ = (
+        "sid",
+        "package",
+        "title",
+        "blob",
+        "rung",
+        "tune_ins",
+        "host",
+        "line",
+        "sent_at",
+        "until",
+        "timer",
+        "out",
+        "plays",
+        "began",
+    )
 
     def __init__(self, sid: str, package: Package, title: str, blob: str) -> None:
         self.sid, self.package, self.title, self.blob = sid, package, title, blob
@@ -46,8 +66,16 @@
 
 
 class Carrier:
-    def __init__(self, loop: Loop, brain: Gateway, desk: Desk, gate: Gate, watch: Watch, hosts: Hosts,
-                 tell: Callable[[bytes, int], None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        brain: Gateway,
+        desk: Desk,
+        gate: Gate,
+        watch: Watch,
+        hosts: Hosts,
+        tell: Callable[[bytes, int], None],
+    ) -> None:
         self.loop, self.brain, self.desk, self.gate, self.watch = loop, brain, desk, gate, watch
         self.hosts, self.tell = hosts, tell
         self.front: Front
@@ -184,8 +212,20 @@
 
     # ---- what viewers want ---------------------------------------------------------------------------------
 
-    def asked(self, now: float, conn: int, sid: str, cseq: str, package: Package, title: str, first: int,
-              spread: int, top: int, patience: float, blob: str) -> bool:  # fmt: skip
+    def asked(
+        self,
+        now: float,
+        conn: int,
+        sid: str,
+        cseq: str,
+        package: Package,
+        title: str,
+        first: int,
+        spread: int,
+        top: int,
+        patience: float,
+        blob: str,
+    ) -> bool:
         vw = self.desk.asked(conn, sid, cseq)
         if vw is None:
             return False
@@ -196,8 +236,18 @@
         self.stir()
         return True
 
-    def held(self, now: float, conn: int, sid: str, package: Package, title: str, first: int, spread: int,
-             top: int, host: str) -> bool:  # fmt: skip
+    def held(
+        self,
+        now: float,
+        conn: int,
+        sid: str,
+        package: Package,
+        title: str,
+        first: int,
+        spread: int,
+        top: int,
+        host: str,
+    ) -> bool:
         """One that plays already; whether its media host is one that is there."""
         if host not in self.hosts.at:
             return False
@@ -351,8 +401,17 @@
             self.loop.timers.cancel(v.timer)
             v.timer = None
 
-    def _ended(self, now: float, vw: int, closed: bool, code: Outcome, host: str, latency: float,
-               tune_in: int, loads: list[float] | None = None) -> None:  # fmt: skip
+    def _ended(
+        self,
+        now: float,
+        vw: int,
+        closed: bool,
+        code: Outcome,
+        host: str,
+        latency: float,
+        tune_in: int,
+        loads: list[float] | None = None,
+    ) -> None:
         """A tune-in that did not come to play has its outcome."""
         v = self.viewings.get(vw)
         if v is not None:
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -41,10 +41,32 @@
 
     desk: Desk
 
-    def asked(self, now: float, conn: int, sid: str, cseq: str, package: Package, title: str, first: int,
-              spread: int, top: int, patience: float, blob: str) -> bool: ...  # fmt: skip
-    def held(self, now: float, conn: int, sid: str, package: Package, title: str, first: int, spread: int,
-             top: int, host: str) -> bool: ...  # fmt: skip
+    def asked(
+        self,
+        now: float,
+        conn: int,
+        sid: str,
+        cseq: str,
+        package: Package,
+        title: str,
+        first: int,
+        spread: int,
+        top: int,
+        patience: float,
+        blob: str,
+    ) -> bool: ...
+    def held(
+        self,
+        now: float,
+        conn: int,
+        sid: str,
+        package: Package,
+        title: str,
+        first: int,
+        spread: int,
+        top: int,
+        host: str,
+    ) -> bool: ...
     def torn(self, now: float, sid: str) -> bool: ...
     def hung_up(self, conn: int) -> None: ...
 
@@ -62,8 +84,16 @@
 
 
 class Front:
-    def __init__(self, loop: Loop, carrier: Carrier, life: Life, packages: Mapping[str, Package],
-                 fleet: Fleet, ladder: Ladder, bounds: Bounds) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        carrier: Carrier,
+        life: Life,
+        packages: Mapping[str, Package],
+        fleet: Fleet,
+        ladder: Ladder,
+        bounds: Bounds,
+    ) -> None:
         self.loop, self.carrier, self.life, self.packages = loop, carrier, life, packages
         self.cells, self.rungs = fleet.cells, len(ladder.kb)
         self.bounds = bounds
@@ -165,8 +195,9 @@
 
     # ---- messages ------------------------------------------------------------------------------------------
 
-    def _message(self, now: float, conn: Conn, method: str, target: str, fields: dict[str, str],
-                 body: bytes) -> None:  # fmt: skip
+    def _message(
+        self, now: float, conn: Conn, method: str, target: str, fields: dict[str, str], body: bytes
+    ) -> None:
         if not method:
             return  # an answer to a release: it wants nothing
         cseq, sid = fields.get("cseq", ""), fields.get("session", "")
@@ -198,8 +229,9 @@
             log("refused", peer=conn.stream.peer, why=why)
             conn.pipe.write(rtsp.answer(why.status, cseq, sid))
 
-    def _set_up(self, now: float, conn: Conn, cseq: str, sid: str, target: str, fields: dict[str, str],
-                body: bytes) -> None:  # fmt: skip
+    def _set_up(
+        self, now: float, conn: Conn, cseq: str, sid: str, target: str, fields: dict[str, str], body: bytes
+    ) -> None:
         title = TITLE.match(target)
         if title is None:
             raise Wrong(400, "the address names no title")
--- a/ledgehitch/platform/hosts.py
+++ b/ledgehitch/platform/hosts.py
@@ -27,8 +27,9 @@
 
     def leaves(self, now: float, tag: str, line: "Line") -> float | None: ...
     def started(self, now: float, tag: str, host: str, line: "Line", blob: str) -> None: ...
-    def finished(self, now: float, tag: str, host: str, line: "Line", cause: int,
-                 loads: list[float]) -> None: ...  # fmt: skip
+    def finished(
+        self, now: float, tag: str, host: str, line: "Line", cause: int, loads: list[float]
+    ) -> None: ...
     def noticed(self, now: float, tag: str, host: str, note: str, value: float) -> None: ...
     def probed(self, now: float, host: str, passed: bool, took: float, loads: list[float]) -> None: ...
     def broke(self, now: float, tag: str, host: str, how: Outcome) -> None: ...
@@ -43,8 +44,19 @@
     `held` what has not left (set-ups as id, fields and description; other lines as bytes), `probes` when each
     test went out."""
 
-    __slots__ = ("host", "address", "pipe", "held", "open", "past", "probes", "doubted", "closed", "used_at",
-                 "task")  # fmt: skip
+    __slots__ = (
+        "host",
+        "address",
+        "pipe",
+        "held",
+        "open",
+        "past",
+        "probes",
+        "doubted",
+        "closed",
+        "used_at",
+        "task",
+    )
 
     def __init__(self, host: str, address: str, now: float) -> None:
         self.host, self.address = host, address
@@ -83,8 +95,15 @@
 
 
 class Hosts:
-    def __init__(self, loop: Loop, reach: Reach, watch: Watch, most_lines: int, out_bytes: int,
-                 load_fields: tuple[str, ...]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        reach: Reach,
+        watch: Watch,
+        most_lines: int,
+        out_bytes: int,
+        load_fields: tuple[str, ...],
+    ) -> None:
         self.loop, self.reach, self.watch = loop, reach, watch
         self.most_lines, self.out_bytes, self.load_fields = most_lines, out_bytes, load_fields
         self.at: dict[str, str] = {}
@@ -272,8 +291,16 @@
                 line.doubted = False
                 self._heard(now, line, verb, tag, fields, cause, blob)
 
-    def _heard(self, now: float, line: Line, verb: str, tag: str, fields: hostline.codec.Fields,
-               cause: int | None, blob: str | None) -> None:  # fmt: skip
+    def _heard(
+        self,
+        now: float,
+        line: Line,
+        verb: str,
+        tag: str,
+        fields: hostline.codec.Fields,
+        cause: int | None,
+        blob: str | None,
+    ) -> None:
         carrier = self.carrier
         if verb == "STARTED":
             line.over(tag)
--- a/ledgehitch/platform/lines.py
+++ b/ledgehitch/platform/lines.py
@@ -39,9 +39,11 @@
     fit = [
         x
         for x in lines
-        if not x.doubted and len(x.open) < streams and tag not in x.past
+        if not x.doubted
+        and len(x.open) < streams
+        and tag not in x.past
         and (x.open or now - x.used_at < kept_for(idle))
-    ]  # fmt: skip
+    ]
     return min(fit, key=lambda x: (not x.up, len(x.open)), default=None)
 
 
--- a/ledgehitch/platform/lost.py
+++ b/ledgehitch/platform/lost.py
@@ -36,8 +36,17 @@
 
 
 class _Host:
-    __slots__ = ("standing", "lines", "opening", "again_at", "wait", "heard", "unreached", "started",
-                 "listed")  # fmt: skip
+    __slots__ = (
+        "standing",
+        "lines",
+        "opening",
+        "again_at",
+        "wait",
+        "heard",
+        "unreached",
+        "started",
+        "listed",
+    )
 
     def __init__(self) -> None:
         self.standing = 0  # viewings
--- a/ledgehitch/platform/peers.py
+++ b/ledgehitch/platform/peers.py
@@ -9,8 +9,9 @@
 
 
 class Peers:
-    def __init__(self, loop: Loop, listen: str, peers: tuple[str, ...],
-                 heard: Callable[[float, bytes], None]) -> None:  # fmt: skip
+    def __init__(
+        self, loop: Loop, listen: str, peers: tuple[str, ...], heard: Callable[[float, bytes], None]
+    ) -> None:
         self.loop, self.heard = loop, heard
         self.socket = Datagrams(loop, endpoint(listen))
         self.refused = 0
--- a/ledgehitch/platform/pipe.py
+++ b/ledgehitch/platform/pipe.py
@@ -7,8 +7,14 @@
 
 
 class Pipe:
-    def __init__(self, loop: Loop, stream: Stream, room: int, broke: Callable[[], None],
-                 drained: Callable[[], None] | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        stream: Stream,
+        room: int,
+        broke: Callable[[], None],
+        drained: Callable[[], None] | None = None,
+    ) -> None:
         """`broke` is called, later, when the other side is gone or reads so little that `room` is full;
         `drained` when all that was kept has been sent."""
         self.loop, self.stream, self.room, self.broke = loop, stream, room, broke
--- a/ledgehitch/platform/told.py
+++ b/ledgehitch/platform/told.py
@@ -104,9 +104,14 @@
             began = float(m.get("up_since_ms") or 0) / 1000
             _address(m["host_port"])
             row = Row(
-                str(m["id"]), _cell(m.get("cell")), float(m.get("size", 1)), str(m.get("flavor", "")),
-                str(m.get("locality", "")), STATES[m["phase"]], began - ahead if began else 0.0,
-            )  # fmt: skip
+                str(m["id"]),
+                _cell(m.get("cell")),
+                float(m.get("size", 1)),
+                str(m.get("flavor", "")),
+                str(m.get("locality", "")),
+                STATES[m["phase"]],
+                began - ahead if began else 0.0,
+            )
             rows.append((row, m["host_port"]))
         return ("total" if hosts.get("complete") is True else "incr"), rows
     except (KeyError, TypeError, AttributeError, OverflowError) as why:
--- a/ledgehitch/proof/budgeted.py
+++ b/ledgehitch/proof/budgeted.py
@@ -73,9 +73,15 @@
         if paid - best[0] + 1 > more + 1e-6:
             took = one.begun - best[1].begun
             count = round(paid - best[0] + rate * took) + 1
-            return [Broken("rates are kept", f"{count} offers of {package} in {took:.3f} s, the rate is "
-                           f"{rate:g} a second and {more:.1f} may come at once", (best[1].begun, one.begun),
-                           (best[1].line.at, one.line.at))]  # fmt: skip
+            return [
+                Broken(
+                    "rates are kept",
+                    f"{count} offers of {package} in {took:.3f} s, the rate is "
+                    f"{rate:g} a second and {more:.1f} may come at once",
+                    (best[1].begun, one.begun),
+                    (best[1].line.at, one.line.at),
+                )
+            ]
     return []
 
 
@@ -103,8 +109,9 @@
     line: Line
 
 
-def parts_kept(tape: Sequence[Line], wholes: Wholes, of: Set[str] | None = None, region: str = ""
-               ) -> list[Broken]:  # fmt: skip
+def parts_kept(
+    tape: Sequence[Line], wholes: Wholes, of: Set[str] | None = None, region: str = ""
+) -> list[Broken]:
     """At no moment own parts and loans that were surely in force above the whole. `of`: the gateways that are
     looked at, all where it is left out; those of a region stay within its share, which is their whole."""
     held = [h for h in loans_held(tape) if of is None or h.who in of]
@@ -117,8 +124,10 @@
                     del parts[one.who]
                 continue
             parts[one.who] = one
-            total = sum((wholes.own[who][budget] if who in wholes.own else 0) + h.loans[budget]
-                        for who, h in parts.items())  # fmt: skip
+            total = sum(
+                (wholes.own[who][budget] if who in wholes.own else 0) + h.loans[budget]
+                for who, h in parts.items()
+            )
             if total > wholes.whole:
                 names = ", ".join(sorted(parts))
                 of_it = "its share of " if region else ""
--- a/ledgehitch/proof/check.py
+++ b/ledgehitch/proof/check.py
@@ -48,10 +48,19 @@
     t = site.terms
     sold = {p.name: Sold(p.floor, p.seats, p.effect, p.key_scope, p.key_window) for p in site.packages}
     return Figures(
-        t.answer_slack, t.drain_grace, t.warm_up, t.cold_share, t.fall_multiple, t.fall_after, t.extra_free,
-        t.extra_ratio, t.extra_window, sold, {h.name: h.zone for h in site.hosts},
+        t.answer_slack,
+        t.drain_grace,
+        t.warm_up,
+        t.cold_share,
+        t.fall_multiple,
+        t.fall_after,
+        t.extra_free,
+        t.extra_ratio,
+        t.extra_window,
+        sold,
+        {h.name: h.zone for h in site.hosts},
         {h.name: h.cell for h in site.hosts},
-    )  # fmt: skip
+    )
 
 
 @dataclass(frozen=True)
--- a/ledgehitch/proof/owned.py
+++ b/ledgehitch/proof/owned.py
@@ -71,9 +71,15 @@
                 highest[other.duty, other.to] = other
         before = highest.get((step.duty, step.to))
         if step.taken and before is not None and before.term > step.term:
-            out.append(Broken("terms fence", f"{step.to} took a step of {step.owner} under term {step.term} "
-                              f"after one under term {before.term}", (before.over, step.given),
-                              (before.line.at, step.line.at)))  # fmt: skip
+            out.append(
+                Broken(
+                    "terms fence",
+                    f"{step.to} took a step of {step.owner} under term {step.term} "
+                    f"after one under term {before.term}",
+                    (before.over, step.given),
+                    (before.line.at, step.line.at),
+                )
+            )
     return out
 
 
@@ -85,8 +91,14 @@
     for duty, term, owner, line in said:
         first = by.setdefault((duty, term), (owner, line))
         if first[0] != owner:
-            out.append(Broken("one owner a term", f"{first[0]} and {owner} used term {term} of {duty}",
-                              (first[1]["t"], line["t"]), (first[1].at, line.at)))  # fmt: skip
+            out.append(
+                Broken(
+                    "one owner a term",
+                    f"{first[0]} and {owner} used term {term} of {duty}",
+                    (first[1]["t"], line["t"]),
+                    (first[1].at, line.at),
+                )
+            )
     return out
 
 
@@ -121,11 +133,20 @@
                 away[step.to] = step
             if len(away) > most:
                 names = ", ".join(sorted(away))
-                out.append(Broken("never more at once", f"{names} were away together, {most} may be",
-                                  tuple(s.over for s in away.values()),
-                                  tuple(s.line.at for s in away.values())))  # fmt: skip
-        elif (step.taken and step.told.get("phase") == "ready" and step.to in away
-              and step.given > away[step.to].over):  # what was asked before may be answered late  # fmt: skip
+                out.append(
+                    Broken(
+                        "never more at once",
+                        f"{names} were away together, {most} may be",
+                        tuple(s.over for s in away.values()),
+                        tuple(s.line.at for s in away.values()),
+                    )
+                )
+        elif (
+            step.taken
+            and step.told.get("phase") == "ready"
+            and step.to in away
+            and step.given > away[step.to].over
+        ):  # what was asked before may be answered late
             del away[step.to]
     return out
 
@@ -137,13 +158,25 @@
         if v["status"] != 200:
             continue
         if v["term"] < highest:
-            out.append(Broken("terms fence", f"a verdict of term {v['term']} was taken after term {highest}",
-                              (v["t"],), (v.at,)))  # fmt: skip
+            out.append(
+                Broken(
+                    "terms fence",
+                    f"a verdict of term {v['term']} was taken after term {highest}",
+                    (v["t"],),
+                    (v.at,),
+                )
+            )
         highest = max(highest, v["term"])
         first = by.setdefault(v["window"], v)
         if first["verdict"] != v["verdict"]:
-            out.append(Broken("one verdict a window", f"window {v['window']} was told twice, differently",
-                              (first["t"], v["t"]), (first.at, v.at)))  # fmt: skip
+            out.append(
+                Broken(
+                    "one verdict a window",
+                    f"window {v['window']} was told twice, differently",
+                    (first["t"], v["t"]),
+                    (first.at, v.at),
+                )
+            )
     return out
 
 
@@ -154,8 +187,14 @@
     for line in (x for x in tape if x["ev"] == "lent"):
         here, there = regions.get(line["who"], ""), regions.get(line["to"], "")
         if here != there:
-            out.append(Broken("each region lends for itself", f"{line['who']} of {here or 'none'} lent to "
-                              f"{line['to']} of {there or 'none'}", (line["t"],), (line.at,)))  # fmt: skip
+            out.append(
+                Broken(
+                    "each region lends for itself",
+                    f"{line['who']} of {here or 'none'} lent to {line['to']} of {there or 'none'}",
+                    (line["t"],),
+                    (line.at,),
+                )
+            )
         first = by.setdefault((here, line["term"]), line)
         if first["who"] != line["who"] and (here, line["term"]) not in told:
             told.add((here, line["term"]))
@@ -165,12 +204,22 @@
     return out
 
 
-def judged_owned(lines: Sequence[Line], names: Iterable[str] = (), most: int = 1, whole: bool = False,
-                 regions: Mapping[str, str] | None = None) -> list[Broken]:  # fmt: skip
+def judged_owned(
+    lines: Sequence[Line],
+    names: Iterable[str] = (),
+    most: int = 1,
+    whole: bool = False,
+    regions: Mapping[str, str] | None = None,
+) -> list[Broken]:
     """All promises on owners. `whole`: a plan of all `names` was carried to its end. `regions`: of each
     gateway, where the site has any."""
     steps = steps_of(lines)
     verdicts = [line for line in lines if line["ev"] == "verdict"]
-    return [*fence_held(steps), *one_owner_a_term(steps, verdicts), *restarted_once(steps, names, whole),
-            *most_at_once(steps, most), *told_once(verdicts),
-            *one_lender_a_term(lines, regions or {})]  # fmt: skip
+    return [
+        *fence_held(steps),
+        *one_owner_a_term(steps, verdicts),
+        *restarted_once(steps, names, whole),
+        *most_at_once(steps, most),
+        *told_once(verdicts),
+        *one_lender_a_term(lines, regions or {}),
+    ]
--- a/ledgehitch/quality/judge.py
+++ b/ledgehitch/quality/judge.py
@@ -113,8 +113,9 @@
     return _Side(distinct, np.array([at[name] for name in names], np.int64))
 
 
-def _compared(side: _Side, strata: _Side, n: Floats, bad: Floats, open_cells: NDArray[np.bool_]
-              ) -> tuple[Floats, Floats, Floats]:  # fmt: skip
+def _compared(
+    side: _Side, strata: _Side, n: Floats, bad: Floats, open_cells: NDArray[np.bool_]
+) -> tuple[Floats, Floats, Floats]:
     """For each group: z of the Mantel-Haenszel test, its excess share of bad ones, and the error of that.
 
     In each stratum the group's cell is held against all other cells that are open there."""
@@ -127,7 +128,7 @@
     expected = np.where(use, on * stratum_b / t, 0.0)
     variance = np.where(
         use & (t > 1), on * others * stratum_b * (t - stratum_b) / (t * t * np.maximum(t - 1, 1)), 0.0
-    )  # fmt: skip
+    )
     size = len(side.names)
     seen = np.bincount(side.index, np.where(use, ob, 0.0), size)
     due = np.bincount(side.index, expected, size)
--- a/ledgehitch/quality/tally.py
+++ b/ledgehitch/quality/tally.py
@@ -303,11 +303,16 @@
     def frozen(self) -> dict[str, Any]:
         """All that a restart needs so that nothing counts twice: tables, filters, clocks."""
         return {
-            "source": self.source, "life": self.life, "windows": self.windows, "versions": self.versions,
-            "others": self.others, "counts": self.counts, "doubles": self._doubles.frozen(),
+            "source": self.source,
+            "life": self.life,
+            "windows": self.windows,
+            "versions": self.versions,
+            "others": self.others,
+            "counts": self.counts,
+            "doubles": self._doubles.frozen(),
             "form": FORM,
             "clocks": dict(self.clocks),
-        }  # fmt: skip
+        }
 
     @classmethod
     def thawed(cls, held: Any, life: int) -> "Tally":
--- a/ledgehitch/regions/facts.py
+++ b/ledgehitch/regions/facts.py
@@ -37,8 +37,10 @@
     to the others by their shares."""
     names = set(stated(site))
     of = {zone: r.name for r in site.regions for zone in r.zones}
-    inside = {r.name: tuple(g.name for g in site.gateways if g.name in names and of[g.zone] == r.name)
-              for r in site.regions}  # fmt: skip
+    inside = {
+        r.name: tuple(g.name for g in site.gateways if g.name in names and of[g.zone] == r.name)
+        for r in site.regions
+    }
     left = [r for r in site.regions if inside[r.name]]
     stating = [Fraction(str(r.share)) if r.share is not None else None for r in left]
     whole = sum(Fraction(str(r.share)) for r in site.regions if r.share is not None)
--- a/ledgehitch/regions/shares.py
+++ b/ledgehitch/regions/shares.py
@@ -18,8 +18,9 @@
 
 
 class Shares:
-    def __init__(self, mine: str, current: tuple[Region, ...], former: tuple[Region, ...] | None,
-                 known: bool = False) -> None:  # fmt: skip
+    def __init__(
+        self, mine: str, current: tuple[Region, ...], former: tuple[Region, ...] | None, known: bool = False
+    ) -> None:
         """`mine`: the region of this gateway. `former`: the version before, None where none is remembered.
         `known`: that nobody uses the former one any more, as was known before."""
         self.mine, self.current, self.former, self.known = mine, current, former, known
@@ -88,8 +89,9 @@
     return tuple(Region(str(name), int(share), tuple(str(g) for g in gws)) for name, share, gws in some)
 
 
-def begun(mine: str, stated: tuple[Region, ...], names: Sequence[str], held: Mapping[str, Any] | None,
-          waits: bool) -> Shares | None:  # fmt: skip
+def begun(
+    mine: str, stated: tuple[Region, ...], names: Sequence[str], held: Mapping[str, Any] | None, waits: bool
+) -> Shares | None:
     """The shares that a life begins with; None where no region is stated or remembered. `names`: the stated
     gateways. `held`: what `record` gave the last life. `waits`: a version before is not settled, and the
     stated one waits behind it."""
@@ -113,6 +115,8 @@
     if former is None:
         return None
     before = {r.name: r for r in former}
-    out = [Region(r.name, min(r.share, before[r.name].share) if r.name in before else 0, r.gateways)
-           for r in current]  # fmt: skip
+    out = [
+        Region(r.name, min(r.share, before[r.name].share) if r.name in before else 0, r.gateways)
+        for r in current
+    ]
     return (*out, *(Region(f"{r.name}/former", 0, r.gateways) for r in former))
--- a/ledgehitch/rehearsal/fleet.py
+++ b/ledgehitch/rehearsal/fleet.py
@@ -57,17 +57,31 @@
 
 
 class FleetRig(Stage):
-    def __init__(self, directory: Path, gateways: int = 5, halls: int = 1, lease: float = 1.5, seed: int = 1,
-                 hosts: int = 3, rate: float = 5.0, length: float = 600.0, verdicts_every: float = 0.0,
-                 watch: float = 20.0, **more: Any) -> None:  # fmt: skip
+    def __init__(
+        self,
+        directory: Path,
+        gateways: int = 5,
+        halls: int = 1,
+        lease: float = 1.5,
+        seed: int = 1,
+        hosts: int = 3,
+        rate: float = 5.0,
+        length: float = 600.0,
+        verdicts_every: float = 0.0,
+        watch: float = 20.0,
+        **more: Any,
+    ) -> None:
         """`verdicts_every`: seconds of a window; 0: no receiver. `more`: parts of the site."""
         raw = {
-            "name": "fleet", "length": length,
+            "name": "fleet",
+            "length": length,
             "arrivals": {"rate": rate, "mix": [{"package": "recorded", "watch": watch}]},
             "shape": {"gateways": gateways, "hosts": hosts, "titles": 5, "zones": halls},
-            "site": {part: msgspec.Raw(msgspec.json.encode(value)) for part, value in
-                     {"owners": {"lease": lease}, **more}.items()},
-        }  # fmt: skip
+            "site": {
+                part: msgspec.Raw(msgspec.json.encode(value))
+                for part, value in {"owners": {"lease": lease}, **more}.items()
+            },
+        }
         directory.mkdir(parents=True, exist_ok=True)
         super().__init__(Loop(), msgspec.convert(raw, Day), seed, directory)
         self.lease = lease
@@ -83,10 +97,15 @@
         if verdicts_every:
             every = {"verdicts_to": self.receiver_at, "verdicts_every": verdicts_every}
             owners = msgspec.structs.replace(owners, **every)
-        places = [msgspec.structs.replace(g, members_at=f"127.0.0.1:{ports[2 * i]}",
-                                          members_via=f"127.0.0.1:{ports[2 * i + 1]}",
-                                          admin_via=f"unix:{self.via / g.name}")
-                  for i, g in enumerate(self.site.gateways)]  # fmt: skip
+        places = [
+            msgspec.structs.replace(
+                g,
+                members_at=f"127.0.0.1:{ports[2 * i]}",
+                members_via=f"127.0.0.1:{ports[2 * i + 1]}",
+                admin_via=f"unix:{self.via / g.name}",
+            )
+            for i, g in enumerate(self.site.gateways)
+        ]
         self.site = msgspec.structs.replace(self.site, gateways=places, owners=owners)
         self.write_site()
         self.names = [g.name for g in places]
@@ -102,8 +121,10 @@
 
         def main() -> Any:
             self.wires = Wires(self.loop, self.tape, self.seed)
-            self.wires.members(self.names, {g.name: (endpoint(g.members_via), endpoint(g.members_at))
-                                            for g in self.site.gateways})  # fmt: skip
+            self.wires.members(
+                self.names,
+                {g.name: (endpoint(g.members_via), endpoint(g.members_at)) for g in self.site.gateways},
+            )
             for name in self.names:
                 self.wires.calls(name, self.via / name, self.state / f"{name}.admin")
             if self.receiver_at:
@@ -124,8 +145,19 @@
 
     def start_gateway(self, name: str) -> None:
         self.lives[name] = self.lives.get(name, 0) + 1
-        words = ["--log-level", "info", "daemon", "--site", f"{self.directory}/site.json", "--gateway", name,
-                 "--seed", str(self.seed * 1000 + self.lives[name]), "--state", str(self.state)]  # fmt: skip
+        words = [
+            "--log-level",
+            "info",
+            "daemon",
+            "--site",
+            f"{self.directory}/site.json",
+            "--gateway",
+            name,
+            "--seed",
+            str(self.seed * 1000 + self.lives[name]),
+            "--state",
+            str(self.state),
+        ]
         if self.walls.get(name):
             self._start_as(name, [sys.executable, "-c", LATER_WALL, str(self.walls[name]), *words])
         else:
@@ -171,8 +203,13 @@
         before = {n: self.asked(n, "/v1/state")["config"]["told"] for n in self._alive()}
         for name in before:
             self.children[name].signal(signal.SIGHUP)
-        self.until(lambda: all(told and told["config"]["told"] != before[n] for n in before
-                               for told in [self.asked(n, "/v1/state")]))  # fmt: skip
+        self.until(
+            lambda: all(
+                told and told["config"]["told"] != before[n]
+                for n in before
+                for told in [self.asked(n, "/v1/state")]
+            )
+        )
 
     # ---- what they hold ------------------------------------------------------------------------------------
 
@@ -248,8 +285,13 @@
         return found[0]
 
     def _alive(self) -> list[str]:
-        return [n for n in self.names if n in self.children and self.children[n].process.poll() is None
-                and not _stopped(self.children[n].pid)]  # fmt: skip
+        return [
+            n
+            for n in self.names
+            if n in self.children
+            and self.children[n].process.poll() is None
+            and not _stopped(self.children[n].pid)
+        ]
 
     def _owns(self, name: str, duty: str) -> bool:
         told = self.asked(name, "/v1/owners")
@@ -276,8 +318,19 @@
 
     def fleet(self, *words: str, within: float = 60.0) -> tuple[int, str]:
         """The fleet tool as a process of its own: exit code and what it said."""
-        command = [sys.executable, "-m", "ledgehitch", "fleet", "--site", f"{self.directory}/site.json",
-                   "--admin-dir", str(self.state), "--plans", f"{self.directory}/plans", *words]  # fmt: skip
+        command = [
+            sys.executable,
+            "-m",
+            "ledgehitch",
+            "fleet",
+            "--site",
+            f"{self.directory}/site.json",
+            "--admin-dir",
+            str(self.state),
+            "--plans",
+            f"{self.directory}/plans",
+            *words,
+        ]
         out = self.directory / "logs" / f"tool-{time.monotonic_ns()}"
         descriptor = os.open(out, os.O_WRONLY | os.O_CREAT, 0o600)
         try:
@@ -302,9 +355,21 @@
     def viewers(self) -> None:
         """Starts the day's viewers beside the daemons."""
         d = self.directory
-        self._start("viewers", "standin", "viewers", "--site", f"{d}/site.json", "--day", f"{d}/day.json",
-                    "--seed", str(self.seed), "--tape", f"{self.tapes}/viewers.tape",
-                    "--out", f"{d}/service.json")  # fmt: skip
+        self._start(
+            "viewers",
+            "standin",
+            "viewers",
+            "--site",
+            f"{d}/site.json",
+            "--day",
+            f"{d}/day.json",
+            "--seed",
+            str(self.seed),
+            "--tape",
+            f"{self.tapes}/viewers.tape",
+            "--out",
+            f"{d}/service.json",
+        )
 
     def joined(self) -> dict[str, Any]:
         """Offers answered with a viewing, and how long that took, from the viewers' end of the tape."""
@@ -356,18 +421,34 @@
         budgets = budgets_of(site.door.package_rates, site.door.set_ups, patience)
         regions = regions_of(site)
         scopes = [(r.gateways, r.share) for r in regions] or [(tuple(names), WHOLE)]
-        each = [{name: own for some, share in scopes
-                 for name, own in own_parts(b, site.budgets.own_part, some, share).items()}
-                for b in budgets]  # fmt: skip
-        return Wholes(site.door.package_rates, site.door.set_ups, len(names), patience,
-                      {name: [own.get(name, 0) for own in each] for name in names}, WHOLE,
-                      regions={r.name: (r.gateways, r.share) for r in regions})  # fmt: skip
+        each = [
+            {
+                name: own
+                for some, share in scopes
+                for name, own in own_parts(b, site.budgets.own_part, some, share).items()
+            }
+            for b in budgets
+        ]
+        return Wholes(
+            site.door.package_rates,
+            site.door.set_ups,
+            len(names),
+            patience,
+            {name: [own.get(name, 0) for own in each] for name in names},
+            WHOLE,
+            regions={r.name: (r.gateways, r.share) for r in regions},
+        )
 
     def let_in(self, since: float, until: float = float("inf"), by: Iterable[str] = ()) -> int:
         """First tune-ins that media hosts saw in a time of the tape's clock, of these gateways or of all."""
         some = set(by or self.names)
-        return sum(x["ev"] == "setup" and since <= x["t"] < until and x["key"].endswith(".0")
-                   and x["gateway"] in some for x in self.lines())  # fmt: skip
+        return sum(
+            x["ev"] == "setup"
+            and since <= x["t"] < until
+            and x["key"].endswith(".0")
+            and x["gateway"] in some
+            for x in self.lines()
+        )
 
     def rules_broken(self) -> list[Breach]:
         return judged_tape(self.tapes, figures_of(self.site))[0]
--- a/ledgehitch/rehearsal/imported.py
+++ b/ledgehitch/rehearsal/imported.py
@@ -14,11 +14,22 @@
 from ledgehitch.config.day import check_day
 
 KINDS_HERE = {
-    "crash": "crash", "vanish": "vanish", "hang": "hang", "slow": "slow", "neighbour": "neighbour",
-    "fast_errors": "fast_errors", "burst": "burst", "hot_key": "crowd", "deploy": "deploy",
-    "balancer_roll": "gateways_killed", "balancer_stall": "gateways_still", "shared_slow": "link_shrink",
-    "origin_slow": "uplink_shrink", "answer_lost": "answers_lost", "peer_down": "peers_lost",
-}  # fmt: skip
+    "crash": "crash",
+    "vanish": "vanish",
+    "hang": "hang",
+    "slow": "slow",
+    "neighbour": "neighbour",
+    "fast_errors": "fast_errors",
+    "burst": "burst",
+    "hot_key": "crowd",
+    "deploy": "deploy",
+    "balancer_roll": "gateways_killed",
+    "balancer_stall": "gateways_still",
+    "shared_slow": "link_shrink",
+    "origin_slow": "uplink_shrink",
+    "answer_lost": "answers_lost",
+    "peer_down": "peers_lost",
+}
 
 
 def imported(path: Path, scale: float) -> tuple[Day, list[str]]:
--- a/ledgehitch/rehearsal/play.py
+++ b/ledgehitch/rehearsal/play.py
@@ -57,13 +57,20 @@
     def told(self) -> dict[str, Any]:
         rules = {str(rule): sum(b.rule == rule for b in self.breaches) for rule in range(1, 7)}
         return {
-            "day": self.day, "seed": self.seed, "kept": not self.breaches, "breaches": rules,
-            "first_breaches": [b.told(self.started_at) for b in self.breaches[:10]], "tape": self.tape,
-            "service": {k: v for k, v in self.service.items() if k != "by_second"}, "faults": self.faults,
-            "gateways": self.gateways, "verdicts": {g: r["verdict"]["word"] for g, r in self.quality.items()},
-            "exits": self.exits, "directory": self.directory,
+            "day": self.day,
+            "seed": self.seed,
+            "kept": not self.breaches,
+            "breaches": rules,
+            "first_breaches": [b.told(self.started_at) for b in self.breaches[:10]],
+            "tape": self.tape,
+            "service": {k: v for k, v in self.service.items() if k != "by_second"},
+            "faults": self.faults,
+            "gateways": self.gateways,
+            "verdicts": {g: r["verdict"]["word"] for g, r in self.quality.items()},
+            "exits": self.exits,
+            "directory": self.directory,
             "figures_come_from": "simulated peers on loopback",
-        }  # fmt: skip
+        }
 
 
 def free_ports(n: int) -> list[int]:
@@ -113,8 +120,9 @@
 class Stage:
     """The processes of a day: one for media hosts, list and network, one a gateway, one for the viewers."""
 
-    def __init__(self, loop: Loop, day: Day, seed: int, directory: Path, record: bool = False,
-                 port: int = 0) -> None:  # fmt: skip
+    def __init__(
+        self, loop: Loop, day: Day, seed: int, directory: Path, record: bool = False, port: int = 0
+    ) -> None:
         self.loop, self.day, self.seed, self.directory, self.record = loop, day, seed, directory, record
         if day.shape.gateways > MOST_GATEWAYS or day.shape.hosts > MOST_HOSTS:
             raise BadInput(
@@ -187,8 +195,16 @@
         self.tape.write("gateway", gateway=name, how="up")
         if self.day.reporting.beside and self.lives[name] == 1:
             d = self.directory
-            self._start(f"{name}-reports", "reports", "--site", f"{d}/site.json", "--gateway", name,
-                        "--state", f"{d}/state")  # fmt: skip
+            self._start(
+                f"{name}-reports",
+                "reports",
+                "--site",
+                f"{d}/site.json",
+                "--gateway",
+                name,
+                "--state",
+                f"{d}/state",
+            )
 
     def do(self, step: Step) -> Any:
         """Carries out one step of the day; whom it met."""
@@ -265,9 +281,21 @@
         for task in starts:
             task.wait()
         loop.sleep(day.settle)
-        stage._start("viewers", "standin", "viewers", "--site", f"{directory}/site.json", "--day",
-                     f"{directory}/day.json", "--seed", str(seed), "--tape", f"{stage.tapes}/viewers.tape",
-                     "--out", f"{directory}/service.json")  # fmt: skip
+        stage._start(
+            "viewers",
+            "standin",
+            "viewers",
+            "--site",
+            f"{directory}/site.json",
+            "--day",
+            f"{directory}/day.json",
+            "--seed",
+            str(seed),
+            "--tape",
+            f"{stage.tapes}/viewers.tape",
+            "--out",
+            f"{directory}/service.json",
+        )
         started = result.started_at = time.monotonic()
         for step in steps_of(day, stage.site, seed):
             loop.sleep(max(0.0, started + step.at - time.monotonic()))
--- a/ledgehitch/rehearsal/up.py
+++ b/ledgehitch/rehearsal/up.py
@@ -13,10 +13,12 @@
 from ledgehitch.rehearsal.play import DidNotStart, Stage
 
 DAY = {
-    "name": "up", "length": 1e9, "settle": 0.0,
+    "name": "up",
+    "length": 1e9,
+    "settle": 0.0,
     "arrivals": {"rate": 1.0, "mix": [{"package": "recorded"}, {"package": "live"}]},
     "shape": {"gateways": 1, "hosts": 6, "titles": 20, "rack": 3, "peer_loss": 0.0, "link_kb": 60000.0},
-}  # fmt: skip
+}
 
 
 def run_up(port: int, seed: int) -> int:
--- a/ledgehitch/rtsp/codec.py
+++ b/ledgehitch/rtsp/codec.py
@@ -8,10 +8,17 @@
 MOST = 16384  # bytes of one message, by the platform's page
 VERSION = "RTSP/1.0"
 REASONS = {
-    200: "OK", 400: "Bad Request", 405: "Method Not Allowed", 408: "Request Timeout",
-    413: "Request Entity Too Large", 451: "Parameter Not Understood", 453: "Not Enough Bandwidth",
-    454: "Session Not Found", 500: "Internal Server Error", 503: "Service Unavailable",
-}  # fmt: skip
+    200: "OK",
+    400: "Bad Request",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    413: "Request Entity Too Large",
+    451: "Parameter Not Understood",
+    453: "Not Enough Bandwidth",
+    454: "Session Not Found",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 START = re.compile(r"([A-Z_]{1,32}) (rtsp://[\x21-\x7e]{1,1024}) RTSP/1\.0\Z")
 ANSWER = re.compile(r"RTSP/1\.0 ([1-5][0-9][0-9])(?: [\x20-\x7e]*)?\Z")
 FIELD = re.compile(r"([A-Za-z0-9-]{1,64}):[ \t]*([\x20-\x7e]*)\Z")
@@ -103,15 +110,22 @@
     return "\r\n".join(lines).encode("latin-1", "replace") + b"\r\n\r\n" + body
 
 
-def answer(status: int, cseq: str, session: str, fields: list[tuple[str, str]] | None = None,
-           body: bytes = b"") -> bytes:  # fmt: skip
+def answer(
+    status: int, cseq: str, session: str, fields: list[tuple[str, str]] | None = None, body: bytes = b""
+) -> bytes:
     """An answer; an empty `cseq` or `session` is left out."""
     named = [("CSeq", cseq)] if cseq else []
     named += [("Session", session)] if session else []
     return _written(f"{VERSION} {status} {REASONS.get(status, 'Status')}", [*named, *(fields or [])], body)
 
 
-def request(method: str, target: str, cseq: str, session: str, fields: list[tuple[str, str]] | None = None,
-            body: bytes = b"") -> bytes:  # fmt: skip
+def request(
+    method: str,
+    target: str,
+    cseq: str,
+    session: str,
+    fields: list[tuple[str, str]] | None = None,
+    body: bytes = b"",
+) -> bytes:
     named = [("CSeq", cseq), ("Session", session), *(fields or [])]
     return _written(f"{method} {target} {VERSION}", named, body)
--- a/ledgehitch/scale/facts.py
+++ b/ledgehitch/scale/facts.py
@@ -61,8 +61,10 @@
     for n, point in enumerate(kept.points):
         what = (point.kind, point.role, point.mechanism, point.phase)
         if units.setdefault(what, point.size_unit) != point.size_unit:
-            raise BadInput(f"{path}: points[{n}].size_unit: {point.size_unit!r}, where an earlier point of "
-                           f"{' '.join(what)} has {units[what]!r}")  # fmt: skip
+            raise BadInput(
+                f"{path}: points[{n}].size_unit: {point.size_unit!r}, where an earlier point of "
+                f"{' '.join(what)} has {units[what]!r}"
+            )
     return kept
 
 
--- a/ledgehitch/scale/hollow.py
+++ b/ledgehitch/scale/hollow.py
@@ -50,11 +50,20 @@
         """Nothing is counted since."""
 
     def uses(self) -> dict[str, float]:
-        return {name: min(share, self.part.get(name, 0.0)) for name, share in self.wanted.items()
-                if name == SET_UPS}  # fmt: skip
-
-    def shared(self, now: float, own: float, lent: Mapping[str, float], until: float,
-               by_budget: Mapping[str, float] | None = None) -> None:  # fmt: skip
+        return {
+            name: min(share, self.part.get(name, 0.0))
+            for name, share in self.wanted.items()
+            if name == SET_UPS
+        }
+
+    def shared(
+        self,
+        now: float,
+        own: float,
+        lent: Mapping[str, float],
+        until: float,
+        by_budget: Mapping[str, float] | None = None,
+    ) -> None:
         mine = by_budget or {}
         self.part = {name: mine.get(name, own) + lent.get(name, 0.0) for name in self.wanted}
 
@@ -96,8 +105,9 @@
 
 
 class Hollow:
-    def __init__(self, loop: Loop, site: Site, names: list[str], state: Path, tape: Tape, seed: int,
-                 share: float) -> None:  # fmt: skip
+    def __init__(
+        self, loop: Loop, site: Site, names: list[str], state: Path, tape: Tape, seed: int, share: float
+    ) -> None:
         self.loop, self.site, self.state, self.tape, self.share = loop, site, state, tape, share
         self.names, self.seed, self.ring = names, seed, ring_in(Path(site.peer_key_file))
         self.lives = dict.fromkeys(names, 0)
@@ -132,8 +142,10 @@
             if lends(self.site):
                 needs = StatedNeeds(self.site, self.share)
                 budgeting = Budgeting(self.loop, self.site, owning, membership, needs, seed + 6)
-            work = {duty: Noted(self.loop, self.tape, name, duty, budgeting if duty == BUDGETS else None)
-                    for duty in DUTIES}  # fmt: skip
+            work = {
+                duty: Noted(self.loop, self.tape, name, duty, budgeting if duty == BUDGETS else None)
+                for duty in DUTIES
+            }
             owning.work.update(work)
             self.live[name] = Live(membership, work, over, task)
         finally:
@@ -165,8 +177,14 @@
                 for name in told["names"]:
                     self.stop(name, told["farewell"])
             case "/owners":
-                return answer({duty: name for name, one in self.live.items()
-                               for duty, work in one.work.items() if work.owned})  # fmt: skip
+                return answer(
+                    {
+                        duty: name
+                        for name, one in self.live.items()
+                        for duty, work in one.work.items()
+                        if work.owned
+                    }
+                )
             case "/views":
                 return answer({"wrong": self.wrong(told["up"])})
             case "/state":
@@ -175,9 +193,17 @@
                 for one in self.live.values():
                     for why, n in one.membership.frames.refused.items():
                         refused[why] = refused.get(why, 0) + n
-                return answer({"live": len(self.live), "memory": rss(), "empty": self.empty, "slow": slow,
-                               "refused": refused, "failed": self.loop.failed,
-                               **self.loop.lag.taken()})  # fmt: skip
+                return answer(
+                    {
+                        "live": len(self.live),
+                        "memory": rss(),
+                        "empty": self.empty,
+                        "slow": slow,
+                        "refused": refused,
+                        "failed": self.loop.failed,
+                        **self.loop.lag.taken(),
+                    }
+                )
             case _:
                 raise Refused(404, f"no such call: {request.path}")
         return answer({"t": time.monotonic()})
@@ -204,8 +230,9 @@
         return int(file.read().split()[1]) * PAGE
 
 
-def run_hollow(site: Site, names: list[str], state: Path, control: Path, tape: Path, seed: int,
-               share: float) -> int:  # fmt: skip
+def run_hollow(
+    site: Site, names: list[str], state: Path, control: Path, tape: Path, seed: int, share: float
+) -> int:
     """Runs until SIGTERM; members begin when they are told to."""
     gc.collect()
     gc.freeze()
--- a/ledgehitch/scale/judge.py
+++ b/ledgehitch/scale/judge.py
@@ -60,8 +60,9 @@
     return sorted(found, key=lambda t: (t.since, t.duty, t.member))
 
 
-def without_owner(terms: Iterable[Term], duty: str, since: float, until: float,
-                  by: Collection[str] | None = None) -> float:  # fmt: skip
+def without_owner(
+    terms: Iterable[Term], duty: str, since: float, until: float, by: Collection[str] | None = None
+) -> float:
     """Seconds of a time in which nobody owned the duty. `by`: in which none of these did."""
     at, alone = since, 0.0
     for t in sorted(terms, key=lambda t: t.since):
@@ -83,8 +84,9 @@
     return None if first is None else first - since
 
 
-def rates(before: Mapping[str, float], after: Mapping[str, float], seconds: float, by: float = 1.0
-          ) -> dict[str, float]:  # fmt: skip
+def rates(
+    before: Mapping[str, float], after: Mapping[str, float], seconds: float, by: float = 1.0
+) -> dict[str, float]:
     """What counters rose by, a second, and for each of `by` members."""
     return {name: (after[name] - before.get(name, 0.0)) / seconds / by for name in after}
 
@@ -96,5 +98,8 @@
 
 def over(figures: Mapping[str, float], allowed: Mapping[str, float] = ALLOWED) -> dict[str, float]:
     """Which figures are above what is allowed, and by how many times it."""
-    return {name: figures[name] / most for name, most in sorted(allowed.items())
-            if name in figures and figures[name] > most}  # fmt: skip
+    return {
+        name: figures[name] / most
+        for name, most in sorted(allowed.items())
+        if name in figures and figures[name] > most
+    }
--- a/ledgehitch/scale/needs.py
+++ b/ledgehitch/scale/needs.py
@@ -44,8 +44,12 @@
                 sizes[p.size][1].append(p)
 
     def points(self, select: Select, figure: str) -> list[tuple[float, float]]:
-        return [(size, p.figures[figure]) for size, (_, points) in sorted(self.found.get(select, {}).items())
-                for p in points if figure in p.figures]  # fmt: skip
+        return [
+            (size, p.figures[figure])
+            for size, (_, points) in sorted(self.found.get(select, {}).items())
+            for p in points
+            if figure in p.figures
+        ]
 
     def unit(self, select: Select) -> str:
         return next((p.size_unit for _, points in self.found.get(select, {}).values() for p in points), "")
@@ -191,16 +195,18 @@
 def costs_of(losses: Iterable[Loss], book: Book, target: Target) -> list[Cost]:
     """The most service lost in a year first; what was not measured last."""
     by_name: dict[str, Failure] = {f.name: f for f in target.failures}
-    found = [cost_of(loss, by_name[loss.failure], book, target) for loss in losses
-             if loss.failure in by_name]  # fmt: skip
+    found = [cost_of(loss, by_name[loss.failure], book, target) for loss in losses if loss.failure in by_name]
     return sorted(found, key=lambda c: -c.a_year if c.a_year is not None else math.inf)
 
 
 def without(losses: Iterable[Loss]) -> list[Loss]:
     """The same failures as they are where the mechanism that carries them is not used: of those that have
     been measured so."""
-    return [msgspec.structs.replace(loss, select=loss.without, without=None)
-            for loss in losses if loss.without is not None]  # fmt: skip
+    return [
+        msgspec.structs.replace(loss, select=loss.without, without=None)
+        for loss in losses
+        if loss.without is not None
+    ]
 
 
 def first_missing(costs: Sequence[Cost]) -> Cost | None:
--- a/ledgehitch/scale/plan.py
+++ b/ledgehitch/scale/plan.py
@@ -86,9 +86,16 @@
     def resized(self, members: int) -> "Plan":
         """The same with other members, and the restarts of a day in proportion."""
         by = members / self.members
-        phases = [msgspec.structs.replace(p, faults=[
-            msgspec.structs.replace(s, count=max(1, round(s.count * by))) if s.count else s
-            for s in p.faults]) for p in self.phases]  # fmt: skip
+        phases = [
+            msgspec.structs.replace(
+                p,
+                faults=[
+                    msgspec.structs.replace(s, count=max(1, round(s.count * by))) if s.count else s
+                    for s in p.faults
+                ],
+            )
+            for p in self.phases
+        ]
         return msgspec.structs.replace(self, members=members, phases=phases)
 
 
@@ -241,11 +248,16 @@
     if plan.processes > 12:
         wrong("processes", f"{plan.processes}, hollow members live in a dozen at most")
     if took.memory > machine.memory / 2:
-        wrong("members", f"they need some {took.memory / 1e9:.1f} GB, half of memory is "
-              f"{machine.memory / 2e9:.1f} GB")  # fmt: skip
+        wrong(
+            "members",
+            f"they need some {took.memory / 1e9:.1f} GB, half of memory is {machine.memory / 2e9:.1f} GB",
+        )
     if took.descriptors > machine.descriptors / 2:
-        wrong("members", f"they need some {took.descriptors} descriptors, half of what there is are "
-              f"{machine.descriptors // 2}")  # fmt: skip
+        wrong(
+            "members",
+            f"they need some {took.descriptors} descriptors, half of what there is are "
+            f"{machine.descriptors // 2}",
+        )
     most = min(machine.processes // 2, MOST_PROCESSES)
     if took.processes > most:
         wrong("members", f"they need some {took.processes} processes, at most {most} may be")
@@ -254,7 +266,11 @@
 def size_of(plan: Plan) -> Machine:
     """What a run takes at most, about."""
     hollow = plan.members - plan.real
-    memory = (plan.processes * HOLLOW_PROCESS + (plan.real + 1) * REAL_PROCESS + OTHERS
-              + hollow * (MEMBER + KNOWN * plan.members))  # fmt: skip
+    memory = (
+        plan.processes * HOLLOW_PROCESS
+        + (plan.real + 1) * REAL_PROCESS
+        + OTHERS
+        + hollow * (MEMBER + KNOWN * plan.members)
+    )
     processes = plan.processes * (1 + AT_ONCE) + 2 * (plan.real + 1) + plan.relays + 4
     return Machine(memory, 2 * plan.members + OPEN * processes, processes)
--- a/ledgehitch/scale/play.py
+++ b/ledgehitch/scale/play.py
@@ -75,8 +75,15 @@
     running = [n for n, c in rig.children.items() if c.process.poll() is None]
     hollow = {h: rig.tell(h, "/state") for h in rig.hollows if h in running}
     counts = rig.counts()
-    return Seen(time.monotonic(), counts, {n: rig.cpu(n) for n in running} | {"rig": sum(os.times()[:2])},
-                {n: rig.memory(n) for n in running}, rig.dropped(), rig.up_seconds(), hollow)  # fmt: skip
+    return Seen(
+        time.monotonic(),
+        counts,
+        {n: rig.cpu(n) for n in running} | {"rig": sum(os.times()[:2])},
+        {n: rig.memory(n) for n in running},
+        rig.dropped(),
+        rig.up_seconds(),
+        hollow,
+    )
 
 
 class Play:
@@ -141,8 +148,9 @@
         before, begun, ended = seen_now(rig), list[float](), list[float]()
         log.info("phase", name=phase.name, load1=load_now())
         watch = rig.loop.spawn(self._watch, looks, name="looks") if phase.faults or first else None
-        doing = [rig.loop.spawn(self._step, step, before.t, begun, ended, name=step.kind)
-                 for step in phase.faults]  # fmt: skip
+        doing = [
+            rig.loop.spawn(self._step, step, before.t, begun, ended, name=step.kind) for step in phase.faults
+        ]
         if first is not None:
             begun.append(time.monotonic())
             first()
@@ -246,10 +254,20 @@
         self.in_the_way: dict[str, str] = {}  # by phase whose figures are not kept
 
     def _point(self, p: Played, role: str, mechanism: str, kind: str, figures: dict[str, float]) -> None:
-        self.points.append(Point(
-            role=role, mechanism=mechanism, phase=p.phase.name, size=float(len(self.rig.seats)),  # type: ignore[arg-type]
-            size_unit="members", figures={k: round(v, 6) for k, v in figures.items()}, kind=kind,  # type: ignore[arg-type]
-            seed=self.plan.seed, load1=p.load1, seconds=round(p.seconds, 3)))  # fmt: skip
+        self.points.append(
+            Point(
+                role=role,
+                mechanism=mechanism,
+                phase=p.phase.name,
+                size=float(len(self.rig.seats)),  # type: ignore[arg-type]
+                size_unit="members",
+                figures={k: round(v, 6) for k, v in figures.items()},
+                kind=kind,  # type: ignore[arg-type]
+                seed=self.plan.seed,
+                load1=p.load1,
+                seconds=round(p.seconds, 3),
+            )
+        )
 
     def of(self, p: Played) -> None:
         # An owner's figures are its own; who was down for a time has none that can be held against others'.
@@ -304,10 +322,14 @@
             total = [a + b for a, b in zip(total, mine, strict=True)]
         by = p.seconds * len(some)
         messages = total[0] + total[2]
-        return {"messages_per_s": messages / by, "messages_out_per_s": total[0] / by,
-                "bytes_out_per_s": total[1] / by, "bytes_in_per_s": total[3] / by,
-                "bytes_per_s": (total[1] + total[3] + HEADS * messages) / by,
-                "most_bytes_per_s": most / p.seconds}  # fmt: skip
+        return {
+            "messages_per_s": messages / by,
+            "messages_out_per_s": total[0] / by,
+            "bytes_out_per_s": total[1] / by,
+            "bytes_in_per_s": total[3] / by,
+            "bytes_per_s": (total[1] + total[3] + HEADS * messages) / by,
+            "most_bytes_per_s": most / p.seconds,
+        }
 
     def cpu_and_memory(self, p: Played, kind: str, some: Sequence[str]) -> dict[str, float]:
         """Of one on the average. What viewers cost a real one is not told apart: no figure then."""
@@ -329,8 +351,13 @@
         bare = rates(a.cpu, b.cpu, p.seconds)[BARE]
         took = [(b.cpu[n] - a.cpu[n]) / p.seconds - bare for n in here]
         held = [float(b.memory[n] - b.memory[BARE]) for n in here]
-        return {"cpu_s_per_s": sum(took) / len(took), "most_cpu_s_per_s": max(took), "bare_cpu_s_per_s": bare,
-                "memory_bytes": sum(held) / len(held), "most_memory_bytes": max(held)}  # fmt: skip
+        return {
+            "cpu_s_per_s": sum(took) / len(took),
+            "most_cpu_s_per_s": max(took),
+            "bare_cpu_s_per_s": bare,
+            "memory_bytes": sum(held) / len(held),
+            "most_memory_bytes": max(held),
+        }
 
     def owners(self, p: Played) -> None:
         """What a duty's owner sends and hears, where one owned it all the time."""
@@ -354,8 +381,12 @@
         figures = {f"without_{d}_s": without_owner(self.terms, d, since, until) for d in DUTIES}
         for region in self.plan.regions:
             some = {s.name for s in self.rig.seats if s.region == region}
-            figures |= {f"without_{d}_in_{region.lower()}_s".replace("-", "_").replace(".", "_"):
-                        without_owner(self.terms, d, since, until, some) for d in DUTIES}  # fmt: skip
+            figures |= {
+                f"without_{d}_in_{region.lower()}_s".replace("-", "_").replace(".", "_"): without_owner(
+                    self.terms, d, since, until, some
+                )
+                for d in DUTIES
+            }
         if p.ended and (took := right_again(p.looks, max(p.ended))) is not None:
             figures["views_right_after_s"] = took
         known = [x for x in p.looks if p.ended and x[0] < min(p.ended)]
@@ -367,15 +398,22 @@
         a, b = p.before, p.after
         drops = sum(n - a.dropped.get(s, 0) for s, n in b.dropped.items())
         cpu = {n: (b.cpu[n] - a.cpu[n]) / p.seconds for n in b.cpu if n in a.cpu}
-        self._point(p, "control", "rig", "hollow", {
-            "dropped": drops, "rig_cpu_s_per_s": cpu["rig"],
-            "relay_cpu_s_per_s": max(cpu[r] for r in self.rig.relays),
-            "hollow_process_cpu_s_per_s": max([cpu[h] for h in self.rig.hollows if h in cpu] or [0.0]),
-            "lag_p99_s": max([b.hollow[h]["lag_p99"] for h in b.hollow] or [0.0]),
-            "slow_members": sum(b.hollow[h]["slow"] for h in b.hollow),
-            "failed_tasks": sum(b.hollow[h]["failed"] for h in b.hollow),
-            "memory_total_bytes": sum(b.memory.values()),
-        })  # fmt: skip
+        self._point(
+            p,
+            "control",
+            "rig",
+            "hollow",
+            {
+                "dropped": drops,
+                "rig_cpu_s_per_s": cpu["rig"],
+                "relay_cpu_s_per_s": max(cpu[r] for r in self.rig.relays),
+                "hollow_process_cpu_s_per_s": max([cpu[h] for h in self.rig.hollows if h in cpu] or [0.0]),
+                "lag_p99_s": max([b.hollow[h]["lag_p99"] for h in b.hollow] or [0.0]),
+                "slow_members": sum(b.hollow[h]["slow"] for h in b.hollow),
+                "failed_tasks": sum(b.hollow[h]["failed"] for h in b.hollow),
+                "memory_total_bytes": sum(b.memory.values()),
+            },
+        )
 
 
 def played(plan: Plan, directory: Path, command: Sequence[str] = ()) -> Came:
@@ -392,8 +430,11 @@
     for p in play.played:
         figures.of(p)
     parts = [f"{b.promise}: {b.what}" for b in rig.over_budget()]
-    wrong = [f"{h} had {n} failed tasks" for h, told in play.played[-1].after.hollow.items()
-             if (n := told["failed"])]  # fmt: skip
+    wrong = [
+        f"{h} had {n} failed tasks"
+        for h, told in play.played[-1].after.hollow.items()
+        if (n := told["failed"])
+    ]
     if len(play.played) <= len(plan.phases):
         wrong.append(f"stopped by a signal after phase {play.played[-1].phase.name}")
     words = "ledgehitch scale run " + shlex.join(command) if command else "ledgehitch scale run"
--- a/ledgehitch/scale/relay.py
+++ b/ledgehitch/scale/relay.py
@@ -40,16 +40,23 @@
 
 
 class Relay:
-    def __init__(self, loop: Loop, site: Site, names: list[str], control: Path, tape: Tape, seed: int
-                 ) -> None:  # fmt: skip
+    def __init__(
+        self, loop: Loop, site: Site, names: list[str], control: Path, tape: Tape, seed: int
+    ) -> None:
         """`names`: the members that hear through this one."""
         everybody = [g.name for g in site.gateways]
         self.loop, self.tape, self.counted = loop, tape, Counted(len(everybody))
         self.wires = Wires(loop, tape, seed)
         self.wires.seen = self.counted.seen
         some = set(names)
-        self.wires.members(everybody, {g.name: (endpoint(g.members_via), endpoint(g.members_at))
-                                       for g in site.gateways if g.name in some})  # fmt: skip
+        self.wires.members(
+            everybody,
+            {
+                g.name: (endpoint(g.members_via), endpoint(g.members_at))
+                for g in site.gateways
+                if g.name in some
+            },
+        )
         self.server = Server(loop, endpoint(f"unix:{control}"), self._handle)
 
     def _handle(self, request: Request) -> Response:
--- a/ledgehitch/scale/report.py
+++ b/ledgehitch/scale/report.py
@@ -83,8 +83,18 @@
 
 
 def headroom_table(book: Book, target: Target) -> str:
-    heads = ("role", "what", "slope: figure = intercept + slope x size", "residual, largest and rms",
-             "measured at", "needed at the size", "allowed", "headroom", "carried by", "by")  # fmt: skip
+    heads = (
+        "role",
+        "what",
+        "slope: figure = intercept + slope x size",
+        "residual, largest and rms",
+        "measured at",
+        "needed at the size",
+        "allowed",
+        "headroom",
+        "carried by",
+        "by",
+    )
     return table(heads, [_headroom(row, book, commands_of(book)) for row in rows_of(NEEDS, book, target)])
 
 
@@ -108,14 +118,32 @@
     at = f" ({row.size:,.0f} {unit})" if row.needed is not None else ""
     allowed = shown(row.allowed, need.unit) if row.allowed is not None else "no limit stated"
     by = ", ".join(str(numbers[c]) for c in row.commands)
-    return (need.role, need.what, formula, residual, sizes_of(row.sizes) or "-", needed + at, allowed, room,
-            need.carried, by or "-")  # fmt: skip
+    return (
+        need.role,
+        need.what,
+        formula,
+        residual,
+        sizes_of(row.sizes) or "-",
+        needed + at,
+        allowed,
+        room,
+        need.carried,
+        by or "-",
+    )
 
 
 def failures_table(book: Book, target: Target) -> str:
     costs, bare = costs_of(LOSSES, book, target), costs_of(without(LOSSES), book, target)
-    heads = ("failure", "what stops", "times a year", "for how long", "share of service lost meanwhile",
-             "lost in a year, of all service", "carried by", "by")  # fmt: skip
+    heads = (
+        "failure",
+        "what stops",
+        "times a year",
+        "for how long",
+        "share of service lost meanwhile",
+        "lost in a year, of all service",
+        "carried by",
+        "by",
+    )
     numbers, first = commands_of(book), first_missing(costs)
     rows = [(cost.a_year or -1.0, _cost(cost, numbers)) for cost in costs]
     if first is None:  # what the mechanisms that are there carry, where a site does not use them
@@ -146,8 +174,16 @@
     if cost.a_year is None or cost.length is None or cost.share is None:
         return name, cost.loss.stops, times, UNMEASURED, UNMEASURED, UNMEASURED, carried, by
     of_year = cost.a_year / (365.0 * 86_400.0)
-    return (name, cost.loss.stops, times, shown(cost.length, "s"), f"{digits(100 * cost.share)}%",
-            f"{digits(cost.a_year)} s ({digits(1e6 * of_year)} millionths)", carried, by)  # fmt: skip
+    return (
+        name,
+        cost.loss.stops,
+        times,
+        shown(cost.length, "s"),
+        f"{digits(100 * cost.share)}%",
+        f"{digits(cost.a_year)} s ({digits(1e6 * of_year)} millionths)",
+        carried,
+        by,
+    )
 
 
 def before_table(book: Book, target: Target) -> str:
@@ -166,36 +202,71 @@
         ("gateways", digits(target.gateways), ""),
         ("connections held", f"{target.connections:,}", f"{each:,.0f} at a gateway"),
         ("shards of topics", f"{target.shards:,}", f"{target.shards / target.gateways:,.0f} at a gateway"),
-        ("largest topic", f"{target.largest_topic:,} listeners",
-         f"one word to all of them is {lowest[0]:,.0f} deliveries at each gateway where it is spread evenly, "
-         f"{scaled(lowest[1], 'deliveries/s')} where all are at one"),
-        ("deliveries", f"{digits(target.deliveries_per_s / 1e6)} million a second",
-         f"{target.deliveries_each:,.0f} a second at a gateway; {percent(target.delivery_share)} within "
-         f"{shown(target.delivery_within_s, 's')}"),
+        (
+            "largest topic",
+            f"{target.largest_topic:,} listeners",
+            f"one word to all of them is {lowest[0]:,.0f} deliveries at each gateway "
+            f"where it is spread evenly, {scaled(lowest[1], 'deliveries/s')} where all are at one",
+        ),
+        (
+            "deliveries",
+            f"{digits(target.deliveries_per_s / 1e6)} million a second",
+            f"{target.deliveries_each:,.0f} a second at a gateway; {percent(target.delivery_share)} within "
+            f"{shown(target.delivery_within_s, 's')}",
+        ),
         ("regions, zones", f"{target.regions}, {target.zones}", "equal ones, as a reading"),
-        ("changes of configuration", f"{target.changes_per_day:,.0f} a day",
-         f"in force everywhere within {shown(target.change_within_s, 's')}"),
-        ("control, of a gateway", f"{shown(control.cpu_s_per_s, 'core')}, "
-         f"{shown(control.memory_bytes, 'bytes')}, {shown(control.bytes_per_s, 'bytes/s')}",
-         f"{control.machines} machines set aside for it"),
-    ]  # fmt: skip
+        (
+            "changes of configuration",
+            f"{target.changes_per_day:,.0f} a day",
+            f"in force everywhere within {shown(target.change_within_s, 's')}",
+        ),
+        (
+            "control, of a gateway",
+            f"{shown(control.cpu_s_per_s, 'core')}, "
+            f"{shown(control.memory_bytes, 'bytes')}, {shown(control.bytes_per_s, 'bytes/s')}",
+            f"{control.machines} machines set aside for it",
+        ),
+    ]
     return table(("what", "the letter", "at one gateway, and so on"), rows)
 
 
 def split_table(book: Book, target: Target) -> str:
-    shares = ("before_share", "first_15_s_share", "after_15_s_share", "worst_5_s_after_15_s_share",
-              "healed_first_10_s_share", "healed_next_10_s_share")  # fmt: skip
+    shares = (
+        "before_share",
+        "first_15_s_share",
+        "after_15_s_share",
+        "worst_5_s_after_15_s_share",
+        "healed_first_10_s_share",
+        "healed_next_10_s_share",
+    )
     rows = []
     for name, result in book.kept.items():
         for p in result.points:
             select, f = Select(p.kind, p.role, p.mechanism, p.phase), p.figures
             if select in (SPLIT, SPLIT_REGIONS):
-                rows.append((name, "stated" if select == SPLIT_REGIONS else "none",
-                             *(digits(f[key]) for key in shares), f"{f['sides_that_own_all']:g} of 2",
-                             f"{f['windows_over_the_whole']:g}", digits(p.load1)))  # fmt: skip
-    heads = ("kept as", "regions", "before", "first 15 s", "from 15 s to the end", "worst 5 s of that",
-             "10 s after", "next 10 s", "sides that own their duties", "breaches of a budget",
-             "load")  # fmt: skip
+                rows.append(
+                    (
+                        name,
+                        "stated" if select == SPLIT_REGIONS else "none",
+                        *(digits(f[key]) for key in shares),
+                        f"{f['sides_that_own_all']:g} of 2",
+                        f"{f['windows_over_the_whole']:g}",
+                        digits(p.load1),
+                    )
+                )
+    heads = (
+        "kept as",
+        "regions",
+        "before",
+        "first 15 s",
+        "from 15 s to the end",
+        "worst 5 s of that",
+        "10 s after",
+        "next 10 s",
+        "sides that own their duties",
+        "breaches of a budget",
+        "load",
+    )
     return table(heads, rows)
 
 
@@ -205,13 +276,30 @@
         for p in result.points:
             f = p.figures
             if p.mechanism == SPLIT.mechanism and "lost_gateway_s" in f:
-                rows.append((name, p.phase.replace("-", " "), shown(f["lost_gateway_s"], "s"),
-                             percent(f["share"]), shown(p.seconds, "s"), shown(f["lease_s"], "s"),
-                             f"{f.get('windows_over_the_whole', 0):g}", digits(p.load1)))  # fmt: skip
+                rows.append(
+                    (
+                        name,
+                        p.phase.replace("-", " "),
+                        shown(f["lost_gateway_s"], "s"),
+                        percent(f["share"]),
+                        shown(p.seconds, "s"),
+                        shown(f["lease_s"], "s"),
+                        f"{f.get('windows_over_the_whole', 0):g}",
+                        digits(p.load1),
+                    )
+                )
     if not rows:
         return "Not measured yet."
-    heads = ("kept as", "what", "lost, of one gateway's part", "let in meanwhile, of what was before", "over",
-             "lease", "breaches of a budget, whole run", "load")  # fmt: skip
+    heads = (
+        "kept as",
+        "what",
+        "lost, of one gateway's part",
+        "let in meanwhile, of what was before",
+        "over",
+        "lease",
+        "breaches of a budget, whole run",
+        "load",
+    )
     return table(heads, rows)
 
 
@@ -224,8 +312,12 @@
         other = Select("hollow", "control", "all", select.phase)
         for size in sorted(sizes):
             cells = []
-            for figure, unit in (("bytes_per_s", "bytes/s"), ("messages_per_s", ""), ("cpu_s_per_s", "core"),
-                                 ("memory_bytes", "bytes")):  # fmt: skip
+            for figure, unit in (
+                ("bytes_per_s", "bytes/s"),
+                ("messages_per_s", ""),
+                ("cpu_s_per_s", "core"),
+                ("memory_bytes", "bytes"),
+            ):
                 both = [book.at(s, figure, size) for s in (select, other)]
                 cells += [" / ".join(shown(v, unit) for v in both)]
             rows.append((select.phase, f"{size:,g}", *cells))
@@ -245,16 +337,30 @@
     for name, result in book.kept.items():
         loads = [p.load1 for p in result.points]
         machine = result.machine
-        rows.append((str(numbers[result.command]), f"`{result.command}`", name, result.at,
-                     f"{machine.cores} cores, {scaled(machine.memory_bytes, 'B')}",
-                     f"{digits(min(loads))} to {digits(max(loads))}", str(len(result.points))))  # fmt: skip
+        rows.append(
+            (
+                str(numbers[result.command]),
+                f"`{result.command}`",
+                name,
+                result.at,
+                f"{machine.cores} cores, {scaled(machine.memory_bytes, 'B')}",
+                f"{digits(min(loads))} to {digits(max(loads))}",
+                str(len(result.points)),
+            )
+        )
     return table(("by", "command", "kept as", "when (UTC)", "machine", "load beside it", "points"), rows)
 
 
 TABLES: dict[str, Callable[[Book, Target], str]] = {
-    "target": target_table, "failures": failures_table, "headroom": headroom_table, "before": before_table,
-    "split": split_table, "deaths": deaths_table, "beside": beside_table, "kept": kept_table,
-}  # fmt: skip
+    "target": target_table,
+    "failures": failures_table,
+    "headroom": headroom_table,
+    "before": before_table,
+    "split": split_table,
+    "deaths": deaths_table,
+    "beside": beside_table,
+    "kept": kept_table,
+}
 
 
 # ---- the page ----------------------------------------------------------------------------------------------
--- a/ledgehitch/scale/rig.py
+++ b/ledgehitch/scale/rig.py
@@ -47,9 +47,18 @@
         self.wanted, self.seats = plan, seats(plan)
         load = plan.load
         door = {"on": True, "package_rates": {"recorded": load.package_rate}, "set_ups": load.set_ups}
-        super().__init__(directory, plan.real, min(plan.zones, plan.real), plan.lease, plan.seed,
-                         hosts=load.servers, rate=load.rate, watch=load.watch,
-                         length=sum(p.length for p in plan.phases) + 60.0, door=door)  # fmt: skip
+        super().__init__(
+            directory,
+            plan.real,
+            min(plan.zones, plan.real),
+            plan.lease,
+            plan.seed,
+            hosts=load.servers,
+            rate=load.rate,
+            watch=load.watch,
+            length=sum(p.length for p in plan.phases) + 60.0,
+            door=door,
+        )
         self.index = {s.name: i for i, s in enumerate(self.seats)}
         self.seat = {s.name: s for s in self.seats}
         self.names = [s.name for s in self.seats if s.process < 0]
@@ -75,8 +84,14 @@
 
         gateways = []
         for i, s in enumerate(self.seats):
-            places = {"name": s.name, "zone": s.zone, "rack": s.rack, "members_at": at(1, i),
-                      "members_via": at(2, i), "admin_via": ""}  # fmt: skip
+            places = {
+                "name": s.name,
+                "zone": s.zone,
+                "rack": s.rack,
+                "members_at": at(1, i),
+                "members_via": at(2, i),
+                "admin_via": "",
+            }
             some = next(real) if s.process < 0 else self.site.gateways[0]
             if s.process >= 0:  # nobody sends viewers there
                 places |= {"at": f"127.1.{i // 250}.{i % 250 + 1}:9", "peer_at": "", "peer_via": ""}
@@ -98,8 +113,10 @@
         real = [g for g in self.site.gateways if g.name in self.names]
         plain = {"regions": type(self.site.regions)()} if hasattr(self.site, "regions") else {}
         seen = msgspec.structs.replace(self.site, gateways=real, **plain)
-        lone = [msgspec.structs.replace(g, members_at="", members_via="", peer_at="", peer_via="")
-                for g in self.site.gateways]  # fmt: skip
+        lone = [
+            msgspec.structs.replace(g, members_at="", members_via="", peer_at="", peer_via="")
+            for g in self.site.gateways
+        ]
         here = self.index[self.names[0]]
         ports = free_ports(1)
         lone[here] = msgspec.structs.replace(lone[here], name=BARE, at=f"127.0.0.1:{ports[0]}")
@@ -147,9 +164,24 @@
         listed.write_text("\n".join(members))
         self.lives[name] = self.lives.get(name, 0) + 1
         tape = self.tapes / f"{name}-{self.lives[name]}.tape"
-        self._start(name, "--log-level", "warning", "scale", kind, "--site", f"{self.directory}/site.json",
-                    "--names", str(listed), "--control", str(self.state / f"{name}.control"),
-                    "--tape", str(tape), "--seed", str(self.wanted.seed), *words)  # fmt: skip
+        self._start(
+            name,
+            "--log-level",
+            "warning",
+            "scale",
+            kind,
+            "--site",
+            f"{self.directory}/site.json",
+            "--names",
+            str(listed),
+            "--control",
+            str(self.state / f"{name}.control"),
+            "--tape",
+            str(tape),
+            "--seed",
+            str(self.wanted.seed),
+            *words,
+        )
 
     def start_hollow(self, name: str) -> None:
         """A process of hollow members, none of which has begun."""
@@ -160,15 +192,39 @@
 
     def start_world(self) -> None:
         d = self.directory
-        self._start("world", "standin", "world", "--site", f"{d}/site-real.json", "--day", f"{d}/day.json",
-                    "--seed", str(self.seed), "--control", self.control, "--tape",
-                    f"{self.tapes}/world.tape")  # fmt: skip
+        self._start(
+            "world",
+            "standin",
+            "world",
+            "--site",
+            f"{d}/site-real.json",
+            "--day",
+            f"{d}/day.json",
+            "--seed",
+            str(self.seed),
+            "--control",
+            self.control,
+            "--tape",
+            f"{self.tapes}/world.tape",
+        )
 
     def viewers(self) -> None:
         d = self.directory
-        self._start("viewers", "standin", "viewers", "--site", f"{d}/site-real.json", "--day",
-                    f"{d}/day.json", "--seed", str(self.seed), "--tape", f"{self.tapes}/viewers.tape",
-                    "--out", f"{d}/service.json")  # fmt: skip
+        self._start(
+            "viewers",
+            "standin",
+            "viewers",
+            "--site",
+            f"{d}/site-real.json",
+            "--day",
+            f"{d}/day.json",
+            "--seed",
+            str(self.seed),
+            "--tape",
+            f"{self.tapes}/viewers.tape",
+            "--out",
+            f"{d}/service.json",
+        )
 
     def no_viewers(self) -> None:
         if "viewers" in self.children:
@@ -177,9 +233,22 @@
     def start_bare(self) -> None:
         """A gateway as the real ones are, without membership: what theirs is held against."""
         d = self.directory
-        command = [sys.executable, "-m", "ledgehitch", "--log-level", "info", "daemon", "--site",
-                   f"{d}/site-{BARE}.json", "--gateway", BARE, "--seed", "1", "--state",
-                   str(self.state / BARE)]  # fmt: skip
+        command = [
+            sys.executable,
+            "-m",
+            "ledgehitch",
+            "--log-level",
+            "info",
+            "daemon",
+            "--site",
+            f"{d}/site-{BARE}.json",
+            "--gateway",
+            BARE,
+            "--seed",
+            "1",
+            "--state",
+            str(self.state / BARE),
+        ]
         with open(d / "logs" / f"{BARE}.log", "ab") as out:
             self.children[BARE] = Child(self.loop, command, BARE, subprocess.PIPE, out.fileno())
         with self.loop.deadline(CALL_WITHIN):
@@ -336,8 +405,10 @@
             if told is None:
                 return total + 1
             mine = groups[self.index[name]]
-            total += sum((status == "alive") != (groups[self.index[other]] == mine)
-                         for other, status in told["members"].items())  # fmt: skip
+            total += sum(
+                (status == "alive") != (groups[self.index[other]] == mine)
+                for other, status in told["members"].items()
+            )
         return total
 
     def counts(self) -> dict[str, list[list[int]]]:
--- a/ledgehitch/signalling/__init__.py
+++ b/ledgehitch/signalling/__init__.py
@@ -8,6 +8,15 @@
 from ledgehitch.signalling.sdp import BadSdp, Fragment, Offer, read_fragment, read_sdp
 
 __all__ = [
-    "Answer", "BadSdp", "Desk", "End", "Fragment", "Kind", "Leave", "Offer", "Settled", "read_fragment",
+    "Answer",
+    "BadSdp",
+    "Desk",
+    "End",
+    "Fragment",
+    "Kind",
+    "Leave",
+    "Offer",
+    "Settled",
+    "read_fragment",
     "read_sdp",
-]  # fmt: skip
+]
--- a/ledgehitch/signalling/decide.py
+++ b/ledgehitch/signalling/decide.py
@@ -104,8 +104,16 @@
         self.entries[vw] = self._by_key[key] = self._by_resource[resource] = self._by_conn[conn] = entry
         return True
 
-    def settled(self, now: float, vw: int, kind: Kind, answer: str = "", advice: float = 0.0,
-                why: str = "", ticket: str = "") -> None:  # fmt: skip
+    def settled(
+        self,
+        now: float,
+        vw: int,
+        kind: Kind,
+        answer: str = "",
+        advice: float = 0.0,
+        why: str = "",
+        ticket: str = "",
+    ) -> None:
         """The viewing has its one answer. A second one is refused: the first stands."""
         entry = self.entries.get(vw)
         if entry is None or entry.settled is not None:
--- a/ledgehitch/simhost/wire.py
+++ b/ledgehitch/simhost/wire.py
@@ -81,9 +81,22 @@
 
 # How many parts each message has after its name; None: any number.
 PARTS: dict[str, int | None] = {
-    "at": 1, "create": None, "down": 0, "snapshot_rows": 2, "row": 7, "view": 3, "query": 11, "existing": 12,
-    "opened": 4, "note": 5, "answer": 7, "withdrawn": 1, "wakeup": 1, "probe_done": 4, "from_peer": 2,
-}  # fmt: skip
+    "at": 1,
+    "create": None,
+    "down": 0,
+    "snapshot_rows": 2,
+    "row": 7,
+    "view": 3,
+    "query": 11,
+    "existing": 12,
+    "opened": 4,
+    "note": 5,
+    "answer": 7,
+    "withdrawn": 1,
+    "wakeup": 1,
+    "probe_done": 4,
+    "from_peer": 2,
+}
 
 
 class Host:
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -23,8 +23,18 @@
 class Session:
     __slots__ = ("id", "key", "gateway", "vw", "package", "title", "rung", "factor", "seen")
 
-    def __init__(self, id: str, key: str, gateway: str, vw: int, package: str, title: str, rung: int,
-                 factor: float, now: float) -> None:  # fmt: skip
+    def __init__(
+        self,
+        id: str,
+        key: str,
+        gateway: str,
+        vw: int,
+        package: str,
+        title: str,
+        rung: int,
+        factor: float,
+        now: float,
+    ) -> None:
         self.id, self.key, self.gateway, self.vw, self.package = id, key, gateway, vw, package
         self.title, self.rung, self.factor, self.seen = title, rung, factor, now
 
@@ -32,10 +42,24 @@
 class MediaHost:
     """One host: a server of its own, sessions, and a feed to each gateway that follows it."""
 
-    def __init__(self, loop: Loop, name: str, at: Endpoint, cell: int, kind: str, zone: str, weight: float,
-                 rates: tuple[float, ...], scales: dict[str, float], places: Callable[[], Places],
-                 habits: Habits, tape: Tape, seed: int, media_at: str,
-                 reset: Callable[[], None] | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        name: str,
+        at: Endpoint,
+        cell: int,
+        kind: str,
+        zone: str,
+        weight: float,
+        rates: tuple[float, ...],
+        scales: dict[str, float],
+        places: Callable[[], Places],
+        habits: Habits,
+        tape: Tape,
+        seed: int,
+        media_at: str,
+        reset: Callable[[], None] | None = None,
+    ) -> None:
         self.loop, self.name, self.want_at, self.cell, self.kind = loop, name, at, cell, kind
         self.zone, self.weight, self.rates, self.scales = zone, weight, rates, scales
         self.new_places, self.habits, self.tape, self.media_at = places, habits, tape, media_at
@@ -135,8 +159,16 @@
         rung = int(request.query("rung") or 0)
         self._ids += 1
         id = f"{self.name}+{self.lives}+{self._ids}"  # "+" is fit for ICE and in no name
-        self.tape.write("setup", host=self.name, id=id, key=key, gateway=gateway.partition(".")[0],
-                        package=package, title=title, rung=rung)  # fmt: skip
+        self.tape.write(
+            "setup",
+            host=self.name,
+            id=id,
+            key=key,
+            gateway=gateway.partition(".")[0],
+            package=package,
+            title=title,
+            rung=rung,
+        )
         gone = Event(self.loop)
         request.hung_up(lambda: gone.set("gone"))
         try:
@@ -155,8 +187,18 @@
         self.tape.write("setup_gone", id=id)
         raise NoAnswer(drop)
 
-    def _setting_up(self, request: Request, now: float, id: str, key: str, gateway: str, package: str,
-                    title: str, rung: int, gone: Event) -> tuple[Response | None, str | None]:  # fmt: skip
+    def _setting_up(
+        self,
+        request: Request,
+        now: float,
+        id: str,
+        key: str,
+        gateway: str,
+        package: str,
+        title: str,
+        rung: int,
+        gone: Event,
+    ) -> tuple[Response | None, str | None]:
         t = self.troubles
         stood = self.places.take(now)
         if not stood:
@@ -308,16 +350,20 @@
         if now - self.shown[0] > self.habits.refresh:
             self.shown = now, self.habits.reported(self.chance, self.delivery)
         d = self.shown[1]
-        return ("Endpoint-Load-Metrics", f"TEXT application_utilization={min(1.0, d.link):.4f}, "
-                f"named_metrics.inflight={len(self.sessions)}, named_metrics.x0={d.link:.4f}, "
-                f"named_metrics.x1={d.uplink:.4f}")  # fmt: skip
+        return (
+            "Endpoint-Load-Metrics",
+            f"TEXT application_utilization={min(1.0, d.link):.4f}, "
+            f"named_metrics.inflight={len(self.sessions)}, named_metrics.x0={d.link:.4f}, "
+            f"named_metrics.x1={d.uplink:.4f}",
+        )
 
     # ---- what plays ----------------------------------------------------------------------------------------
 
     def asked_kb(self) -> float:
         """What its viewings ask of its link now, in kB a second."""
-        kb = sum(self.rates[s.rung] * self.scales.get(s.package, 1.0) * s.factor
-                 for s in self.sessions.values())  # fmt: skip
+        kb = sum(
+            self.rates[s.rung] * self.scales.get(s.package, 1.0) * s.factor for s in self.sessions.values()
+        )
         return kb * self.habits.swung(self.name, time.monotonic())
 
     def _drop(self, session: Session) -> None:
--- a/ledgehitch/standins/network.py
+++ b/ledgehitch/standins/network.py
@@ -9,8 +9,9 @@
 
 
 class PeerNetwork:
-    def __init__(self, loop: Loop, routes: dict[str, tuple[Endpoint, Endpoint]], delay: float, loss: float,
-                 seed: int) -> None:  # fmt: skip
+    def __init__(
+        self, loop: Loop, routes: dict[str, tuple[Endpoint, Endpoint]], delay: float, loss: float, seed: int
+    ) -> None:
         """`routes`: for each gateway where others send to, and where it hears."""
         self.loop, self.delay, self.loss = loop, delay, loss
         self.lost_more = 0.0  # what a trouble adds to the loss
--- a/ledgehitch/standins/plan.py
+++ b/ledgehitch/standins/plan.py
@@ -26,11 +26,16 @@
     racks = max(1, -(-shape.hosts // shape.rack))
     list_at = f"127.0.0.1:{next(port)}"
     gateways = [
-        {"name": f"g{i}", "at": f"127.0.0.1:{next(port)}", "zone": f"z{i % shape.zones}",
-         "peer_at": f"127.0.0.1:{next(port)}", "peer_via": f"127.0.0.1:{next(port)}",
-         "reports_at": f"127.0.0.1:{next(port)}" if day.reporting.beside else ""}
+        {
+            "name": f"g{i}",
+            "at": f"127.0.0.1:{next(port)}",
+            "zone": f"z{i % shape.zones}",
+            "peer_at": f"127.0.0.1:{next(port)}",
+            "peer_via": f"127.0.0.1:{next(port)}",
+            "reports_at": f"127.0.0.1:{next(port)}" if day.reporting.beside else "",
+        }
         for i in range(shape.gateways)
-    ]  # fmt: skip
+    ]
     hosts = [
         {
             "name": f"h{i}",
--- a/ledgehitch/standins/service.py
+++ b/ledgehitch/standins/service.py
@@ -95,7 +95,10 @@
         earned = full * cut if in_time else 0.0
         s.book(int(at), asked, earned)
         if earned < asked:
-            for cause, worth in (("rung", asked - full), ("short", full * (1 - cut) * in_time),
-                                 ("late", full * (not in_time))):  # fmt: skip
+            for cause, worth in (
+                ("rung", asked - full),
+                ("short", full * (1 - cut) * in_time),
+                ("late", full * (not in_time)),
+            ):
                 if worth > 0:
                     s.lost[cause] = s.lost.get(cause, 0.0) + worth
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -185,16 +185,27 @@
             got = self._ask(v, *other, body, patience, v.impatient_after)()
         return replace(got, kind="blocked") if got.kind == "moved" else got
 
-    def _ask(self, v: Visit, name: str, at: Endpoint, body: bytes, patience: float,
-             leaves_after: float | None, ticket: str = "") -> Callable[[], Got]:  # fmt: skip
+    def _ask(
+        self,
+        v: Visit,
+        name: str,
+        at: Endpoint,
+        body: bytes,
+        patience: float,
+        leaves_after: float | None,
+        ticket: str = "",
+    ) -> Callable[[], Got]:
         self._conns += 1
         conn = self._conns
         who = f"viewer-{self.seed}-{v.number}"
         head = [
-            f"POST /{v.method}/{v.package}/{v.title}?top={v.top} HTTP/1.1", f"Host: {at}",
-            "Content-Type: application/sdp", f"Authorization: Bearer {who}", f"Prefer: wait={patience:g}",
+            f"POST /{v.method}/{v.package}/{v.title}?top={v.top} HTTP/1.1",
+            f"Host: {at}",
+            "Content-Type: application/sdp",
+            f"Authorization: Bearer {who}",
+            f"Prefer: wait={patience:g}",
             f"Content-Length: {len(body)}",
-        ]  # fmt: skip
+        ]
         if ticket:
             head.append(f"Return-Ticket: {ticket}")
         whole = "\r\n".join(head).encode() + b"\r\n\r\n" + body
@@ -211,8 +222,17 @@
                 stream.close()
                 return Got("nobody")
             sent = time.monotonic()
-            self.tape.write("ask", conn=conn, who=who, package=v.package, title=v.title, gateway=name,
-                            patience=patience, method=v.method, offer=body[:40].hex())  # fmt: skip
+            self.tape.write(
+                "ask",
+                conn=conn,
+                who=who,
+                package=v.package,
+                title=v.title,
+                gateway=name,
+                patience=patience,
+                method=v.method,
+                offer=body[:40].hex(),
+            )
             try:
                 return self._await(stream, conn, sent, patience, leaves_after)
             finally:
@@ -241,14 +261,21 @@
         advice = float(response.header("retry-after") or 0)
         kind = KINDS.get(response.status, "other")
         extra = 0 if stream.quiet() or stream.ended() else 1
-        self.tape.write("answer", conn=conn, status=response.status, kind=kind, extra=extra,
-                        resource=response.header("location") or "")  # fmt: skip
+        self.tape.write(
+            "answer",
+            conn=conn,
+            status=response.status,
+            kind=kind,
+            extra=extra,
+            resource=response.header("location") or "",
+        )
         return Got(kind, response, advice, response.header("return-ticket") or "")
 
     # ---- watching ------------------------------------------------------------------------------------------
 
-    def _watch(self, v: Visit, response: Response, wanted: float, in_time: bool, place: float,
-               took: float) -> bool:  # fmt: skip
+    def _watch(
+        self, v: Visit, response: Response, wanted: float, in_time: bool, place: float, took: float
+    ) -> bool:
         """Watches so long, or until it breaks or is given up; whether the viewer is content to go. `took`:
         seconds from asking to the answer."""
         ufrag, media = media_of(response.body.decode("utf-8", "replace"))
--- a/ledgehitch/standins/wires.py
+++ b/ledgehitch/standins/wires.py
@@ -79,15 +79,30 @@
                 self.seen("out", sender, data)
             loan = self._of_budgets(data)
             if loan is not None and loan.kind == "want":
-                self.tape.write("want", who=names[sender], to=name, term=loan.term, life=loan.life,
-                                sequence=loan.sequence, number=loan.number)  # fmt: skip
+                self.tape.write(
+                    "want",
+                    who=names[sender],
+                    to=name,
+                    term=loan.term,
+                    life=loan.life,
+                    sequence=loan.sequence,
+                    number=loan.number,
+                )
 
             def hand_over(data: bytes = data, loan: Loan | None = loan, sender: int = sender) -> None:
                 self._on_their_way -= 1
                 if loan is not None and loan.kind == "lent":
-                    self.tape.write("lent", who=names[sender], to=name, term=loan.term, life=loan.life,
-                                    sequence=loan.sequence, number=loan.number, seconds=loan.seconds,
-                                    loans=loan.loans)  # fmt: skip
+                    self.tape.write(
+                        "lent",
+                        who=names[sender],
+                        to=name,
+                        term=loan.term,
+                        life=loan.life,
+                        sequence=loan.sequence,
+                        number=loan.number,
+                        seconds=loan.seconds,
+                        loans=loan.loans,
+                    )
                 if self.seen is not None:
                     self.seen("in", number, data)
                 socket.send(data, to)
@@ -121,8 +136,17 @@
     def _call(self, name: str, to: str, request: Request) -> Response:
         self.steps += 1
         step = Step(self.steps, name, request)
-        self.tape.write("step", id=step.id, owner=step.owner, to=name, path=step.path, duty=step.duty,
-                        term=step.term, then=step.then, ticket=step.ticket)  # fmt: skip
+        self.tape.write(
+            "step",
+            id=step.id,
+            owner=step.owner,
+            to=name,
+            path=step.path,
+            duty=step.duty,
+            term=step.term,
+            then=step.then,
+            ticket=step.ticket,
+        )
         while self.held(step):
             self.waiting.append(step)
             news = self._let_go
@@ -141,12 +165,21 @@
             self.tape.write("step_out", id=step.id, status=-1)  # it may have been carried out
             raise NoAnswer("no whole answer") from None
         told = _body(answer.body)
-        self.tape.write("step_out", id=step.id, status=answer.status, boot=told.get("boot", ""),
-                        started_by=told.get("started_by", ""), phase=told.get("phase", ""))  # fmt: skip
+        self.tape.write(
+            "step_out",
+            id=step.id,
+            status=answer.status,
+            boot=told.get("boot", ""),
+            started_by=told.get("started_by", ""),
+            phase=told.get("phase", ""),
+        )
         if step.owner and not self.cuts.open(name, step.owner):
             raise NoAnswer("cut on its way back")
-        fields = [(k, v) for k in ("known-term", "owner", "admin-version", "content-type")
-                  if (v := answer.header(k))]  # fmt: skip
+        fields = [
+            (k, v)
+            for k in ("known-term", "owner", "admin-version", "content-type")
+            if (v := answer.header(k))
+        ]
         return Response(answer.status, fields, answer.body)
 
     def let_go(self) -> None:
--- a/ledgehitch/standins/world.py
+++ b/ledgehitch/standins/world.py
@@ -26,9 +26,19 @@
 
 
 class World:
-    def __init__(self, loop: Loop, site: Site, habits: Habits, tape: Tape, seed: int, fresh: bool = False,
-                 link_kb: float = 0.0, list_delay: float = 0.5, peer_delay: float = 0.01,
-                 peer_loss: float = 0.0) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        site: Site,
+        habits: Habits,
+        tape: Tape,
+        seed: int,
+        fresh: bool = False,
+        link_kb: float = 0.0,
+        list_delay: float = 0.5,
+        peer_delay: float = 0.01,
+        peer_loss: float = 0.0,
+    ) -> None:
         self.loop, self.site, self.habits, self.tape, self.seed = loop, site, habits, tape, seed
         self.chance = random.Random(f"{seed}/world")
         self.fabric = Fabric()
@@ -39,23 +49,58 @@
         self.media = Datagrams(loop, ANY)
         self.born = 0
         self.faults = Faults(self, self.chance)
-        routes = {g.name: (endpoint(g.peer_via), endpoint(g.peer_at)) for g in site.gateways
-                  if g.peer_via and g.peer_at}  # fmt: skip
+        routes = {
+            g.name: (endpoint(g.peer_via), endpoint(g.peer_at))
+            for g in site.gateways
+            if g.peer_via and g.peer_at
+        }
         self.network = PeerNetwork(loop, routes, peer_delay, peer_loss, seed)
         for rack in range(site.fleet.racks):
             self.fabric.uplinks[rack] = Link(site.fleet.uplink_kb)
         for record in site.hosts:
             kb = link_kb or record.weight * site.fleet.link_unit_kb
-            self._add(record.name, endpoint(record.at), record.cell, record.kind, record.zone,
-                      record.weight, kb, fresh, at_once=True)  # fmt: skip
+            self._add(
+                record.name,
+                endpoint(record.at),
+                record.cell,
+                record.kind,
+                record.zone,
+                record.weight,
+                kb,
+                fresh,
+                at_once=True,
+            )
         loop.spawn(self._beat, name="links")
         loop.spawn(self._hear_viewers, name="viewers' signs")
 
-    def _add(self, name: str, at: Endpoint, cell: int, kind: str, zone: str, weight: float, kb: float,
-             cold: bool, at_once: bool = False) -> MediaHost:  # fmt: skip
-        host = MediaHost(self.loop, name, at, cell, kind, zone, weight, self.rates, self.scales,
-                         lambda: places_of(self.site, kind), self.habits, self.tape, self.seed,
-                         str(self.media.at))  # fmt: skip
+    def _add(
+        self,
+        name: str,
+        at: Endpoint,
+        cell: int,
+        kind: str,
+        zone: str,
+        weight: float,
+        kb: float,
+        cold: bool,
+        at_once: bool = False,
+    ) -> MediaHost:
+        host = MediaHost(
+            self.loop,
+            name,
+            at,
+            cell,
+            kind,
+            zone,
+            weight,
+            self.rates,
+            self.scales,
+            lambda: places_of(self.site, kind),
+            self.habits,
+            self.tape,
+            self.seed,
+            str(self.media.at),
+        )
         self.hosts[name] = host
         self.fabric.links[name] = Link(kb)
         self.fabric.rack_of[name] = cell % max(1, self.site.fleet.racks)
@@ -129,8 +174,16 @@
             old.stop()
         self.listed(old, "terminated")
         self.born += 1
-        self._add(f"s{self.born}x", ANY, old.cell, old.kind, old.zone, old.weight,
-                  self.fabric.links[name].kb, cold=True)  # fmt: skip
+        self._add(
+            f"s{self.born}x",
+            ANY,
+            old.cell,
+            old.kind,
+            old.zone,
+            old.weight,
+            self.fabric.links[name].kb,
+            cold=True,
+        )
 
     # ---- control -------------------------------------------------------------------------------------------
 
@@ -159,6 +212,13 @@
         raise Refused(404, "nothing there")
 
     def figures(self) -> dict[str, Any]:
-        return {n: {"up": h.up, "viewings": len(h.sessions), "share": round(h.delivery.share, 3),
-                    "link": round(h.delivery.link, 3), "uplink": round(h.delivery.uplink, 3)}
-                for n, h in sorted(self.hosts.items())}  # fmt: skip
+        return {
+            n: {
+                "up": h.up,
+                "viewings": len(h.sessions),
+                "share": round(h.delivery.share, 3),
+                "link": round(h.delivery.link, 3),
+                "uplink": round(h.delivery.uplink, 3),
+            }
+            for n, h in sorted(self.hosts.items())
+        }
--- a/tests/explore_budgets.py
+++ b/tests/explore_budgets.py
@@ -71,11 +71,28 @@
 COUNTS_OVER = Corner(unit=COUNT, doubles=False)
 COUNTS_DIE = COUNTS._replace(crashers=frozenset({1, 2}))
 # The own thing of 0 goes to the newcomer, 2.
-LISTS = ALONE._replace(unit=COUNT, former=NAMES[:2], lenders=(1,), borrowers=(0, 2), asks=2, ends=5.0,
-                       crashers=frozenset({0, 2}), doubles=False, most_wire=1)  # fmt: skip
-CORNERS = {"take-over": TAKE_OVER, "given up": GIVEN_UP, "clocks": CLOCKS, "crossed": CROSSED,
-           "crashes": CRASHES, "counts": COUNTS, "counts taken over": COUNTS_OVER,
-           "counts, crashes": COUNTS_DIE, "counts, a longer list": LISTS}  # fmt: skip
+LISTS = ALONE._replace(
+    unit=COUNT,
+    former=NAMES[:2],
+    lenders=(1,),
+    borrowers=(0, 2),
+    asks=2,
+    ends=5.0,
+    crashers=frozenset({0, 2}),
+    doubles=False,
+    most_wire=1,
+)
+CORNERS = {
+    "take-over": TAKE_OVER,
+    "given up": GIVEN_UP,
+    "clocks": CLOCKS,
+    "crossed": CROSSED,
+    "crashes": CRASHES,
+    "counts": COUNTS,
+    "counts taken over": COUNTS_OVER,
+    "counts, crashes": COUNTS_DIE,
+    "counts, a longer list": LISTS,
+}
 
 LENT = ("1 asks all", "arrives: want", "0 sends", "arrives: lent")
 OTHER = ("2 asks all", "arrives: want", "0 sends")
@@ -85,26 +102,57 @@
     "loan counted from the answer": ("crossed", ("1 asks all", "arrives: want", "time", "0 sends")),
     "no allowance for clocks": ("clocks", LENT),
     "a new owner lends at once": ("take-over", ("time", *LENT, "time", "1 wins")),
-    "a borrower ignores terms": ("given up", (
-        "1 asks all", "arrives: want", "0 gives up", "1 wins", "0 sends", "0 asks nothing",
-        "arrives: want 0, 0", "1 sends", "lost: lent 1, 1", "1 asks nothing", "arrives: want 0, 1", "1 sends",
-        "lost: lent 2, 1")),
-    "given back is counted twice": ("counts", (
-        *LENT, "1 spends", *OTHER, "arrives: lent", *LESS, "arrives: lent", *LESS, "lost: lent")),
+    "a borrower ignores terms": (
+        "given up",
+        (
+            "1 asks all",
+            "arrives: want",
+            "0 gives up",
+            "1 wins",
+            "0 sends",
+            "0 asks nothing",
+            "arrives: want 0, 0",
+            "1 sends",
+            "lost: lent 1, 1",
+            "1 asks nothing",
+            "arrives: want 0, 1",
+            "1 sends",
+            "lost: lent 2, 1",
+        ),
+    ),
+    "given back is counted twice": (
+        "counts",
+        (*LENT, "1 spends", *OTHER, "arrives: lent", *LESS, "arrives: lent", *LESS, "lost: lent"),
+    ),
     "a new life takes the place of the last": (
-        "counts, crashes", (*LENT, "1 spends", "1 crashes", "1 starts")),
+        "counts, crashes",
+        (*LENT, "1 spends", "1 crashes", "1 starts"),
+    ),
     "the own part is lent as well": ("crossed", ()),
     "a thing is lent that is somebody's own": ("counts", ()),
     "every gateway rounds its own part up": ("counts", ()),
     "a new life has its own things at once": ("counts, crashes", ("2 spends", "2 crashes", *LENT)),
     "own things by the new list alone": ("counts, a longer list", ()),
-    "what comes with a list is had at once": ("counts, a longer list", (
-        "2 asks all", "arrives: want", "1 sends", "arrives: lent", "0 spends", "0 crashes", "0 starts")),
+    "what comes with a list is had at once": (
+        "counts, a longer list",
+        ("2 asks all", "arrives: want", "1 sends", "arrives: lent", "0 spends", "0 crashes", "0 starts"),
+    ),
     "a loan is spent without a look at the clock": ("crossed", (*LENT, "time", "time")),
-    "an overtaken loan is taken": ("crossed", (
-        "1 asks all", "arrives: want", "0 sends", *OTHER, "lost: lent 2", *LESS, "arrives: lent 3", *LESS,
-        "lost: lent 4")),
-}  # fmt: skip
+    "an overtaken loan is taken": (
+        "crossed",
+        (
+            "1 asks all",
+            "arrives: want",
+            "0 sends",
+            *OTHER,
+            "lost: lent 2",
+            *LESS,
+            "arrives: lent 3",
+            *LESS,
+            "lost: lent 4",
+        ),
+    ),
+}
 
 
 @dataclass
@@ -139,15 +187,37 @@
 
     def key(self) -> tuple[object, ...]:
         return (
-            self.breach, self.now, self.wire, self.out, self.lingers, self.owner, self.lease, self.term,
-            tuple(self.prepared), tuple(self.lives), tuple(self.asked),
-            tuple(b and (b.term, b.number, b.loans, b.until, tuple(b._asked.items()))
-                  for b in self.borrowers),
-            tuple(x and (x.term, x._number, tuple(x.waits), tuple(sorted(x.silent)), repr(x.wanted),
-                         repr(x.targets), repr(sorted(x.ledger.takers.items())), repr(x.ledger.pool),
-                         repr([(t._began, t._waits) for t in x.turns])) for x in self.lenders),
+            self.breach,
+            self.now,
+            self.wire,
+            self.out,
+            self.lingers,
+            self.owner,
+            self.lease,
+            self.term,
+            tuple(self.prepared),
+            tuple(self.lives),
+            tuple(self.asked),
+            tuple(
+                b and (b.term, b.number, b.loans, b.until, tuple(b._asked.items())) for b in self.borrowers
+            ),
+            tuple(
+                x
+                and (
+                    x.term,
+                    x._number,
+                    tuple(x.waits),
+                    tuple(sorted(x.silent)),
+                    repr(x.wanted),
+                    repr(x.targets),
+                    repr(sorted(x.ledger.takers.items())),
+                    repr(x.ledger.pool),
+                    repr([(t._began, t._waits) for t in x.turns]),
+                )
+                for x in self.lenders
+            ),
             tuple((own.lists, own._listed_at, own._began, tuple(own._before.items())) for own in self.owns),
-        )  # fmt: skip
+        )
 
     def part(self, me: int) -> int:
         """What it may spend now, without its knowing that it was looked at."""
--- a/tests/explore_owners.py
+++ b/tests/explore_owners.py
@@ -64,16 +64,50 @@
 GIVEN = Corner(gives_back=True, rates=SLOW, terms=3, ends=2.0)
 LOST = Corner(empty=frozenset({2}), rates=SLOW, terms=2, ends=6.0, doubles=False)
 OLD = LOST._replace(empty=frozenset(), stale=frozenset({2}))
-CHANGE = Corner(rates=(1.0,) * 5, standing=frozenset({0, 2}), changes=frozenset({1, 2}), longer=5,
-                effects=False, ends=5.0, terms=2)  # fmt: skip
-CORNERS = {"leases": LEASES, "crashes": CRASHES, "fences": FENCES, "given back": GIVEN, "lost": LOST,
-           "old": OLD, "change": CHANGE}  # fmt: skip
+CHANGE = Corner(
+    rates=(1.0,) * 5,
+    standing=frozenset({0, 2}),
+    changes=frozenset({1, 2}),
+    longer=5,
+    effects=False,
+    ends=5.0,
+    terms=2,
+)
+CORNERS = {
+    "leases": LEASES,
+    "crashes": CRASHES,
+    "fences": FENCES,
+    "given back": GIVEN,
+    "lost": LOST,
+    "old": OLD,
+    "change": CHANGE,
+}
 
 ELECTED = ("0 stands, 1", "0 asks 1", "arrives: ask", "arrives: grant")
-SECOND = ("1 stands, 1", "1 asks 2", "arrives: ask", "arrives: grant", "1 checks", "1 acts",
-          "arrives: effect")  # fmt: skip
-ACTED = ("0 stands, 2", "0 asks 2", "arrives: ask", "arrives: grant", "0 checks", "0 acts", "arrives: effect",
-         "2 crashes", "time", "time", "2 starts", "time", "time")  # fmt: skip
+SECOND = (
+    "1 stands, 1",
+    "1 asks 2",
+    "arrives: ask",
+    "arrives: grant",
+    "1 checks",
+    "1 acts",
+    "arrives: effect",
+)
+ACTED = (
+    "0 stands, 2",
+    "0 asks 2",
+    "arrives: ask",
+    "arrives: grant",
+    "0 checks",
+    "0 acts",
+    "arrives: effect",
+    "2 crashes",
+    "time",
+    "time",
+    "2 starts",
+    "time",
+    "time",
+)
 # Planted faults: the corner in which each shows, and the steps that lead near it where it lies deep.
 PLANTED: dict[str, tuple[str, tuple[str, ...]]] = {
     "votes are not on disk": ("crashes", ("0 stands, 1", "0 asks 2", *ELECTED[2:], "2 crashes", "2 starts")),
@@ -109,22 +143,49 @@
 
     def copied(self) -> "World":
         return World(
-            self.corner, self.spoilt, self.now, [m and _memory(m) for m in self.members],
-            [one and _lease(one) for one in self.leases], list(self.checked), list(self.disks), self.first,
-            list(self.lives), self.wire, self.taken, self.breach,
-        )  # fmt: skip
+            self.corner,
+            self.spoilt,
+            self.now,
+            [m and _memory(m) for m in self.members],
+            [one and _lease(one) for one in self.leases],
+            list(self.checked),
+            list(self.disks),
+            self.first,
+            list(self.lives),
+            self.wire,
+            self.taken,
+            self.breach,
+        )
 
     def key(self) -> tuple[object, ...]:
         return (
-            self.breach, self.now, self.wire, self.taken, tuple(self.checked), tuple(self.lives),
-            tuple(m and (
-                m.voters[DUTY].term, m.voters[DUTY].member, m.voters[DUTY].until, m.fence.known(DUTY),
-                m.lists.former, m.votes_from, m.confirmed, m.intact, tuple(sorted(m.answers)),
-                tuple(sorted(m.on_new)), m.settles_at, m.life,
-            ) for m in self.members),
+            self.breach,
+            self.now,
+            self.wire,
+            self.taken,
+            tuple(self.checked),
+            tuple(self.lives),
+            tuple(
+                m
+                and (
+                    m.voters[DUTY].term,
+                    m.voters[DUTY].member,
+                    m.voters[DUTY].until,
+                    m.fence.known(DUTY),
+                    m.lists.former,
+                    m.votes_from,
+                    m.confirmed,
+                    m.intact,
+                    tuple(sorted(m.answers)),
+                    tuple(sorted(m.on_new)),
+                    m.settles_at,
+                    m.life,
+                )
+                for m in self.members
+            ),
             tuple(x and (x.term, tuple(sorted(x.asked_at.items())), x.ended) for x in self.leases),
             tuple(repr(d) for d in self.disks),
-        )  # fmt: skip
+        )
 
     def safe(self) -> bool:
         """Looks at copies: looking ends no lease."""
@@ -242,8 +303,20 @@
                 known = m.greeted_by(str(x.sender), x.life, x.nonce)
                 self.keep(x.to)
                 sound = m.intact or (m.confirmed and not m.begun)
-                self.wire += (Message("greeted", x.to, x.sender, max(m.terms()), 0.0, m.lists.digests(),
-                                      m.life, x.nonce, sound, known),)  # fmt: skip
+                self.wire += (
+                    Message(
+                        "greeted",
+                        x.to,
+                        x.sender,
+                        max(m.terms()),
+                        0.0,
+                        m.lists.digests(),
+                        m.life,
+                        x.nonce,
+                        sound,
+                        known,
+                    ),
+                )
             case "greeted":
                 if x.nonce == m.nonce:
                     m.answered(now, str(x.sender), x.known, x.sound, (x.term,))
--- a/tests/explore_regions.py
+++ b/tests/explore_regions.py
@@ -30,8 +30,10 @@
 
 def version(north: float, south: float, in_north: int = 2, both: int = 0) -> tuple[Region, ...]:
     """`both`: gateways that are in both regions, a fault."""
-    return (Region("north", int(north * WHOLE), NAMES[: in_north + both]),
-            Region("south", int(south * WHOLE), NAMES[in_north:]))  # fmt: skip
+    return (
+        Region("north", int(north * WHOLE), NAMES[: in_north + both]),
+        Region("south", int(south * WHOLE), NAMES[in_north:]),
+    )
 
 
 EVEN = version(0.5, 0.5)
@@ -63,10 +65,24 @@
 LOST = Corner(empty=frozenset({0, 1}), starts=frozenset({0, 1, 3}), hears=frozenset({0}))
 BACK = Corner(backwards=True, lives=3, starts=frozenset({0, 2, 3}), ends=4.0)
 FIRST = Corner(versions=(NONE, EVEN), standing=frozenset({0, 2}), for_all=frozenset({0}), ends=4.0)
-OWNED = Corner(versions=(EVEN,), standing=frozenset({0, 1, 2}), for_all=frozenset({0, 2}),
-               starts=frozenset({1}), hears=frozenset(), ends=4.0)  # fmt: skip
-CORNERS = {"raise": RAISE, "clocks": CLOCKS, "move": MOVE, "forget": FORGET, "lost": LOST, "back": BACK,
-           "first": FIRST, "owned": OWNED}  # fmt: skip
+OWNED = Corner(
+    versions=(EVEN,),
+    standing=frozenset({0, 1, 2}),
+    for_all=frozenset({0, 2}),
+    starts=frozenset({1}),
+    hears=frozenset(),
+    ends=4.0,
+)
+CORNERS = {
+    "raise": RAISE,
+    "clocks": CLOCKS,
+    "move": MOVE,
+    "forget": FORGET,
+    "lost": LOST,
+    "back": BACK,
+    "first": FIRST,
+    "owned": OWNED,
+}
 
 NORTH_STARTS = ("0 starts by 1", "1 starts by 1")
 NORTH_LENDS = ("0 stands for b", "0 asks 1 for b", "0 checks", "0 lends")
@@ -79,15 +95,23 @@
     "the majority of all counted over the region": ("owned", ("0 stands for a",)),
     "the larger share at once": ("raise", (*NORTH_STARTS, *NORTH_LENDS, "2 stands")),
     "raised before the other region goes by it": ("raise", (*NORTH_STARTS, "0 hears 1", *NORTH_LENDS)),
-    "raised before what was lent is over": ("raise", (*NORTH_STARTS, *SOUTH_LENDS, "3 starts by 1",
-                                                      "0 hears 3")),  # fmt: skip
-    "no allowance for clocks": ("clocks", (*NORTH_STARTS, *SOUTH_LENDS[:2], "3 starts by 1", "0 hears 3",
-                                           "time", "2 checks")),  # fmt: skip
+    "raised before what was lent is over": (
+        "raise",
+        (*NORTH_STARTS, *SOUTH_LENDS, "3 starts by 1", "0 hears 3"),
+    ),
+    "no allowance for clocks": (
+        "clocks",
+        (*NORTH_STARTS, *SOUTH_LENDS[:2], "3 starts by 1", "0 hears 3", "time", "2 checks"),
+    ),
     "forgotten at a restart": ("forget", ("0 starts by 1", "0 starts by 1")),
-    "nothing remembered counts as known": ("lost", ("0 starts by 1 without", "1 starts by 1 without",
-                                                    "time", "time")),
-    "both regions count the same gateway": ("move", ("0 starts by 1", "1 starts by 1", *SOUTH_KNOWS,
-                                                     *SOUTH_LENDS)),  # fmt: skip
+    "nothing remembered counts as known": (
+        "lost",
+        ("0 starts by 1 without", "1 starts by 1 without", "time", "time"),
+    ),
+    "both regions count the same gateway": (
+        "move",
+        ("0 starts by 1", "1 starts by 1", *SOUTH_KNOWS, *SOUTH_LENDS),
+    ),
 }
 
 
@@ -115,23 +139,58 @@
         return self.now * self.corner.rates[me]
 
     def copied(self) -> "World":
-        up = [Gateway({d: _memory(m) for d, m in g.scopes.items()},
-                      {d: x and _lease(x) for d, x in g.leases.items()}, g.region, g.checked)
-              for g in self.up]  # fmt: skip
-        return World(self.corner, self.spoilt, self.now, up, [dict(d) for d in self.disks], list(self.lives),
-                     list(self.runs), self.lent, self.breach)  # fmt: skip
+        up = [
+            Gateway(
+                {d: _memory(m) for d, m in g.scopes.items()},
+                {d: x and _lease(x) for d, x in g.leases.items()},
+                g.region,
+                g.checked,
+            )
+            for g in self.up
+        ]
+        return World(
+            self.corner,
+            self.spoilt,
+            self.now,
+            up,
+            [dict(d) for d in self.disks],
+            list(self.lives),
+            list(self.runs),
+            self.lent,
+            self.breach,
+        )
 
     def key(self) -> tuple[object, ...]:
         return (
-            self.breach, self.now, tuple(self.lives), tuple(self.runs), self.lent,
-            tuple((g.region, g.checked, *(
-                (v.term, v.member, v.until, m.lists, m.votes_from, m.settles_at, tuple(sorted(m.on_new)),
-                 m.shares and (m.shares.known, m.shares.free_at, m.shares.former))
-                for m in g.scopes.values() for v in m.voters.values()), *(
-                x and (x.term, tuple(sorted(x.asked_at.items())), x.ended) for x in g.leases.values()),
-            ) for g in self.up),
+            self.breach,
+            self.now,
+            tuple(self.lives),
+            tuple(self.runs),
+            self.lent,
+            tuple(
+                (
+                    g.region,
+                    g.checked,
+                    *(
+                        (
+                            v.term,
+                            v.member,
+                            v.until,
+                            m.lists,
+                            m.votes_from,
+                            m.settles_at,
+                            tuple(sorted(m.on_new)),
+                            m.shares and (m.shares.known, m.shares.free_at, m.shares.former),
+                        )
+                        for m in g.scopes.values()
+                        for v in m.voters.values()
+                    ),
+                    *(x and (x.term, tuple(sorted(x.asked_at.items())), x.ended) for x in g.leases.values()),
+                )
+                for g in self.up
+            ),
             tuple(repr(d) for d in self.disks),
-        )  # fmt: skip
+        )
 
     def safe(self) -> bool:
         """Looks at copies: looking ends no lease."""
@@ -175,8 +234,9 @@
         scopes = {ALL: self._begins(me, (ALL,), NAMES, disk.get(ALL), digest_of(regions), "", promise)}
         # Without regions the duty of a region is one of all, which is kept with them.
         file = OWN if regions else f"{OWN} of all"
-        scopes[OWN] = self._begins(me, (OWN,), region.gateways, disk.get(file), digest_of(regions),
-                                   region.name, promise)  # fmt: skip
+        scopes[OWN] = self._begins(
+            me, (OWN,), region.gateways, disk.get(file), digest_of(regions), region.name, promise
+        )
         m = scopes[ALL]
         waits = bool(m.lists.former) and m.lists.regions != digest_of(regions)
         held = disk[ALL].get("shares") if disk.get(ALL) else None
@@ -196,8 +256,16 @@
         self.looks(me)
         self.keep(me)
 
-    def _begins(self, me: int, duties: tuple[str, ...], names: tuple[str, ...], held: Any, regions: str,
-                scope: str, promise: float) -> Memory:  # fmt: skip
+    def _begins(
+        self,
+        me: int,
+        duties: tuple[str, ...],
+        names: tuple[str, ...],
+        held: Any,
+        regions: str,
+        scope: str,
+        promise: float,
+    ) -> Memory:
         now = self.clock(me)
         m = Memory(now, str(me), names, duties, LEASE, held, 0, promise, regions=regions, scope=scope)
         if not m.intact and self.up:
@@ -251,7 +319,8 @@
         assert lease is not None
         strange = here.scope != there.scope or not there.lists.covered_by(*here.lists.digests())
         careless = self._over_all(duty) or (
-            self.spoilt == "both regions count the same gateway" and duty == OWN and to == 1)  # fmt: skip
+            self.spoilt == "both regions count the same gateway" and duty == OWN and to == 1
+        )
         if strange and not careless or not there.votes(now):
             return False
         if not there.voters[duty].asked(now, lease.term, str(me)):
@@ -322,8 +391,9 @@
     promise = LEASE * (FAST if max(w.corner.rates) > 1 and w.spoilt != "no allowance for clocks" else 1.0)
     scopes = {}
     for duty, names, scope in ((ALL, NAMES, ""), (OWN, region.gateways, region.name)):
-        m = Memory(0.0, str(me), names, (duty,), LEASE, None, 0, promise, regions=digest_of(regions),
-                   scope=scope)  # fmt: skip
+        m = Memory(
+            0.0, str(me), names, (duty,), LEASE, None, 0, promise, regions=digest_of(regions), scope=scope
+        )
         m.intact = m.confirmed = True
         m.votes_from = 0.0
         scopes[duty] = m
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,11 +5,31 @@
 from ledgehitch.interface import Decision, Fleet, Ladder, Package, Row, Terms
 
 LADDER = Ladder((100.0, 200.0, 400.0, 800.0), (0.2, 0.5, 0.75, 1.0))
-FLEET = Fleet(cells=6, racks=2, link_unit_kb=1000, uplink_kb=4500, slots={"k": 30},
-              full_from=1.0, told_late=1.0, told_every=3.0, load_fields=("active", "x0"),
-              reports="piggyback")  # fmt: skip
-TERMS = Terms(zone="a", gateways=2, tune_ins=3, answer_slack=0.04, drain_grace=1.0, ask_within=10.0,
-              cold_share=0.4, warm_up=10.0, fall_multiple=3.0, fall_after=2.0, may_tell=True)  # fmt: skip
+FLEET = Fleet(
+    cells=6,
+    racks=2,
+    link_unit_kb=1000,
+    uplink_kb=4500,
+    slots={"k": 30},
+    full_from=1.0,
+    told_late=1.0,
+    told_every=3.0,
+    load_fields=("active", "x0"),
+    reports="piggyback",
+)
+TERMS = Terms(
+    zone="a",
+    gateways=2,
+    tune_ins=3,
+    answer_slack=0.04,
+    drain_grace=1.0,
+    ask_within=10.0,
+    cold_share=0.4,
+    warm_up=10.0,
+    fall_multiple=3.0,
+    fall_after=2.0,
+    may_tell=True,
+)
 PLAIN = Package("plain", 0.8, 3.0, top=3)
 
 
@@ -69,8 +89,10 @@
             case say.Block(vw, stay_away):
                 package = self.open.pop(vw)[0]
                 assert vw not in self.out, "rule 1: no answer while a tune-in is out"
-                assert vw not in self.ran or package.effect == "repeatable" or (
-                    package.effect == "by_key" and package.key_scope == "all"
+                assert (
+                    vw not in self.ran
+                    or package.effect == "repeatable"
+                    or (package.effect == "by_key" and package.key_scope == "all")
                 ), "rule 2: refused only if it never ran"
                 assert stay_away <= self.terms.longest_advice
             case say.Abort(vw):
@@ -83,8 +105,11 @@
         assert 0 < within <= patience - now + 1e-9, "rule 1: ends before patience"
         if vw in self.ran and package.effect != "repeatable":
             there, at = self.ran[vw]
-            same = {"all": True, "zone": self.rows[there].zone == self.rows[host].zone,
-                    "cell": self.rows[there].cell == self.rows[host].cell}  # fmt: skip
+            same = {
+                "all": True,
+                "zone": self.rows[there].zone == self.rows[host].zone,
+                "cell": self.rows[there].cell == self.rows[host].cell,
+            }
             assert package.effect == "by_key" and same[package.key_scope], "rule 2: group"
             assert now <= at + package.key_window, "rule 2: window"
         assert now <= self.told_gone.get(host, 1e18) + self.terms.drain_grace, "rule 3: drains"
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -27,10 +27,12 @@
 def site(hosts: int = 3, **more: Any) -> Site:
     """A small site of one gateway with free ports; `more` replaces parts of the site file."""
     raw = {
-        "name": "test", "length": 60.0, "arrivals": {"rate": 1.0, "mix": [{"package": "recorded"}]},
+        "name": "test",
+        "length": 60.0,
+        "arrivals": {"rate": 1.0, "mix": [{"package": "recorded"}]},
         "shape": {"gateways": 1, "hosts": hosts, "titles": 3, "rack": hosts, "link_kb": 1e6},
         "site": {part: msgspec.Raw(msgspec.json.encode(value)) for part, value in more.items()},
-    }  # fmt: skip
+    }
     return site_of(msgspec.convert(raw, Day), 1, free_ports(4))
 
 
@@ -112,8 +114,10 @@
     def run(self, call: Callable[["Rig"], Any]) -> Any:
         def main() -> Any:
             self.lists = ListService(self.loop, endpoint(self.site.list_at), Tape(None), 0.0, 1)
-            self.hosts = {h.name: Host(self, h.name, self.answers.get(h.name, self.answers.get("*")))
-                          for h in self.site.hosts}  # fmt: skip
+            self.hosts = {
+                h.name: Host(self, h.name, self.answers.get(h.name, self.answers.get("*")))
+                for h in self.site.hosts
+            }
             for record in self.site.hosts:
                 self.listed(record.name, "in_service")
             self.gateway = Running(self.loop, self.site, "g0", 1, self.directory, self.record, self.limits)
@@ -132,10 +136,19 @@
 
     def listed(self, name: str, state: str) -> None:
         record = next(h for h in self.site.hosts if h.name == name)
-        self.lists.set({
-            "host": name, "at": str(self.hosts[name].server.at), "cell": record.cell, "weight": 1.0,
-            "kind": "std", "zone": record.zone, "state": state, "started": 0.0,
-        }, at_once=True)  # fmt: skip
+        self.lists.set(
+            {
+                "host": name,
+                "at": str(self.hosts[name].server.at),
+                "cell": record.cell,
+                "weight": 1.0,
+                "kind": "std",
+                "zone": record.zone,
+                "state": state,
+                "started": 0.0,
+            },
+            at_once=True,
+        )
 
     def until(self, true: Callable[[], Any], within: float = 8.0) -> None:
         """Waits for something to become true; fails the test when it does not in a generous time."""
@@ -144,16 +157,28 @@
             assert time.monotonic() < end, "it never became true"
             self.loop.sleep(0.005)
 
-    def offer(self, number: int = 1, wait: float | None = None, token: str = "me", title: str = "clip-1",
-              **headers: str) -> Response:  # fmt: skip
+    def offer(
+        self,
+        number: int = 1,
+        wait: float | None = None,
+        token: str = "me",
+        title: str = "clip-1",
+        **headers: str,
+    ) -> Response:
         stream = self.ask(number, wait, token, title, **headers)
         try:
             return answer(stream)
         finally:
             stream.close()
 
-    def ask(self, number: int = 1, wait: float | None = None, token: str = "me", title: str = "clip-1",
-            **headers: str) -> Stream:  # fmt: skip
+    def ask(
+        self,
+        number: int = 1,
+        wait: float | None = None,
+        token: str = "me",
+        title: str = "clip-1",
+        **headers: str,
+    ) -> Stream:
         """Sends an offer over a connection of its own, and gives the connection."""
         stream = connect(self.loop, endpoint(self.at))
         stream.send(request(self.at, number, wait, token, title, more=headers))
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -46,8 +46,12 @@
 
 
 @settings(max_examples=200, derandomize=True)
-@given(st.integers(0, WHOLE), st.dictionaries(st.integers(0, 40), st.integers(0, WHOLE), max_size=12),
-       st.integers(0, WHOLE // 50), st.sampled_from([1, WHOLE // 20, WHOLE // 3]))  # fmt: skip
+@given(
+    st.integers(0, WHOLE),
+    st.dictionaries(st.integers(0, 40), st.integers(0, WHOLE), max_size=12),
+    st.integers(0, WHOLE // 50),
+    st.sampled_from([1, WHOLE // 20, WHOLE // 3]),
+)
 def test_what_is_divided_is_the_pool_and_nobody_who_asks_is_starved(
     pool: int, wanted: dict[int, int], own: int, grain: int
 ) -> None:
@@ -194,7 +198,10 @@
     settled = Lists(("a", "b"), own_part=0.2, former_own_part=0.9)
     tenth = (WHOLE // 10,)
     assert lent_by([RATE], settled, frozenset(), {"a": 0, "b": 1}) == (
-        {0: tenth, 1: tenth}, (WHOLE * 8 // 10,), {0, 1})  # fmt: skip
+        {0: tenth, 1: tenth},
+        (WHOLE * 8 // 10,),
+        {0, 1},
+    )
     changing = Lists(("a", "b"), ("a", "c", "d"), own_part=0.2, former_own_part=0.6)
     own, pool, members = lent_by([RATE], changing, frozenset({"d"}), {"a": 0, "b": 1})
     assert (own, pool) == ({0: tenth, 1: (0,)}, (WHOLE * 4 // 10,)) and members == {0, 1, NOBODYS}
@@ -263,8 +270,12 @@
             few.won(now)
             lease = now + chance.uniform(1.0, 12.0)
         for me, b in enumerate(few.borrowers):
-            words = b.asks(now, few.term, {unit.name: few.own[me] + out[me]},
-                           {unit.name: chance.choice([0, WHOLE // 5, WHOLE])})  # fmt: skip
+            words = b.asks(
+                now,
+                few.term,
+                {unit.name: few.own[me] + out[me]},
+                {unit.name: chance.choice([0, WHOLE // 5, WHOLE])},
+            )
             for _ in range(chance.choice([0, 1, 1, 1, 2]) if words is not None else 0):
                 wire.append((now + chance.random(), me, words))  # type: ignore[arg-type]
             if unit.unit == "count":
@@ -327,12 +338,27 @@
 # ---- what the tool makes of what gateways say --------------------------------------------------------------
 
 
-def said(own: float, loan: float, wanted: float, lends: list[dict[str, object]] | None = None,
-         alone: str = "") -> bytes:  # fmt: skip
-    one = {"own": int(own * WHOLE), "loan": int(loan * WHOLE), "wanted": int(wanted * WHOLE), "used": 0,
-           "unit": "rate"}  # fmt: skip
-    return msgspec.json.encode({"whole": WHOLE, "budgets": {"offers.live": one}, "loan_left": 1.0,
-                                "term": 3, "alone": alone, "lends": lends, "refused": {}})  # fmt: skip
+def said(
+    own: float, loan: float, wanted: float, lends: list[dict[str, object]] | None = None, alone: str = ""
+) -> bytes:
+    one = {
+        "own": int(own * WHOLE),
+        "loan": int(loan * WHOLE),
+        "wanted": int(wanted * WHOLE),
+        "used": 0,
+        "unit": "rate",
+    }
+    return msgspec.json.encode(
+        {
+            "whole": WHOLE,
+            "budgets": {"offers.live": one},
+            "loan_left": 1.0,
+            "term": 3,
+            "alone": alone,
+            "lends": lends,
+            "refused": {},
+        }
+    )
 
 
 def test_sums_are_told_as_they_are_and_what_does_not_add_up_is_named() -> None:
@@ -348,7 +374,10 @@
     over = read_said(said(0.0, 0.0, 0.0, [{**book, "lent": {"0": WHOLE}}], "nobody is known to lend"))
     assert isinstance(over, Told) and "has lent 1.0000 of 0.9000" in shares({"g0": over})[0].wrong
     lines = remarks({"g0": over}, [("g9", "timed out")])
-    assert lines == ["g9: silent, timed out", "g0: own parts alone: nobody is known to lend",
-                     "g0 lends under term 3"]  # fmt: skip
+    assert lines == [
+        "g9: silent, timed out",
+        "g0: own parts alone: nobody is known to lend",
+        "g0 lends under term 3",
+    ]
     for spoilt in (b"{", b"[]", said(0, 0, 0).replace(b'"own":0', b'"own":"all"')):
         assert "does not read" in str(read_said(spoilt))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -31,8 +31,16 @@
 
 
 def point(size: float, **figures: float) -> Point:
-    return Point(role="control", mechanism="membership", phase="quiet", size=size, size_unit="gateways",
-                 figures=figures, load1=1.5, seconds=10.0)  # fmt: skip
+    return Point(
+        role="control",
+        mechanism="membership",
+        phase="quiet",
+        size=size,
+        size_unit="gateways",
+        figures=figures,
+        load1=1.5,
+        seconds=10.0,
+    )
 
 
 def kept(*points: Point, command: str = "measure") -> Kept:
@@ -47,15 +55,22 @@
     assert read_all(tmp_path / "kept") == {"one": whole}
 
 
-@pytest.mark.parametrize(("old", "new", "told"), [
-    ('"load1":1.5,', '"load1":1.5,"more":1,', "points[1]: Object contains unknown field `more`"),
-    ('"size":200', '"size":0', "points[1].size: Expected `float` > 0.0"),
-    ('"role":"control"', '"role":"cook"', "points[1].role: Invalid enum value 'cook'"),
-    ('"cpu_s_per_s":0.25', '"cpu s":0.25', "- at `key` in `$.points[1].figures`"),
-    ('"cpu_s_per_s":0.25', "", "points[1].figures: Expected `object` of length >= 1"),
-    ('"cpu_s_per_s":0.25', '"cpu_s_per_s":NaN', "not JSON"),
-    ('"size_unit":"gateways"', '"size_unit":"rows"', "points[1].size_unit: 'rows', where an earlier point"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("old", "new", "told"),
+    [
+        ('"load1":1.5,', '"load1":1.5,"more":1,', "points[1]: Object contains unknown field `more`"),
+        ('"size":200', '"size":0', "points[1].size: Expected `float` > 0.0"),
+        ('"role":"control"', '"role":"cook"', "points[1].role: Invalid enum value 'cook'"),
+        ('"cpu_s_per_s":0.25', '"cpu s":0.25', "- at `key` in `$.points[1].figures`"),
+        ('"cpu_s_per_s":0.25', "", "points[1].figures: Expected `object` of length >= 1"),
+        ('"cpu_s_per_s":0.25', '"cpu_s_per_s":NaN', "not JSON"),
+        (
+            '"size_unit":"gateways"',
+            '"size_unit":"rows"',
+            "points[1].size_unit: 'rows', where an earlier point",
+        ),
+    ],
+)
 def test_what_is_wrong_in_a_kept_result_is_named_with_file_and_place(
     tmp_path: Path, old: str, new: str, told: str
 ) -> None:
@@ -106,10 +121,16 @@
     assert line.points == 4 and two_sizes_only(line)
 
 
-@pytest.mark.parametrize(("points", "told"), [
-    ([(100, 1.0)], ONE_POINT), ([(100, 1.0), (100, 3.0)], ONE_POINT), ([], "not measured"),
-    ([(1, 1.0), (2, math.nan)], "no number"), ([(1, 1.0), (math.inf, 2.0)], "no number"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("points", "told"),
+    [
+        ([(100, 1.0)], ONE_POINT),
+        ([(100, 1.0), (100, 3.0)], ONE_POINT),
+        ([], "not measured"),
+        ([(1, 1.0), (2, math.nan)], "no number"),
+        ([(1, 1.0), (math.inf, 2.0)], "no number"),
+    ],
+)
 def test_nothing_is_worked_out_from_one_size_or_from_no_number(
     points: list[tuple[float, float]], told: str
 ) -> None:
@@ -137,17 +158,24 @@
     assert {f.name: f.per_year for f in target.failures}["machine"] == 730
 
 
-@pytest.mark.parametrize(("old", "new", "told"), [
-    ('"changes_per_day": 2200', '"changes_per_day": 0', "changes_per_day: Expected `float` > 0.0"),
-    ('"shards": 110000', '"shards": 500', "shards: 500 are fewer than gateways"),
-    ('"largest_topic": 800000', '"largest_topic": 50000000', "largest_topic: 50000000 listeners are more"),
-    ('"regions": 2', '"regions": 7', "zones: 6 zones cannot make 7 regions"),
-    ('"zones": 6,', '"zones": 6, "halls": 2,', "unknown field `halls`"),
-    ('"name": "zone"', '"name": "rack"', "failures[3].name: 'rack' is named twice"),
-    ('"gateways": 92', '"gateways": 551', "failures[3].gateways: 551 are more than there are"),
-    ('"length_s": 3600', '"length_s": 9000000', "failures[4].length_s: they last longer than a year"),
-    ('"per_year": 730', '"per_year": -1', "failures[0].per_year: Expected `float` > 0.0"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("old", "new", "told"),
+    [
+        ('"changes_per_day": 2200', '"changes_per_day": 0', "changes_per_day: Expected `float` > 0.0"),
+        ('"shards": 110000', '"shards": 500', "shards: 500 are fewer than gateways"),
+        (
+            '"largest_topic": 800000',
+            '"largest_topic": 50000000',
+            "largest_topic: 50000000 listeners are more",
+        ),
+        ('"regions": 2', '"regions": 7', "zones: 6 zones cannot make 7 regions"),
+        ('"zones": 6,', '"zones": 6, "halls": 2,', "unknown field `halls`"),
+        ('"name": "zone"', '"name": "rack"', "failures[3].name: 'rack' is named twice"),
+        ('"gateways": 92', '"gateways": 551', "failures[3].gateways: 551 are more than there are"),
+        ('"length_s": 3600', '"length_s": 9000000', "failures[4].length_s: they last longer than a year"),
+        ('"per_year": 730', '"per_year": -1', "failures[0].per_year: Expected `float` > 0.0"),
+    ],
+)
 def test_what_is_wrong_in_the_target_is_named(tmp_path: Path, old: str, new: str, told: str) -> None:
     text, path = TARGET.read_text(), tmp_path / "target.json"
     assert text.count(old) == 1
@@ -212,15 +240,25 @@
 
 
 def failure_point(phase: str, **figures: float) -> Point:
-    return Point(role="owner", mechanism="budgets", phase=phase, size=6, size_unit="gateways",
-                 figures=figures, load1=1.0, seconds=60.0)  # fmt: skip
+    return Point(
+        role="owner",
+        mechanism="budgets",
+        phase=phase,
+        size=6,
+        size_unit="gateways",
+        figures=figures,
+        load1=1.0,
+        seconds=60.0,
+    )
 
 
 def test_failures_are_ordered_by_what_a_year_loses_and_the_first_without_a_mechanism_is_named() -> None:
     target = read_target(TARGET)
-    points = [failure_point("equal-split", after_15_s_share=0.25),
-              failure_point("one-killed", lost_gateway_s=11.0),
-              failure_point("restarted", lost_gateway_s=5.5)]  # fmt: skip
+    points = [
+        failure_point("equal-split", after_15_s_share=0.25),
+        failure_point("one-killed", lost_gateway_s=11.0),
+        failure_point("restarted", lost_gateway_s=5.5),
+    ]
     costs = costs_of(LOSSES, Book({"one": kept(*points)}), target)
     told = {c.failure.name: c.a_year for c in costs}
     assert told["regions-apart"] == pytest.approx(4 * 3600 * 0.75)
@@ -239,8 +277,10 @@
 
 def test_the_table_of_failures_says_what_is_missing_first_and_when_it_is_there() -> None:
     target = read_target(TARGET)
-    points = [failure_point("equal-split", after_15_s_share=0.0),
-              failure_point("restarted", lost_gateway_s=5.5)]  # fmt: skip
+    points = [
+        failure_point("equal-split", after_15_s_share=0.0),
+        failure_point("restarted", lost_gateway_s=5.5),
+    ]
     told = failures_table(Book({"one": kept(*points)}), target)
     assert "| none yet: regions |" in told and "**First missing mechanism: regions**, at 14,400 s" in told
     assert "comes first from 0.233 times a year on" in told  # 83,950 x 5.5 / 550 = 839.5 of 14,400, of 4
@@ -249,14 +289,25 @@
     assert "The first missing mechanism was **regions**; it is there now. Without it: 14,400 s" in told
     rows = [line for line in told.splitlines() if line.startswith("| re")]
     assert [row.split("|")[7].strip() for row in rows] == [
-        "regions, where it is not used", "restarts in order, loans", "regions: each side owns its duties"]
-
-
-@pytest.mark.parametrize(("low", "high", "now", "told"), [
-    (44.0, 78.0, 60.0, "confirmed"), (44.0, 78.0, 30.0, "confirmed"), (44.0, 78.0, 116.0, "confirmed"),
-    (44.0, 78.0, 156.0, "corrected: 2 times it"), (44.0, 78.0, 22.0, "corrected: 0.5 times it"),
-    (0.0, 0.0, 0.0, "confirmed"), (0.0, 0.0, 0.4, "corrected"), (1.0, 1.0, None, "not measured"),
-])  # fmt: skip
+        "regions, where it is not used",
+        "restarts in order, loans",
+        "regions: each side owns its duties",
+    ]
+
+
+@pytest.mark.parametrize(
+    ("low", "high", "now", "told"),
+    [
+        (44.0, 78.0, 60.0, "confirmed"),
+        (44.0, 78.0, 30.0, "confirmed"),
+        (44.0, 78.0, 116.0, "confirmed"),
+        (44.0, 78.0, 156.0, "corrected: 2 times it"),
+        (44.0, 78.0, 22.0, "corrected: 0.5 times it"),
+        (0.0, 0.0, 0.0, "confirmed"),
+        (0.0, 0.0, 0.4, "corrected"),
+        (1.0, 1.0, None, "not measured"),
+    ],
+)
 def test_a_figure_from_before_is_confirmed_corrected_or_not_measured(
     low: float, high: float, now: float | None, told: str
 ) -> None:
@@ -277,8 +328,10 @@
     shutil.copytree(DOCS / "capacity", docs / "capacity")
     shutil.copy2(DOCS / "CAPACITY.md", docs)
     before = (docs / "CAPACITY.md").read_text()
-    write_kept(docs / "capacity" / "kept" / "zz.json",
-               kept(point(100, bytes_per_s=1e3), point(200, bytes_per_s=2e3), command="another"))  # fmt: skip
+    write_kept(
+        docs / "capacity" / "kept" / "zz.json",
+        kept(point(100, bytes_per_s=1e3), point(200, bytes_per_s=2e3), command="another"),
+    )
     assert not written(docs, check=True) and (docs / "CAPACITY.md").read_text() == before
     assert not written(docs) and written(docs, check=True)
     assert "`another`" in (docs / "CAPACITY.md").read_text()
@@ -288,14 +341,17 @@
     assert not written(docs, check=True)
 
 
-@pytest.mark.parametrize(("page", "told"), [
-    ("<!-- made: a -->\n<!-- made: b -->\n", "p:2: 'a' has no"),
-    ("<!-- made: a -->\n", "'a' has no"),
-    ("<!-- made: c -->\n<!-- made until here -->\n", "p:1: no table is called 'c': a, b"),
-    ("<!-- made: a -->\n<!-- made until here -->\n" * 2, "p:3: 'a' is there twice"),
-    ("<!-- made until here -->\n", "p:1: an end without a mark"),
-    ("<!-- made: a -->\n<!-- made until here -->\n", "no mark for b"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("page", "told"),
+    [
+        ("<!-- made: a -->\n<!-- made: b -->\n", "p:2: 'a' has no"),
+        ("<!-- made: a -->\n", "'a' has no"),
+        ("<!-- made: c -->\n<!-- made until here -->\n", "p:1: no table is called 'c': a, b"),
+        ("<!-- made: a -->\n<!-- made until here -->\n" * 2, "p:3: 'a' is there twice"),
+        ("<!-- made until here -->\n", "p:1: an end without a mark"),
+        ("<!-- made: a -->\n<!-- made until here -->\n", "no mark for b"),
+    ],
+)
 def test_markers_that_are_not_right_are_named(page: str, told: str) -> None:
     with pytest.raises(BadInput, match=re.escape(told)):
         filled(page, {"a": "1", "b": "2"}, "p")
@@ -311,10 +367,20 @@
     assert (tmp_path / "CAPACITY.md").read_text() == "<!-- made: target -->\n"
 
 
-@pytest.mark.parametrize(("value", "unit", "told"), [
-    (0.0139, "core", "1.39% of a core"), (165.2, "core", "165 cores"), (24_000.0, "bytes/s", "24 kB/s"),
-    (1.0123e9, "bytes", "1.01 GB"), (44e-9, "s", "44 ns"), (3600.0, "s", "3,600 s"), (0.29, "s", "290 ms"),
-    (0.0, "bytes", "0 B"), (None, "s", "-"), (8.28e-13, "s", "0.828 ps"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("value", "unit", "told"),
+    [
+        (0.0139, "core", "1.39% of a core"),
+        (165.2, "core", "165 cores"),
+        (24_000.0, "bytes/s", "24 kB/s"),
+        (1.0123e9, "bytes", "1.01 GB"),
+        (44e-9, "s", "44 ns"),
+        (3600.0, "s", "3,600 s"),
+        (0.29, "s", "290 ms"),
+        (0.0, "bytes", "0 B"),
+        (None, "s", "-"),
+        (8.28e-13, "s", "0.828 ps"),
+    ],
+)
 def test_figures_have_three_digits_and_their_unit(value: float | None, unit: str, told: str) -> None:
     assert shown(value, unit) == told
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -442,10 +442,13 @@
 def test_a_difference_is_empty_for_the_same_and_makes_one_of_the_other() -> None:
     a = load_text(GOOD).data
     b = load_text(
-        GOOD.replace("warm_up: 6s", "warm_up: 9s, may_probe: true").replace('"tsoureki"', '"melomakarona"')
-        .replace("titles: other: { first: 1, spread: 2 }", "").replace("h1: at", "h9: at")
-        .replace("value: 3", "value: 3, seats: 4").replace("patience: 3s", "patience: 2s")
-    ).data  # fmt: skip
+        GOOD.replace("warm_up: 6s", "warm_up: 9s, may_probe: true")
+        .replace('"tsoureki"', '"melomakarona"')
+        .replace("titles: other: { first: 1, spread: 2 }", "")
+        .replace("h1: at", "h9: at")
+        .replace("value: 3", "value: 3, seats: 4")
+        .replace("patience: 3s", "patience: 2s")
+    ).data
     assert changes(a, a) == []
     found_ = changes(a, b, {"other": 12})
     assert applied(a, found_) == {".".join(p): v for p, v in leaves(b)}
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -255,8 +255,15 @@
     assert again.good(T, third, b"client-1") and not again.good(T, other, b"client-1"), (
         "used in the life before"
     )
-    assert tickets.refused == {"early": 1, "another's": 1, "used": 1, "late": 1, "forged": 1, "no ticket": 1,
-                               "old key": 1}  # fmt: skip
+    assert tickets.refused == {
+        "early": 1,
+        "another's": 1,
+        "used": 1,
+        "late": 1,
+        "forged": 1,
+        "no ticket": 1,
+        "old key": 1,
+    }
 
 
 def test_who_comes_when_told_is_let_in_before_others() -> None:
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -69,8 +69,11 @@
 
 
 def request(n: int, wait: float) -> bytes:
-    fields = [("X-Tier", "clip"), ("X-Deadline", str(round(wait * 1000))),
-              ("X-Attrs", "home:0;copies:6;top:2")]  # fmt: skip
+    fields = [
+        ("X-Tier", "clip"),
+        ("X-Deadline", str(round(wait * 1000))),
+        ("X-Attrs", "home:0;copies:6;top:2"),
+    ]
     return rtsp.request("SETUP", "rtsp://media/7f3a", "1", sid(n), fields, BLOB.encode())
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -211,17 +211,22 @@
         ["asked", 1.0, 7, "recorded", "clip-1", 2, 3, 3, 4.0],
         ["asked", 1.0, 8, "live", "clip-2", 0, 1, 3, 4.0],
         ["pulled", 1.001, [["TuneIn", 7, "h1", 0.5], ["Block", 8, 2.0]]],
-        ["ended", 1.5, 7, False, 40, "h1", 0.5, 0, []], ["pulled", 1.5, [["TuneIn", 7, "h2", 0.5]]],
-        ["opened", 1.6, 7, "h2", 1, 0.1], ["told", 5.0, 7, "h2", 1, 0.8],
+        ["ended", 1.5, 7, False, 40, "h1", 0.5, 0, []],
+        ["pulled", 1.5, [["TuneIn", 7, "h2", 0.5]]],
+        ["opened", 1.6, 7, "h2", 1, 0.1],
+        ["told", 5.0, 7, "h2", 1, 0.8],
         ["pulled", 5.0, [["SetRung", 7, 1]]],
-    ]  # fmt: skip
+    ]
     lines = [line.split("  ", 1)[1] for line in told(entries, 7)]
     assert lines == [
         "asked for clip-1 as recorded, held by cells 2 to 4, rungs up to 3, patience up to 4.000",
-        "-> tune in at h1, answer wanted within 0.500 s", "tune-in 1 failed at h1: timeout after 0.500 s",
-        "-> tune in at h2, answer wanted within 0.500 s", "tune-in 2 at h2 plays after 0.100 s",
-        "h2 says: share delivered 0.8", "-> rung 1",
-    ]  # fmt: skip
+        "-> tune in at h1, answer wanted within 0.500 s",
+        "tune-in 1 failed at h1: timeout after 0.500 s",
+        "-> tune in at h2, answer wanted within 0.500 s",
+        "tune-in 2 at h2 plays after 0.100 s",
+        "h2 says: share delivered 0.8",
+        "-> rung 1",
+    ]
     assert told(entries, 8)[-1].endswith("-> blocked, come again in 2.0 s")
 
 
@@ -286,8 +291,14 @@
         return found
 
     found = {f.name: f.kind for f in loop.run(main)}
-    assert found == {"good": "answered", "fake": "impostor", "drips": "silent", "old": "wrong version",
-                     "dead": "refused", **{f"silent-{n}": "silent" for n in range(8)}}  # fmt: skip
+    assert found == {
+        "good": "answered",
+        "fake": "impostor",
+        "drips": "silent",
+        "old": "wrong version",
+        "dead": "refused",
+        **{f"silent-{n}": "silent" for n in range(8)},
+    }
 
 
 # ---- journals ----------------------------------------------------------------------------------------------
@@ -380,8 +391,9 @@
         return (0, "its answer was lost") if self.chance.random() < self.lossy else (200, "")
 
 
-def rolled(gateways: Gateways, rolling: Rolling, journal: Callable[[dict[str, Any]], None], steps: int = 4000
-           ) -> Iterator[Any]:  # fmt: skip
+def rolled(
+    gateways: Gateways, rolling: Rolling, journal: Callable[[dict[str, Any]], None], steps: int = 4000
+) -> Iterator[Any]:
     """Carries a plan out; gives each decision before it is carried out, so that it can be cut off there."""
     for _ in range(steps):
         while (decision := rolling.decide(gateways.now)) is not None:
@@ -416,8 +428,12 @@
 @given(st.integers(0, 2**32))
 def test_cut_off_anywhere_and_resumed_no_gateway_is_touched_twice_or_left_out(seed: int) -> None:
     chance = random.Random(seed)
-    plan = Plan("p", "restart", TARGETS, Terms(at_once=chance.randrange(1, 5), settle=0.3, failures=9,
-                                               one_hall=chance.random() < 0.5))  # fmt: skip
+    plan = Plan(
+        "p",
+        "restart",
+        TARGETS,
+        Terms(at_once=chance.randrange(1, 5), settle=0.3, failures=9, one_hall=chance.random() < 0.5),
+    )
     gateways, lines = Gateways(chance, lossy=chance.choice([0.0, 0.2])), list[dict[str, Any]]()
     while True:
         rolling = Rolling(gateways.now, plan, lines)
@@ -456,8 +472,9 @@
             return Found(name, "unknown", "a higher term is known")
         self.known[name] = term
         if name in self.drains:
-            found = msgspec.structs.replace(state(name, self.boot(name)), phase="draining",
-                                            why=self.drains[name][1])  # fmt: skip
+            found = msgspec.structs.replace(
+                state(name, self.boot(name)), phase="draining", why=self.drains[name][1]
+            )
             return Found(name, "draining", state=found)
         return self.ask(name)
 
@@ -533,8 +550,14 @@
 
 def test_who_owns_a_duty_is_told_as_what_it_is() -> None:
     def says(name: str, owner: str = "", mine: bool = False, term: int = 3, **more: Any) -> Said:
-        told = {"owner": owner, "term": term, "lease_left": 2.0, "mine": mine, "refused": 1,
-                "standstill": "" if owner else "plans wait"}  # fmt: skip
+        told = {
+            "owner": owner,
+            "term": term,
+            "lease_left": 2.0,
+            "mine": mine,
+            "refused": 1,
+            "standstill": "" if owner else "plans wait",
+        }
         return Said(name, {"duties": {"restarts": told}, **more})
 
     def kind(*said: Said) -> tuple[str, str]:
@@ -548,8 +571,19 @@
     assert kind(says("g0"), says("g1"), silent) == ("nobody", "")
     assert kind(says("g0"), silent, silent) == ("unknown", "")
     assert owned([says("g0"), says("g1")])[0].refused == 2 and owned([silent]) == []
-    lines = cannot_vote([silent, says("g0", disk="No space left on device", settled=False, clock=False,
-                                      why_not="drains", frames_refused={"stale": 4})])  # fmt: skip
+    lines = cannot_vote(
+        [
+            silent,
+            says(
+                "g0",
+                disk="No space left on device",
+                settled=False,
+                clock=False,
+                why_not="drains",
+                frames_refused={"stale": 4},
+            ),
+        ]
+    )
     assert [line.partition(" ")[0] for line in lines] == ["g9:"] + ["g0:"] * 5
     for body in (b"{", b"[]", b'{"duties": []}', b'{"duties": {"restarts": {"owner": 3}}}', b"\xff"):
         assert read_owners("g0", 200, body).state is None
@@ -578,8 +612,13 @@
     over = said(stopped, "give up")
     assert over.word == "given up" and said(over, "resume")[0] == 409
     assert said(msgspec.structs.replace(over, version=7), "begin", {**raw, "id": "q"}).version == 7
-    for wrong in ({**raw, "action": "drain"}, {**raw, "targets": []}, {"id": 3}, None,
-                  {**raw, "targets": [{"name": "g77", "at": "x"}]}):  # fmt: skip
+    for wrong in (
+        {**raw, "action": "drain"},
+        {**raw, "targets": []},
+        {"id": 3},
+        None,
+        {**raw, "targets": [{"name": "g77", "at": "x"}]},
+    ):
         assert said(None, "begin", wrong)[0] == 400
     later = [msgspec.structs.replace(begun, term=t, version=v) for t, v in ((2, 9), (3, 1), (3, 0))]
     assert latest([None, *later]) == later[1] and latest([None]) is None
@@ -729,8 +768,18 @@
 
     def start(self, name: str, *more: str) -> None:
         d = self.directory
-        words = ["--log-level", "warning", "daemon", "--site", str(d / "site.json"), "--gateway", name,
-                 "--state", str(d / "state"), *more]  # fmt: skip
+        words = [
+            "--log-level",
+            "warning",
+            "daemon",
+            "--site",
+            str(d / "site.json"),
+            "--gateway",
+            name,
+            "--state",
+            str(d / "state"),
+            *more,
+        ]
         self.children[name] = subprocess.Popen(
             [sys.executable, "-m", "ledgehitch", *words], stdout=subprocess.PIPE, text=True, cwd=self.root
         )
@@ -741,8 +790,21 @@
 
     def fleet(self, *words: str) -> subprocess.CompletedProcess[str]:
         d = self.directory
-        command = [sys.executable, "-m", "ledgehitch", "fleet", "--site", str(d / "site.json"), "--admin-dir",
-                   str(d / "state"), "--plans", str(d / "plans"), "--within", "8", *words]  # fmt: skip
+        command = [
+            sys.executable,
+            "-m",
+            "ledgehitch",
+            "fleet",
+            "--site",
+            str(d / "site.json"),
+            "--admin-dir",
+            str(d / "state"),
+            "--plans",
+            str(d / "plans"),
+            "--within",
+            "8",
+            *words,
+        ]
         return subprocess.run(command, capture_output=True, text=True, timeout=120, cwd=ROOT)
 
     def end(self) -> dict[str, int]:
@@ -766,9 +828,11 @@
     from ledgehitch.standins.plan import site_of
 
     raw = {
-        "name": "fleet", "length": 60.0, "arrivals": {"rate": 1.0, "mix": [{"package": "recorded"}]},
+        "name": "fleet",
+        "length": 60.0,
+        "arrivals": {"rate": 1.0, "mix": [{"package": "recorded"}]},
         "shape": {"gateways": gateways, "hosts": 3, "titles": 3, "zones": 2},
-    }  # fmt: skip
+    }
     return site_of(msgspec.convert(raw, Day), 1, free_ports(1 + 3 * gateways))
 
 
@@ -842,8 +906,21 @@
 
     def fleet(who: str, *words: str) -> subprocess.CompletedProcess[str]:
         cert, plans = tmp_path / "keys" / f"{who}.pem", tmp_path / "plans"
-        command = [sys.executable, "-m", "ledgehitch", "fleet", "--site", str(tmp_path / "site.json"),
-                   "--cert", str(cert), "--plans", str(plans), "--within", "8", *words]  # fmt: skip
+        command = [
+            sys.executable,
+            "-m",
+            "ledgehitch",
+            "fleet",
+            "--site",
+            str(tmp_path / "site.json"),
+            "--cert",
+            str(cert),
+            "--plans",
+            str(plans),
+            "--within",
+            "8",
+            *words,
+        ]
         return subprocess.run(command, capture_output=True, text=True, timeout=120, cwd=ROOT)
 
     try:
@@ -882,26 +959,39 @@
 # ---- the terminal interface --------------------------------------------------------------------------------
 
 SEEN = [
-    Found("g0", "answered", state=state("g0", counts=Counts(100, 90, 5, 1), zone="north",
-                                        hosts={"h1": HostSeen(True, 4), "h2": HostSeen(False, 9)})),
+    Found(
+        "g0",
+        "answered",
+        state=state(
+            "g0",
+            counts=Counts(100, 90, 5, 1),
+            zone="north",
+            hosts={"h1": HostSeen(True, 4), "h2": HostSeen(False, 9)},
+        ),
+    ),
     Found("g1", "silent", "no whole answer in 1.5 s"),
     Found("g2", "draining", "draining: p/g2", state=state("g2", phase="draining", zone="south")),
-]  # fmt: skip
+]
 LINES = [
     head_of(Plan("p", "restart", [Target("g0", "x"), Target("g1", "x"), Target("g2", "x")])),
-    {"ev": "intended", "gateway": "g0", "boot": "b"}, {"ev": "done", "gateway": "g0"},
-    {"ev": "intended", "gateway": "g2", "boot": "b"}, {"ev": "sent", "gateway": "g2"},
-]  # fmt: skip
+    {"ev": "intended", "gateway": "g0", "boot": "b"},
+    {"ev": "done", "gateway": "g0"},
+    {"ev": "intended", "gateway": "g2", "boot": "b"},
+    {"ev": "sent", "gateway": "g2"},
+]
 
 
 def test_what_is_shown_of_halls_hosts_and_plans() -> None:
     assert halls_of(SEEN, {"g0": "north", "g1": "north", "g2": "south"}) == [
-        ("north", "1 of 2", "0", "100", "6.0%", "-"), ("south", "0 of 1", "0", "0", "-", "-")]  # fmt: skip
+        ("north", "1 of 2", "0", "100", "6.0%", "-"),
+        ("south", "0 of 1", "0", "0", "-", "-"),
+    ]
     assert SEEN[0].state is not None
     assert hosts_of(SEEN[0].state)[0].split() == ["h2", "9", "not", "in", "service"]
     assert plan_words(LINES)[:2] == ["p: restart, 1 of 3 done", "under way; now g2"]
-    stopped = plan_words([*LINES, {"ev": "failed", "gateway": "g2", "why": "silent"},
-                          {"ev": "stopped", "why": "1 failed"}])  # fmt: skip
+    stopped = plan_words(
+        [*LINES, {"ev": "failed", "gateway": "g2", "why": "silent"}, {"ev": "stopped", "why": "1 failed"}]
+    )
     assert stopped[:2] == ["p: restart, 1 of 3 done, 1 failed", "stopped: 1 failed"]
     assert plan_words([]) == []
 
@@ -979,7 +1069,9 @@
         limits = json.loads(call("GET", "/v1/limits")[1])
         assert limits["door"] is None and limits["terms"]["tune_ins"] == 3
         assert call("POST", "/v1/drain", b'{"withn": 3}') == (
-            400, "the call does not read: Object contains unknown field `withn`")  # fmt: skip
+            400,
+            "the call does not read: Object contains unknown field `withn`",
+        )
         assert call("POST", "/v1/drain", b'{"within": "x"}')[0] == 400
         assert call("POST", "/v1/drain", b"\xff{")[0] == 400
         assert call("POST", "/v1/drain", b'{"ticket": "\xff"}')[0] == 400
@@ -995,7 +1087,9 @@
         assert call("POST", "/v1/drain", b"{}", "gateway")[0] == 403 and life.phase == "ready"
         assert call("GET", "/v2/state")[0] == 404 and "version 1" in call("GET", "/v2/state")[1]
         assert call("GET", "/v1/why/1") == (
-            409, "this gateway keeps no flight record: start it with --record")  # fmt: skip
+            409,
+            "this gateway keeps no flight record: start it with --record",
+        )
         boot = rig.gateway.boot
         assert call("POST", "/v1/drain", f'{{"if_boot": "{boot}", "ticket": "p/g0"}}'.encode())[0] == 200
         assert str(life.phase) == "draining" and life.why == "p/g0"
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -234,8 +234,13 @@
 def test_a_lab_that_is_killed_goes_on_without_running_anything_twice(tmp_path: Path) -> None:
     plan, results = written(tmp_path, PLAN.replace("seeds: 3", "seeds: 8")), tmp_path / "r.sqlite"
     words = [sys.executable, "-m", "ledgehitch", "lab", "run", str(plan), "--results", str(results)]
-    lab = subprocess.Popen([*words, "--cores", "2"], cwd=ROOT, start_new_session=True,
-                           stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)  # fmt: skip
+    lab = subprocess.Popen(
+        [*words, "--cores", "2"],
+        cwd=ROOT,
+        start_new_session=True,
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+    )
     for _ in range(400):
         time.sleep(0.05)
         if results.exists() and len(_states(results).get("done", [])) >= 5:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -211,18 +211,39 @@
 
 def setup(number: int, t: float, over: float) -> Told:
     key = f"g{number % 3}.b.{number}.0"
-    begun = {"id": number, "host": "h0", "key": key, "gateway": f"g{number % 3}", "package": "recorded",
-             "title": "t", "rung": 0}  # fmt: skip
+    begun = {
+        "id": number,
+        "host": "h0",
+        "key": key,
+        "gateway": f"g{number % 3}",
+        "package": "recorded",
+        "title": "t",
+        "rung": 0,
+    }
     return [(t, "setup", begun), (over, "setup_out", {"id": number, "status": 201})]
 
 
 def lent(who: str, t: float, number: int, share: float, life: int = 1, by: str = "g9", term: int = 1) -> Told:
     """Asked, answered a little later, and said to be taken."""
     ask = {"who": who, "to": by, "term": term, "life": life}
-    return [(t, "want", {**ask, "sequence": number, "number": 0}),
-            (t + 0.1, "lent", {"who": by, "to": who, "term": term, "life": life, "sequence": number,
-                               "number": number, "seconds": 5.0, "loans": [int(share * WHOLE)]}),
-            (t + 1.0, "want", {**ask, "sequence": number + 50, "number": number})]  # fmt: skip
+    return [
+        (t, "want", {**ask, "sequence": number, "number": 0}),
+        (
+            t + 0.1,
+            "lent",
+            {
+                "who": by,
+                "to": who,
+                "term": term,
+                "life": life,
+                "sequence": number,
+                "number": number,
+                "seconds": 5.0,
+                "loans": [int(share * WHOLE)],
+            },
+        ),
+        (t + 1.0, "want", {**ask, "sequence": number + 50, "number": number}),
+    ]
 
 
 WHOLES = Wholes({"recorded": 10.0}, 4.0, 3, 3.0, {f"g{n}": [WHOLE // 30] for n in range(3)})
@@ -250,6 +271,7 @@
     assert judged_budgets(tape(with_it), WHOLES) == []
     for other in (lent("g1", 2.0, 2, 0.4, by="g2", term=2), lent("g1", 2.0, 2, 0.4, by="g0", term=1)):
         assert [b.promise for b in judged_budgets(tape([*had, *other]), WHOLES)] == [
-            "parts are within the whole"], "another lends, or it does under no later term"  # fmt: skip
+            "parts are within the whole"
+        ], "another lends, or it does under no later term"
     before = [*had, *lent("g1", 1.5, 2, 0.4), *lent("g2", 3.0, 3, 0.1, by="g0", term=2)]
     assert [b.promise for b in judged_budgets(tape(before), WHOLES)] == ["parts are within the whole"]
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -389,11 +389,16 @@
 
 @pytest.mark.parametrize(
     "fields, reports, asks",
-    [(("x0",), "pull", 1), (("active", "cpu"), "piggyback", 1), (("active", "x1"), "piggyback", 0),
-     (("x0",), "silent", 0)],
-)  # fmt: skip
-def test_nobody_is_asked_where_an_answer_tells_no_use_of_a_link(fields: tuple[str, ...], reports: str,
-                                                                asks: int) -> None:  # fmt: skip
+    [
+        (("x0",), "pull", 1),
+        (("active", "cpu"), "piggyback", 1),
+        (("active", "x1"), "piggyback", 0),
+        (("x0",), "silent", 0),
+    ],
+)
+def test_nobody_is_asked_where_an_answer_tells_no_use_of_a_link(
+    fields: tuple[str, ...], reports: str, asks: int
+) -> None:
     """Once each viewing there asked holder after holder, and waited for each answer in vain."""
     fleet = replace(FLEET, load_fields=fields, reports=reports)
     gw = gateway(terms=replace(TERMS, may_probe=True, may_tell=False), fleet=fleet)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -22,11 +22,16 @@
 
 ROOT = Path(__file__).parent.parent
 SMALL: dict[str, Any] = {
-    "name": "small", "length": 20.0,
-    "arrivals": {"rate": 12.0, "mix": [{"package": "recorded", "share": 2.0, "watch": 8.0},
-                                       {"package": "live", "watch": 8.0}], "repeats": 0.1, "impatient": 0.05},
+    "name": "small",
+    "length": 20.0,
+    "arrivals": {
+        "rate": 12.0,
+        "mix": [{"package": "recorded", "share": 2.0, "watch": 8.0}, {"package": "live", "watch": 8.0}],
+        "repeats": 0.1,
+        "impatient": 0.05,
+    },
     "shape": {"gateways": 3, "hosts": 6, "link_kb": 9000.0},
-}  # fmt: skip
+}
 
 
 def day(**more: Any) -> Day:
@@ -150,16 +155,40 @@
 
 def test_blocked_share_of_one_link_without_adaptation_agrees_with_erlang_b() -> None:
     offered, hold = 18.0, 10.0
-    what = msgspec.json.decode(msgspec.json.encode({
-        "name": "erlang", "length": 3000.0, "settle": 1.0,
-        "arrivals": {"rate": offered / hold, "mix": [{"package": "p", "watch": hold}], "returns": 0.0,
-                     "small_screens": 0.0, "leave_under": 0.0},
-        "shape": {"gateways": 1, "hosts": 1, "titles": 1, "rack": 1, "slots": 20, "link_kb": 1e6,
-                  "uplink_share": 1000.0, "setup": 0.001, "setup_spread": 0.0, "true_rate_spread": 0.0,
-                  "report_noise": 0.0},
-        "site": {"ladder": [{"kb": 100.0, "earns": 1.0}],
-                 "packages": [{"name": "p", "join_target": 0.05, "patience": 0.1}]},
-    }), type=Day)  # fmt: skip
+    what = msgspec.json.decode(
+        msgspec.json.encode(
+            {
+                "name": "erlang",
+                "length": 3000.0,
+                "settle": 1.0,
+                "arrivals": {
+                    "rate": offered / hold,
+                    "mix": [{"package": "p", "watch": hold}],
+                    "returns": 0.0,
+                    "small_screens": 0.0,
+                    "leave_under": 0.0,
+                },
+                "shape": {
+                    "gateways": 1,
+                    "hosts": 1,
+                    "titles": 1,
+                    "rack": 1,
+                    "slots": 20,
+                    "link_kb": 1e6,
+                    "uplink_share": 1000.0,
+                    "setup": 0.001,
+                    "setup_spread": 0.0,
+                    "true_rate_spread": 0.0,
+                    "report_noise": 0.0,
+                },
+                "site": {
+                    "ladder": [{"kb": 100.0, "earns": 1.0}],
+                    "packages": [{"name": "p", "join_target": 0.05, "patience": 0.1}],
+                },
+            }
+        ),
+        type=Day,
+    )
     result = play(what)
     blocking = 1.0
     for servers in range(1, 21):
@@ -206,9 +235,16 @@
         {"name": "recorded", "join_target": 0.8, "patience": 3.0, "seats": 2},
         {"name": "live", "join_target": 0.8, "patience": 3.0, "value": 3.0, "effect": "once"},
     ],
-    "terms": {"extra_free": 1.0, "extra_ratio": 0.02, "extra_window": 5.0, "warm_up": 6.0, "cold_share": 0.1,
-              "fall_multiple": 1.0, "fall_after": 2.0},
-}  # fmt: skip
+    "terms": {
+        "extra_free": 1.0,
+        "extra_ratio": 0.02,
+        "extra_window": 5.0,
+        "warm_up": 6.0,
+        "cold_share": 0.1,
+        "fall_multiple": 1.0,
+        "fall_after": 2.0,
+    },
+}
 TROUBLES = [
     {"kind": "answers_lost", "at": 2.0, "len": 8.0, "part": 0.6, "size": 0.6, "extra": 1.0},
     {"kind": "deploy", "at": 4.0, "len": 6.0, "part": 0.7, "size": 0.2, "extra": 5.0},
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -310,8 +310,11 @@
     owners.heard(T, 1, ask)
     assert not [d for d in pulled(owners, T) if isinstance(d, Send) and d.words.kind == "grant"]
     for n in (1, 2, 3):
-        owners.heard(T + 1, n, ask._replace(kind="greeted", sequence=7, who=owners.shorts[n], intact=True,
-                                            terms=(4, 2)))  # fmt: skip
+        owners.heard(
+            T + 1,
+            n,
+            ask._replace(kind="greeted", sequence=7, who=owners.shorts[n], intact=True, terms=(4, 2)),
+        )
     assert not owners.takes("restarts", 3) and owners.takes("restarts", 4)
     owners.heard(T + 2, 1, ask._replace(term=5))
     assert not [d for d in pulled(owners, T + 2) if isinstance(d, Send) and d.words.kind == "grant"]
@@ -458,11 +461,20 @@
         term = chance.choice([0, 1, 2**20, 2**40, TOP, TOP + 1, 2**64 - 1])
         sender = chance.choice([1, 2, 3, 60_000])
         who = owners.shorts[sender] if sender < 3 else b"abcd"
-        words = Words(kind, chance.choice([0, 1, 9]), chance.choice([7, 1, 2**32 - 1]), term, who,
-                      *owners.memory.lists.digests(), member=chance.choice([0, 1, 65535]),
-                      left=chance.choice([0.0, 1e6]), life=2**32 - 1,
-                      known_life=chance.choice([0, 2**32 - 1]), intact=chance.random() < 0.5,
-                      terms=(term,) * chance.randrange(4))  # fmt: skip
+        words = Words(
+            kind,
+            chance.choice([0, 1, 9]),
+            chance.choice([7, 1, 2**32 - 1]),
+            term,
+            who,
+            *owners.memory.lists.digests(),
+            member=chance.choice([0, 1, 65535]),
+            left=chance.choice([0.0, 1e6]),
+            life=2**32 - 1,
+            known_life=chance.choice([0, 2**32 - 1]),
+            intact=chance.random() < 0.5,
+            terms=(term,) * chance.randrange(4),
+        )
         if sender == 2:  # one is broken, the other says what is true
             words = words._replace(terms=(3, 3), term=min(term, 3), known_life=0)
         owners.heard(now, sender, read(written(words)))
@@ -486,8 +498,15 @@
 runpy.run_module("ledgehitch.{entry}", run_name="__main__")
 """
     environment = {k: v for k, v in os.environ.items() if k != "ROUTER_CONFIG"}
-    ended = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT,
-                           stdin=subprocess.DEVNULL, env=environment, timeout=60)  # fmt: skip
+    ended = subprocess.run(
+        [sys.executable, "-c", code],
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        stdin=subprocess.DEVNULL,
+        env=environment,
+        timeout=60,
+    )
     loaded = ended.stdout.strip().splitlines()[-1]
     assert f"ledgehitch.{entry}" in loaded and "ledgehitch.brain" in loaded
     for off in ("members", "owners", "budgets", "halls", "daemon", "fleet", "scale", "regions"):
@@ -502,4 +521,7 @@
     assert memory.greeted_by("b", 3, 7) == 0 and memory.record() == between
     memory.greeted_by("c", 1, 9)
     assert [r["lives"] for r in (before, between, memory.record())] == [
-        {}, {"b": [3, 7]}, {"b": [3, 7], "c": [1, 9]}]  # fmt: skip
+        {},
+        {"b": [3, 7]},
+        {"b": [3, 7], "c": [1, 9]},
+    ]
--- a/tests/test_owning.py
+++ b/tests/test_owning.py
@@ -77,8 +77,11 @@
 def fenced(rig: FleetRig, to: str, but: str) -> bool:
     """Whether another owner's fence was taken there: it is on that gateway's disk then."""
     lines = rig.lines()
-    asked = {x["id"] for x in lines if x["ev"] == "step" and x["path"] == "/v1/fence" and x["owner"] != but
-             and x["to"] == to}  # fmt: skip
+    asked = {
+        x["id"]
+        for x in lines
+        if x["ev"] == "step" and x["path"] == "/v1/fence" and x["owner"] != but and x["to"] == to
+    }
     return any(x["ev"] == "step_out" and x["id"] in asked and x["status"] == 200 for x in lines)
 
 
@@ -275,11 +278,27 @@
     return out
 
 
-def call(number: int, t: float, owner: str, term: int, to: str, status: int = 200, then: str = "restart",
-         **told: Any) -> list[tuple[float, str, dict[str, Any]]]:  # fmt: skip
+def call(
+    number: int,
+    t: float,
+    owner: str,
+    term: int,
+    to: str,
+    status: int = 200,
+    then: str = "restart",
+    **told: Any,
+) -> list[tuple[float, str, dict[str, Any]]]:
     path = "/v1/drain" if then else "/v1/fence"
-    step = {"id": number, "owner": owner, "to": to, "path": path, "duty": "restarts", "term": term,
-            "then": then, "ticket": f"p/{to}"}  # fmt: skip
+    step = {
+        "id": number,
+        "owner": owner,
+        "to": to,
+        "path": path,
+        "duty": "restarts",
+        "term": term,
+        "then": then,
+        "ticket": f"p/{to}",
+    }
     out = {"id": number, "status": status, "boot": "", "started_by": "", "phase": "draining", **told}
     return [(t, "step", step), (t + 0.1, "step_in", {"id": number}), (t + 0.2, "step_out", out)]
 
@@ -287,14 +306,17 @@
 PLANTED: dict[str, list[tuple[float, str, dict[str, Any]]]] = {
     "terms fence": [*call(1, 1, "g1", 2, "g0", then=""), *call(2, 2, "g0", 1, "g0")],
     "one owner a term": [*call(1, 1, "g1", 2, "g0", then=""), *call(2, 2, "g2", 2, "g3", then="")],
-    "restarted once": [*call(1, 1, "g1", 2, "g0", then="", boot="a", started_by="p/g0"),
-                       *call(2, 2, "g1", 2, "g0", then="", boot="b", started_by="p/g0")],
+    "restarted once": [
+        *call(1, 1, "g1", 2, "g0", then="", boot="a", started_by="p/g0"),
+        *call(2, 2, "g1", 2, "g0", then="", boot="b", started_by="p/g0"),
+    ],
     "nobody left out": call(1, 1, "g1", 2, "g0", then="", boot="a", started_by="p/g0"),
     "never more at once": [*call(1, 1, "g1", 2, "g0"), *call(2, 2, "g1", 2, "g2")],
     "one verdict a window": [
         (t, "verdict", {"owner": "g1", "term": 2, "window": 7, "status": 200, "verdict": v})
-        for t, v in ((1, "good"), (2, "bad"))],
-}  # fmt: skip
+        for t, v in ((1, "good"), (2, "bad"))
+    ],
+}
 
 
 @pytest.mark.parametrize("promise", PLANTED)
@@ -302,15 +324,22 @@
     broken = judged_owned(tape(PLANTED[promise]), ["g0", "g4"], 1, promise == "nobody left out")
     assert [b.promise for b in broken] == [promise] or promise == "nobody left out"
     assert broken[0].promise == promise
-    good = [*call(1, 1, "g0", 1, "g0", boot="a"), *call(2, 2, "g1", 2, "g0", then="", boot="b",
-            started_by="p/g0", phase="ready"), *call(3, 3, "g0", 1, "g0", status=409)]  # fmt: skip
+    good = [
+        *call(1, 1, "g0", 1, "g0", boot="a"),
+        *call(2, 2, "g1", 2, "g0", then="", boot="b", started_by="p/g0", phase="ready"),
+        *call(3, 3, "g0", 1, "g0", status=409),
+    ]
     assert judged_owned(tape(good), ["g0"], 1, True) == []
 
 
 def test_a_day_of_one_process_has_no_faults_between_daemons(tmp_path: Path) -> None:
     for kind in BETWEEN:
-        raw = {"name": "d", "length": 9.0, "arrivals": {"rate": 1.0, "mix": [{"package": "recorded"}]},
-               "faults": [{"kind": kind, "at": 1.0, "who": "owner of restarts"}]}  # fmt: skip
+        raw = {
+            "name": "d",
+            "length": 9.0,
+            "arrivals": {"rate": 1.0, "mix": [{"package": "recorded"}]},
+            "faults": [{"kind": kind, "at": 1.0, "who": "owner of restarts"}],
+        }
         (tmp_path / "day.json").write_bytes(msgspec.json.encode(raw))
         with pytest.raises(BadInput, match=rf"faults\[0\].kind: {kind} is played between daemons alone"):
             read_day(tmp_path / "day.json")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -112,12 +112,18 @@
 @pytest.mark.parametrize(
     "line",
     [
-        b"noise\n", b"[]\n", b'{"verb":"START"}\n', b'{"verb":"WHAT","tag":"%s"}\n' % SID.encode(),
-        b'{"verb":"FINISH","tag":"%s","rc":"34"}\n' % SID.encode(), b'{"verb":"FINISH","tag":"1"}\n',
-        b'{"verb":"NOTICE","tag":"%s","opts":{"a":[]}}\n' % SID.encode(), b"\xff\xfe\n", b"[" * 9000 + b"\n",
+        b"noise\n",
+        b"[]\n",
+        b'{"verb":"START"}\n',
+        b'{"verb":"WHAT","tag":"%s"}\n' % SID.encode(),
+        b'{"verb":"FINISH","tag":"%s","rc":"34"}\n' % SID.encode(),
+        b'{"verb":"FINISH","tag":"1"}\n',
+        b'{"verb":"NOTICE","tag":"%s","opts":{"a":[]}}\n' % SID.encode(),
+        b"\xff\xfe\n",
+        b"[" * 9000 + b"\n",
         b"x" * hostline.MOST,
     ],
-)  # fmt: skip
+)
 def test_what_is_no_line_is_told_at_once(line: bytes) -> None:
     with pytest.raises(hostline.Malformed):
         list(hostline.Reader().feed(line))
@@ -324,8 +330,9 @@
 class Way:
     """A connection to a media host, as `lines` sees one."""
 
-    def __init__(self, used_at: float, out: int = 0, up: bool = True, doubted: bool = False,
-                 past: str = "") -> None:  # fmt: skip
+    def __init__(
+        self, used_at: float, out: int = 0, up: bool = True, doubted: bool = False, past: str = ""
+    ) -> None:
         self.open: dict[str, None] = {str(n): None for n in range(out)}
         self.past: dict[str, None] = {past: None} if past else {}
         self.used_at, self.up, self.doubted = used_at, up, doubted
@@ -363,8 +370,6 @@
     assert lines.over(100.0, [doubted], 1, 30.0) == [] and lines.over(101.0, [doubted], 1, 30.0) == [doubted]
 
 
-
-
 # ---- pace and life -----------------------------------------------------------------------------------------
 
 
@@ -436,17 +441,48 @@
 
 SETTINGS: dict[str, Any] = {
     "categories": [{"name": "clip", "onTime": 800.0, "deadline": 3000, "worth": 1.5, "effect": "repeatable"}],
-    "familyInfo": {"places": 6, "racks": 2, "linkUnitKb": 1000.0, "uplinkKb": 4500, "kindSlots": [30],
-                   "levelKb": [100, 200.0, 400], "rungWorth": [0.2, 0.5, 1], "fullFrom": 1, "toldLate": 900.5,
-                   "toldEvery": 3000, "floorByClass": [0], "classTop": [2], "classScale": [1.0], "seats": [0],
-                   "live": [False]},
-    "kinds": ["k"], "locality": "a", "ordinal": 1, "peersTotal": 3, "discovery": "pushed",
-    "ceilings": {"tryLimit": 3, "probes": True, "peerMessages": False, "retryAfter": False,
-                 "connectTimeout": 250.0, "connIdle": 30000, "streamsPerConn": 32},
-    "rules": {"answerSlack": 40, "stopSendingWithin": 1000, "coldShare": 0.4, "warmUp": 12000,
-              "tipAfter": 2000, "fallMultiple": 3},
-    "telemetry": {"how": "piggyback", "fields": ["active", "x0"]}, "prices": {"crossZone": 0.012},
-}  # fmt: skip
+    "familyInfo": {
+        "places": 6,
+        "racks": 2,
+        "linkUnitKb": 1000.0,
+        "uplinkKb": 4500,
+        "kindSlots": [30],
+        "levelKb": [100, 200.0, 400],
+        "rungWorth": [0.2, 0.5, 1],
+        "fullFrom": 1,
+        "toldLate": 900.5,
+        "toldEvery": 3000,
+        "floorByClass": [0],
+        "classTop": [2],
+        "classScale": [1.0],
+        "seats": [0],
+        "live": [False],
+    },
+    "kinds": ["k"],
+    "locality": "a",
+    "ordinal": 1,
+    "peersTotal": 3,
+    "discovery": "pushed",
+    "ceilings": {
+        "tryLimit": 3,
+        "probes": True,
+        "peerMessages": False,
+        "retryAfter": False,
+        "connectTimeout": 250.0,
+        "connIdle": 30000,
+        "streamsPerConn": 32,
+    },
+    "rules": {
+        "answerSlack": 40,
+        "stopSendingWithin": 1000,
+        "coldShare": 0.4,
+        "warmUp": 12000,
+        "tipAfter": 2000,
+        "fallMultiple": 3,
+    },
+    "telemetry": {"how": "piggyback", "fields": ["active", "x0"]},
+    "prices": {"crossZone": 0.012},
+}
 
 
 def pairs(thing: Any, path: str = "") -> list[str]:
@@ -471,9 +507,17 @@
     assert facts_from(folded) == facts_from(SETTINGS)
     rows = [Row(f"h{i}", i, 2.0, "k", "a", "in_service", 0.0) for i in range(6)]
     told = [f"row\t{r.cell}\t2\tk\t{r.host}\ta\tin_service\t-" for r in rows]
-    wire = ["batch\t100000\t1", "at\t0", "create\t7\t" + "\t".join(flat), "snapshot_rows\t0\t6", *told,
-            "view\twarm_copy\t1\t0", "query\t1\t103000\tk\t0\t6\t-\tt1\t0\t2\t-\tclip",
-            "end", ""]  # fmt: skip
+    wire = [
+        "batch\t100000\t1",
+        "at\t0",
+        "create\t7\t" + "\t".join(flat),
+        "snapshot_rows\t0\t6",
+        *told,
+        "view\twarm_copy\t1\t0",
+        "query\t1\t103000\tk\t0\t6\t-\tt1\t0\t2\t-\tclip",
+        "end",
+        "",
+    ]
     out = io.BytesIO()
     assert simhost(io.BytesIO("\n".join(wire).encode()), out, io.StringIO()) == 0
     gw = Gateway(7, 100.0, *facts_from(json.loads(json.dumps(SETTINGS))))
@@ -484,28 +528,61 @@
     while (decision := gw.decide(100.0)) is not None:
         decisions.append(decision)
     assert [f"{d.vw}\t{d.host}" for d in decisions if isinstance(d, say.TuneIn)] == [
-        line.removeprefix("forward\t").rpartition("\t")[0] for line in lines if line.startswith("forward")]
+        line.removeprefix("forward\t").rpartition("\t")[0] for line in lines if line.startswith("forward")
+    ]
     assert len(decisions) == len(lines) - 1 > 0
     assert reach_of(SETTINGS).streams == 32 and reach_of(SETTINGS).connect_within == 0.25
 
 
 CONFIG: dict[str, Any] = {
-    "name": "n0", "listen": "127.0.0.1:5060", "seed": "8c1f30d27a5be964",
+    "name": "n0",
+    "listen": "127.0.0.1:5060",
+    "seed": "8c1f30d27a5be964",
     "limits": {"memory_mb": 32, "sockets": 256},
-    "peers": [], "journal": "127.0.0.1:8500", "settings": SETTINGS,
-    "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": [
-        {"id": "s-1", "host_port": "127.0.0.1:9", "cell": 2, "phase": "ready", "size": 4,
-         "up_since_ms": 5000}]}}]},
-}  # fmt: skip
+    "peers": [],
+    "journal": "127.0.0.1:8500",
+    "settings": SETTINGS,
+    "known": {
+        "pos": 1,
+        "entries": [
+            {
+                "pos": 1,
+                "hosts": {
+                    "complete": True,
+                    "members": [
+                        {
+                            "id": "s-1",
+                            "host_port": "127.0.0.1:9",
+                            "cell": 2,
+                            "phase": "ready",
+                            "size": 4,
+                            "up_since_ms": 5000,
+                        }
+                    ],
+                },
+            }
+        ],
+    },
+}
 
 
 @pytest.mark.parametrize(
     "key, value",
-    [("listen", 5), ("listen", "nowhere"), ("journal", None), ("seed", "xyz"), ("limits", []),
-     ("settings", 1), ("known", {"entries": [{"pos": "a"}]}), ("peers", [7]),
-     ("limits", {"memory_mb": -1}), ("limits", {"memory_mb": float("nan")}),
-     ("limits", {"memory_mb": 10**400}), ("limits", {"sockets": 0})],
-)  # fmt: skip
+    [
+        ("listen", 5),
+        ("listen", "nowhere"),
+        ("journal", None),
+        ("seed", "xyz"),
+        ("limits", []),
+        ("settings", 1),
+        ("known", {"entries": [{"pos": "a"}]}),
+        ("peers", [7]),
+        ("limits", {"memory_mb": -1}),
+        ("limits", {"memory_mb": float("nan")}),
+        ("limits", {"memory_mb": 10**400}),
+        ("limits", {"sockets": 0}),
+    ],
+)
 def test_a_configuration_that_is_wrong_names_its_key(key: str, value: Any) -> None:
     assert read(json.dumps(CONFIG).encode()).sockets == 256
     with pytest.raises(BadFact) as why:
@@ -532,26 +609,49 @@
 
 
 WRONG: list[tuple[str, Any, str]] = [
-    ("rules.warmUp", -1, ""), ("rules.tipAfter", "nan", ""), ("prices.crossZone", float("inf"), ""),
-    ("familyInfo.linkUnitKb", 10**400, ""), ("rules.coldShare", ..., ""), ("rules.coldShare", 1.5, ""),
-    ("rules.fallMultiple", ..., ""), ("rules.tipAfter", ..., ""), ("peersTotal", ..., ""), ("ordinal", 3, ""),
-    ("familyInfo.kindSlots", ..., ""), ("familyInfo.kindSlots", [30, 20], ""), ("discovery", "guessed", ""),
-    ("categories", ..., ""), ("categories", [], ""), ("categories.0.name", ..., ""),
-    ("categories.0.deadline", ..., ""), ("categories.0.onTime", 0, ""), ("categories.0.effect", ..., ""),
-    ("categories.0.effect", "maybe", ""), ("categories.0.effect", "by_key", "categories.0.keyScope"),
-    ("familyInfo.levelKb", ..., ""), ("familyInfo.levelKb", [100, 400, 200], ""),
-    ("familyInfo.rungWorth", [0.2, 1], ""), ("familyInfo.floorByClass", [3], ""),
-    ("familyInfo.classTop", [0], "familyInfo.floorByClass"), ("familyInfo.floorByClass", [0, 0], ""),
-    ("familyInfo.seats", [-1], ""), ("familyInfo.classScale", [0], ""),
-    ("rules.extraFree", 3, "rules.extraWindow"), ("rules.resendRatio", 0.1, "rules.extraWindow"),
-]  # fmt: skip
+    ("rules.warmUp", -1, ""),
+    ("rules.tipAfter", "nan", ""),
+    ("prices.crossZone", float("inf"), ""),
+    ("familyInfo.linkUnitKb", 10**400, ""),
+    ("rules.coldShare", ..., ""),
+    ("rules.coldShare", 1.5, ""),
+    ("rules.fallMultiple", ..., ""),
+    ("rules.tipAfter", ..., ""),
+    ("peersTotal", ..., ""),
+    ("ordinal", 3, ""),
+    ("familyInfo.kindSlots", ..., ""),
+    ("familyInfo.kindSlots", [30, 20], ""),
+    ("discovery", "guessed", ""),
+    ("categories", ..., ""),
+    ("categories", [], ""),
+    ("categories.0.name", ..., ""),
+    ("categories.0.deadline", ..., ""),
+    ("categories.0.onTime", 0, ""),
+    ("categories.0.effect", ..., ""),
+    ("categories.0.effect", "maybe", ""),
+    ("categories.0.effect", "by_key", "categories.0.keyScope"),
+    ("familyInfo.levelKb", ..., ""),
+    ("familyInfo.levelKb", [100, 400, 200], ""),
+    ("familyInfo.rungWorth", [0.2, 1], ""),
+    ("familyInfo.floorByClass", [3], ""),
+    ("familyInfo.classTop", [0], "familyInfo.floorByClass"),
+    ("familyInfo.floorByClass", [0, 0], ""),
+    ("familyInfo.seats", [-1], ""),
+    ("familyInfo.classScale", [0], ""),
+    ("rules.extraFree", 3, "rules.extraWindow"),
+    ("rules.resendRatio", 0.1, "rules.extraWindow"),
+]
 
 
 @pytest.mark.parametrize("path, value, named", WRONG)
 def test_a_setting_without_safe_default_out_of_range_or_contradictory_is_named_at_both_doors(
-    path: str, value: Any, named: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
+    path: str,
+    value: Any,
+    named: str,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
-) -> None:  # fmt: skip
+) -> None:
     floored = changed("familyInfo.floorByClass", [1]) if path == "familyInfo.classTop" else SETTINGS
     monkeypatch.setattr("tests.test_platform.SETTINGS", floored)
     conf = changed(path, value)
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -149,8 +149,9 @@
         self.reader = rtsp.Reader()
         self.got: list[rtsp.codec.Message] = []
 
-    def send(self, method: str, n: int, cseq: str = "1", title: str = "7f3a", fields: Any = (),
-             body: str = "") -> None:  # fmt: skip
+    def send(
+        self, method: str, n: int, cseq: str = "1", title: str = "7f3a", fields: Any = (), body: str = ""
+    ) -> None:
         at = f"rtsp://media/{title}"
         self.stream.send(rtsp.request(method, at, cseq, sid(n), list(fields), body.encode()))
 
@@ -180,8 +181,17 @@
 
 
 class World:
-    def __init__(self, loop: Loop, hosts: int, folder: Path, ceilings: dict[str, Any], sockets: int = 256,
-                 sold: Any = None, rules: Any = None, start: bool = True) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        hosts: int,
+        folder: Path,
+        ceilings: dict[str, Any],
+        sockets: int = 256,
+        sold: Any = None,
+        rules: Any = None,
+        start: bool = True,
+    ) -> None:
         """`sold` changes the package's settings, `rules` those of the rules."""
         self.loop, self.folder, self.sockets = loop, folder, sockets
         self.ceilings = {**SETTINGS["ceilings"], "peerMessages": True, **ceilings}
@@ -215,19 +225,34 @@
     def members(self, *changes: tuple[Host, str]) -> list[dict[str, Any]]:
         told = changes or tuple((host, "ready") for host in self.hosts)
         return [
-            {"id": h.name, "host_port": h.at, "locality": "a", "flavor": "k", "cell": int(h.name[2:]),
-             "phase": phase, "size": 2, "up_since_ms": 0}
+            {
+                "id": h.name,
+                "host_port": h.at,
+                "locality": "a",
+                "flavor": "k",
+                "cell": int(h.name[2:]),
+                "phase": phase,
+                "size": 2,
+                "up_since_ms": 0,
+            }
             for h, phase in told
-        ]  # fmt: skip
+        ]
 
     def write(self) -> None:
         hosts = {"revision": 1, "complete": True, "members": self.members()}
         entry = {"pos": 1, "hosts": hosts}
         settings = {**SETTINGS, "ceilings": self.ceilings, "rules": self.rules, "categories": [self.sold]}
-        config = {"name": "n0", "listen": self.listen, "seed": "7",
-                  "limits": {"memory_mb": 32, "sockets": self.sockets}, "peer_listen": self.peer_listen,
-                  "peers": self.peers, "journal": str(self.journal.at),
-                  "known": {"pos": 1, "entries": [entry]}, "settings": settings}  # fmt: skip
+        config = {
+            "name": "n0",
+            "listen": self.listen,
+            "seed": "7",
+            "limits": {"memory_mb": 32, "sockets": self.sockets},
+            "peer_listen": self.peer_listen,
+            "peers": self.peers,
+            "journal": str(self.journal.at),
+            "known": {"pos": 1, "entries": [entry]},
+            "settings": settings,
+        }
         self.path.write_text(json.dumps(config))
 
     def serve_journal(self) -> Listener:
@@ -286,8 +311,9 @@
 
 
 @contextmanager
-def running(loop: Loop, hosts: int = 2, sockets: int = 256, sold: Any = None, rules: Any = None,
-            **ceilings: Any) -> Iterator[tuple[World, Viewers]]:  # fmt: skip
+def running(
+    loop: Loop, hosts: int = 2, sockets: int = 256, sold: Any = None, rules: Any = None, **ceilings: Any
+) -> Iterator[tuple[World, Viewers]]:
     with tempfile.TemporaryDirectory() as folder:
         world = World(loop, hosts, Path(folder), ceilings, sockets, sold, rules)
         try:
@@ -344,10 +370,18 @@
         v.set_up(1)
         assert v.answer()[0] == "200"
         good = [("X-Tier", "clip"), ("X-Deadline", "3000"), ("X-Attrs", "home:0;copies:6;top:2")]
-        wrong = [("X-Tier", "gold"), ("X-Deadline", "-5"), ("X-Deadline", "1e9"), ("X-Deadline", "999999999"),
-                 ("X-Attrs", "home:x;copies:6;top:2"), ("X-Attrs", "home:99;copies:6;top:2"),
-                 ("X-Attrs", "home:0;copies:0;top:2"), ("X-Attrs", "home:0;copies:6;top:77"), ("X-Attrs", ""),
-                 ("X-Attrs", "home:0;copies:6;top:2;at:s-nowhere")]  # fmt: skip
+        wrong = [
+            ("X-Tier", "gold"),
+            ("X-Deadline", "-5"),
+            ("X-Deadline", "1e9"),
+            ("X-Deadline", "999999999"),
+            ("X-Attrs", "home:x;copies:6;top:2"),
+            ("X-Attrs", "home:99;copies:6;top:2"),
+            ("X-Attrs", "home:0;copies:0;top:2"),
+            ("X-Attrs", "home:0;copies:6;top:77"),
+            ("X-Attrs", ""),
+            ("X-Attrs", "home:0;copies:6;top:2;at:s-nowhere"),
+        ]
         for i, (name, value) in enumerate(wrong):
             bad = world.viewers()
             fields = [(n, value if n == name else held) for n, held in good]
@@ -356,9 +390,14 @@
         bad = world.viewers()
         bad.send("SETUP", 1, fields=good, body="another description")  # the id of one that plays
         assert bad.next()[1] == "400"
-        for raw in (b"\x00\x01noise\r\n\r\n", b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: -1\r\n\r\n",
-                    b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 200000,
-                    b"X" * 40000, b"SETUP rtsp://media/a RTSP/1.0\r\nCSe", b""):  # fmt: skip
+        for raw in (
+            b"\x00\x01noise\r\n\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: -1\r\n\r\n",
+            b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 200000,
+            b"X" * 40000,
+            b"SETUP rtsp://media/a RTSP/1.0\r\nCSe",
+            b"",
+        ):
             bad = world.viewers()
             try:
                 bad.stream.send(raw)
@@ -384,8 +423,11 @@
 @on_loop
 def test_spoilt_second_and_late_answers_of_media_hosts(loop: Loop) -> None:
     with running(loop) as (world, v):
-        spoilt = [b"noise\n", b'{"verb":"STARTED","tag":"%s","blob":"' % sid(1).encode() + b"x" * 40000,
-                  hostline.written("FINISH", sid(1), {}, 47)]  # fmt: skip
+        spoilt = [
+            b"noise\n",
+            b'{"verb":"STARTED","tag":"%s","blob":"' % sid(1).encode() + b"x" * 40000,
+            hostline.written("FINISH", sid(1), {}, 47),
+        ]
         for h in world.hosts:
             h.how = lambda tag: spoilt.pop(0) if spoilt else hostline.written("STARTED", tag, {}, None, BLOB)
         v.set_up(1)
@@ -549,7 +591,10 @@
         wrong.write_text('{"listen": 5}')
         for path in (str(wrong), "", folder + "/none"):
             done = subprocess.run(
-                [sys.executable, "-m", "ledgehitch.platform"], env={**os.environ, "ROUTER_CONFIG": path},
-                capture_output=True, timeout=20, cwd=Path(__file__).parents[1],
-            )  # fmt: skip
+                [sys.executable, "-m", "ledgehitch.platform"],
+                env={**os.environ, "ROUTER_CONFIG": path},
+                capture_output=True,
+                timeout=20,
+                cwd=Path(__file__).parents[1],
+            )
             assert done.returncode == 2 and done.stderr.count(b"\n") == 1, done.stderr
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -257,8 +257,16 @@
 
     def offer(self, rig: Rig, n: int, patience: float = 3.0) -> None:
         self.conn += 1
-        self.tape.write("ask", conn=self.conn, who=f"t{n}", package="recorded", title="clip-1", gateway="g0",
-                        patience=patience, offer=str(n))  # fmt: skip
+        self.tape.write(
+            "ask",
+            conn=self.conn,
+            who=f"t{n}",
+            package="recorded",
+            title="clip-1",
+            gateway="g0",
+            patience=patience,
+            offer=str(n),
+        )
         conn = self.conn
         try:
             with rig.loop.deadline(patience + 1.0):
@@ -267,8 +275,14 @@
             self.tape.write("hangup", conn=conn)
             return
         kind = {201: "plays", 503: "blocked", 504: "aborted"}.get(response.status, "other")
-        self.tape.write("answer", conn=conn, status=response.status, kind=kind, extra=0,
-                        resource=response.header("location") or "")  # fmt: skip
+        self.tape.write(
+            "answer",
+            conn=conn,
+            status=response.status,
+            kind=kind,
+            extra=0,
+            resource=response.header("location") or "",
+        )
 
     def breaches(self, rig: Rig) -> list[Breach]:
         self.tape.close()
@@ -333,8 +347,11 @@
 
 def test_without_the_news_of_drains_rule_3_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     listed = Gateway.listed
-    monkeypatch.setattr(Gateway, "listed", lambda gw, now, how, rows: listed(
-        gw, now, how, [r for r in rows if r.state == "in_service"]))  # fmt: skip
+    monkeypatch.setattr(
+        Gateway,
+        "listed",
+        lambda gw, now, how, rows: listed(gw, now, how, [r for r in rows if r.state == "in_service"]),
+    )
     monkeypatch.setattr(Gate, "listed", lambda gate, now, host, up: gate.hosts.setdefault(host, None))
     taped = Taped(tmp_path)
     rig = Rig({"*": taped.host(Host.plays)}, terms={"drain_grace": 0.1})
@@ -355,8 +372,12 @@
 ) -> None:
     monkeypatch.setattr(Gateway, "_too_cold", lambda *args: False)
     taped = Taped(tmp_path)
-    rig = Rig({"*": taped.host(Host.plays)}, hosts=1, terms={"warm_up": 60.0, "cold_share": 0.1},
-              fleet={"slots": {"std": 10}})  # fmt: skip
+    rig = Rig(
+        {"*": taped.host(Host.plays)},
+        hosts=1,
+        terms={"warm_up": 60.0, "cold_share": 0.1},
+        fleet={"slots": {"std": 10}},
+    )
 
     def day(rig: Rig) -> None:
         taped.tape.write("started", host="h0", slots=10)
