--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -52,7 +52,11 @@
     )
     assert good == [Report(sn=0, ts=1, msd=300)]
     assert [(b["report"], b["field"]) for b in bad] == [
-        (1, "sn"), (2, "bsd[0]"), (3, "the whole report"), (4, "the whole report")]  # fmt: skip
+        (1, "sn"),
+        (2, "bsd[0]"),
+        (3, "the whole report"),
+        (4, "the whole report"),
+    ]
     for body in (b"{}", b"nonsense", b"[" + b'{"sn":0,"ts":1},' * 300 + b'{"sn":0,"ts":1}]'):
         with pytest.raises(ValueError, match="batch"):
             reports_in(body)
@@ -155,8 +159,13 @@
     for n in range(40):
         name, viewing = chance.choice("abc"), f"v{chance.randrange(4)}"
         at = T + n * 0.9
-        one = report(n, at, bsd=[500] if chance.random() < 0.3 else [], rung=chance.randrange(3),
-                     msd=chance.randrange(50, 500) if n == 0 else None)  # fmt: skip
+        one = report(
+            n,
+            at,
+            bsd=[500] if chance.random() < 0.3 else [],
+            rung=chance.randrange(3),
+            msd=chance.randrange(50, 500) if n == 0 else None,
+        )
         raw.append((name, viewing, one, at))
         sources[name].reported(at, viewing, one)
         if chance.random() < 0.4:
@@ -335,8 +344,14 @@
 
 def test_confounded_faults_are_told_apart_or_said_not_to_be() -> None:
     # A bad title held mostly by a good rack: the title, not the rack.
-    table = cells(r0__bad=(800, 200), r1__bad=(100, 25), r0__a=(300, 6), r1__a=(900, 18), r2__a=(900, 18),
-                  r2__bad=(60, 15))  # fmt: skip
+    table = cells(
+        r0__bad=(800, 200),
+        r1__bad=(100, 25),
+        r0__a=(300, 6),
+        r1__a=(900, 18),
+        r2__a=(900, 18),
+        r2__bad=(60, 15),
+    )
     assert [(c.kind, c.name) for c in look(table).culprits] == [("title", "bad")]
     # A bad rack that plays mostly one title: the rack.
     table = cells(r0__a=(900, 200), r0__b=(80, 18), r1__a=(400, 8), r1__b=(500, 10), r2__b=(800, 16))
@@ -431,7 +446,9 @@
         rig.gateway.place(msgspec.structs.replace(rig.site, fleet=fleet))
         again = json.loads(rig.client.request(rig.at, "GET", "/quality/report").body)
         assert {(c["kind"], c["name"]) for c in again["verdict"]["culprits"]} == {
-            ("rack", "west"), ("title", titles[1])}  # fmt: skip
+            ("rack", "west"),
+            ("title", titles[1]),
+        }
         assert again["groups"]["rack"]["west"] == report["groups"]["rack"]["rack-1"]
         assert (
             set(again["groups"]["package"]) == {"recorded"} and again["groups"]["rung"]["0"]["viewings"] > 300
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -72,10 +72,14 @@
         for i, port in enumerate(self.ports):
             settings = {**SETTINGS, "familyInfo": fam, "ordinal": i, "peersTotal": self.n}
             config = {
-                "name": f"n{i}", "listen": f"127.0.0.1:{port}", "seed": str(i), "settings": settings,
-                "limits": {"memory_mb": 32, "sockets": 256}, "journal": str(self.world.journal.at),
+                "name": f"n{i}",
+                "listen": f"127.0.0.1:{port}",
+                "seed": str(i),
+                "settings": settings,
+                "limits": {"memory_mb": 32, "sockets": 256},
+                "journal": str(self.world.journal.at),
                 "known": {"pos": 1, "entries": [self.entry(1, True)]},
-            }  # fmt: skip
+            }
             path = self.folder / f"{i}.json"
             path.write_text(json.dumps(config))
             env = {**os.environ, "ROUTER_CONFIG": str(path)}
@@ -89,8 +93,11 @@
         while True:
             try:
                 stream = connect(self.loop, endpoint(f"127.0.0.1:{port}"))
-                stream.send(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: " + b"0" * 16
-                            + b"\r\nContent-Length: 0\r\n\r\n")  # fmt: skip
+                stream.send(
+                    b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nSession: "
+                    + b"0" * 16
+                    + b"\r\nContent-Length: 0\r\n\r\n"
+                )
                 if b" 200 " in stream.receive():
                     stream.close()
                     return time.monotonic()
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -21,8 +21,9 @@
 
 def rig_of(directory: Path, **more: Any) -> FleetRig:
     """Viewers ask for three times what the fleet may let in, and watch so shortly that hosts have room."""
-    return FleetRig(directory, 6, halls=2, hosts=9, rate=3 * RATE, watch=0.3, door=DOOR, regions=REGIONS,
-                    **more)  # fmt: skip
+    return FleetRig(
+        directory, 6, halls=2, hosts=9, rate=3 * RATE, watch=0.3, door=DOOR, regions=REGIONS, **more
+    )
 
 
 def used(rig: FleetRig, seconds: float = 4.0) -> float:
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -64,8 +64,11 @@
     # The same tape with one answer taken out is found to be broken, by the command too.
     path = tmp_path / "d" / "tape" / "viewers.tape"
     lines = path.read_bytes().splitlines(keepends=True)
-    path.write_bytes(b"".join(x for i, x in enumerate(lines) if i != next(
-        i for i, x in enumerate(lines) if b'"answer"' in x)))  # fmt: skip
+    path.write_bytes(
+        b"".join(
+            x for i, x in enumerate(lines) if i != next(i for i, x in enumerate(lines) if b'"answer"' in x)
+        )
+    )
     broken = run("check-tape", str(tmp_path / "d"))
     assert broken.returncode == 1 and "rule 1: never answered" in broken.stdout
     refused = run("rehearse", str(BAD_DAY), "--tape", str(tmp_path / "d"))
@@ -75,8 +78,10 @@
 def test_up_serves_a_first_viewing_and_ends_all_within_two_seconds(tmp_path: Path) -> None:
     child = subprocess.Popen(
         [sys.executable, "-m", "ledgehitch", "--log-level", "error", "up", "--seed", "3"],
-        stdout=subprocess.PIPE, text=True, cwd=ROOT,
-    )  # fmt: skip
+        stdout=subprocess.PIPE,
+        text=True,
+        cwd=ROOT,
+    )
     try:
         assert child.stdout is not None
         at = json.loads(child.stdout.readline())["gateway"]
@@ -171,8 +176,19 @@
 def bench_day(**more: Any) -> dict[str, Any]:
     """A small day in the bench's own form, with every kind of trouble."""
     kinds = [*KINDS_HERE, "earthquake"]
-    troubles = [{"kind": k, "at": 1e6 * i, "len": 2e6, "size": 2.0, "extra": 0.5, "on": [0, 1], "steps": [],
-                 "how": "reset"} for i, k in enumerate(kinds)]  # fmt: skip
+    troubles = [
+        {
+            "kind": k,
+            "at": 1e6 * i,
+            "len": 2e6,
+            "size": 2.0,
+            "extra": 0.5,
+            "on": [0, 1],
+            "steps": [],
+            "how": "reset",
+        }
+        for i, k in enumerate(kinds)
+    ]
     tier = {"kinds": [{"cores": 2}], "report_noise": 0.05, "stated_cold": 8e6, "stated_cold_from": 0.3}
     return {
         "site": "made",
@@ -244,8 +260,11 @@
 def test_all_on_a_place_get_the_same_cut_and_the_smaller_of_two(
     hosts: list[tuple[float, float]], up: float
 ) -> None:
-    fabric = Fabric({f"h{i}": Link(kb) for i, (_, kb) in enumerate(hosts)}, {0: Link(up)},
-                    {f"h{i}": 0 for i in range(len(hosts))})  # fmt: skip
+    fabric = Fabric(
+        {f"h{i}": Link(kb) for i, (_, kb) in enumerate(hosts)},
+        {0: Link(up)},
+        {f"h{i}": 0 for i in range(len(hosts))},
+    )
     asked = {f"h{i}": kb for i, (kb, _) in enumerate(hosts)}
     told = fabric.deliveries(asked)
     cuts = [min(1.0, link / kb if kb else 1.0) for kb, link in hosts]
@@ -275,8 +294,14 @@
 
 
 def test_fifty_reloads_under_load_ten_of_them_bad_lose_nothing(tmp_path: Path) -> None:
-    raw = {**msgspec.to_builtins(read_day(BAD_DAY)), "faults": [], "length": 10.0, "settle": 0.5, "site": {},
-           "shape": {"gateways": 1, "hosts": 4, "rack": 2, "link_kb": 1e5}}  # fmt: skip
+    raw = {
+        **msgspec.to_builtins(read_day(BAD_DAY)),
+        "faults": [],
+        "length": 10.0,
+        "settle": 0.5,
+        "site": {},
+        "shape": {"gateways": 1, "hosts": 4, "rack": 2, "link_kb": 1e5},
+    }
     day = msgspec.convert(raw, Day)
     loop = Loop()
     told: dict[str, Any] = {}
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,21 +10,39 @@
 from tests.helpers import FLEET, LADDER, Ledger
 
 packages = st.builds(
-    Package, name=st.just("p"), join_target=st.just(0.8), patience=st.just(3.0), floor=st.integers(0, 2),
+    Package,
+    name=st.just("p"),
+    join_target=st.just(0.8),
+    patience=st.just(3.0),
+    floor=st.integers(0, 2),
     effect=st.sampled_from(["repeatable", "by_key", "once"]),
     key_scope=st.sampled_from(["all", "zone", "cell"]),
-    key_window=st.sampled_from([0.5, 5.0]), top=st.integers(2, 9), seats=st.sampled_from([0, 1, 3]),
+    key_window=st.sampled_from([0.5, 5.0]),
+    top=st.integers(2, 9),
+    seats=st.sampled_from([0, 1, 3]),
     scale=st.sampled_from([0.5, 1.0]),
-)  # fmt: skip
+)
 all_terms = st.builds(
-    Terms, zone=st.just("a"), gateways=st.integers(1, 4), ordinal=st.integers(0, 3),
+    Terms,
+    zone=st.just("a"),
+    gateways=st.integers(1, 4),
+    ordinal=st.integers(0, 3),
     tune_ins=st.integers(1, 4),
-    answer_slack=st.just(0.04), drain_grace=st.just(0.0), on_request=st.booleans(), ask_within=st.just(5.0),
-    cold_share=st.sampled_from([0.2, 0.5]), warm_up=st.just(10.0), fall_multiple=st.sampled_from([2.0, 4.0]),
-    fall_after=st.sampled_from([1.0, 2.0]), extra_free=st.sampled_from([None, 0.0, 2.0]),
-    extra_ratio=st.sampled_from([0.0, 0.3]), extra_window=st.just(4.0), may_tell=st.booleans(),
-    may_advise=st.booleans(), longest_advice=st.sampled_from([0.0, 0.5]),
-)  # fmt: skip
+    answer_slack=st.just(0.04),
+    drain_grace=st.just(0.0),
+    on_request=st.booleans(),
+    ask_within=st.just(5.0),
+    cold_share=st.sampled_from([0.2, 0.5]),
+    warm_up=st.just(10.0),
+    fall_multiple=st.sampled_from([2.0, 4.0]),
+    fall_after=st.sampled_from([1.0, 2.0]),
+    extra_free=st.sampled_from([None, 0.0, 2.0]),
+    extra_ratio=st.sampled_from([0.0, 0.3]),
+    extra_window=st.just(4.0),
+    may_tell=st.booleans(),
+    may_advise=st.booleans(),
+    longest_advice=st.sampled_from([0.0, 0.5]),
+)
 small = Fleet(cells=6, racks=2, links_kb=9000, uplink_kb=3000, slots={"k": 20}, load_fields=("cpu", "x1"))
 fleets = st.sampled_from([FLEET, Fleet(), small])
 ODD = [-1.0, 0.0, 0.01, 0.3, 0.7, 0.97, 1.0, 1.3, 50.0, 1e300, float("nan"), float("inf")]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,8 +31,16 @@
 
 
 def raw(**more: Any) -> dict[str, Any]:
-    return {"name": "some", "members": 24, "real": 3, "processes": 2, "zones": 3, "lease": 1.5,
-            "phases": [{"name": "quiet", "length": 5.0}], **more}  # fmt: skip
+    return {
+        "name": "some",
+        "members": 24,
+        "real": 3,
+        "processes": 2,
+        "zones": 3,
+        "lease": 1.5,
+        "phases": [{"name": "quiet", "length": 5.0}],
+        **more,
+    }
 
 
 def plan(**more: Any) -> Plan:
@@ -144,19 +152,29 @@
 
 def test_terms_end_with_a_word_with_their_member_or_at_the_end() -> None:
     events = [
-        Event(1.0, "won", "a", RESTARTS, 1), Event(2.0, "won", "a", BUDGETS, 1), Event(5.0, "gone", "a"),
-        Event(4.0, "lost", "a", BUDGETS, 1), Event(7.0, "won", "b", RESTARTS, 2),
-        Event(8.0, "won", "b", RESTARTS, 3), Event(9.0, "lost", "c", BUDGETS, 9),
-    ]  # fmt: skip
+        Event(1.0, "won", "a", RESTARTS, 1),
+        Event(2.0, "won", "a", BUDGETS, 1),
+        Event(5.0, "gone", "a"),
+        Event(4.0, "lost", "a", BUDGETS, 1),
+        Event(7.0, "won", "b", RESTARTS, 2),
+        Event(8.0, "won", "b", RESTARTS, 3),
+        Event(9.0, "lost", "c", BUDGETS, 9),
+    ]
     assert terms_of(events, 12.0) == [
-        Term(RESTARTS, "a", 1, 1.0, 5.0), Term(BUDGETS, "a", 1, 2.0, 4.0),
-        Term(RESTARTS, "b", 2, 7.0, 8.0), Term(RESTARTS, "b", 3, 8.0, 12.0),
-    ]  # fmt: skip
+        Term(RESTARTS, "a", 1, 1.0, 5.0),
+        Term(BUDGETS, "a", 1, 2.0, 4.0),
+        Term(RESTARTS, "b", 2, 7.0, 8.0),
+        Term(RESTARTS, "b", 3, 8.0, 12.0),
+    ]
 
 
 def test_time_without_an_owner_is_what_no_term_covers() -> None:
-    terms = [Term(BUDGETS, "a", 1, 0.0, 4.0), Term(BUDGETS, "b", 2, 3.0, 6.0),
-             Term(BUDGETS, "c", 3, 8.0, 9.0), Term(RESTARTS, "a", 1, 0.0, 20.0)]  # fmt: skip
+    terms = [
+        Term(BUDGETS, "a", 1, 0.0, 4.0),
+        Term(BUDGETS, "b", 2, 3.0, 6.0),
+        Term(BUDGETS, "c", 3, 8.0, 9.0),
+        Term(RESTARTS, "a", 1, 0.0, 20.0),
+    ]
     assert without_owner(terms, BUDGETS, 1.0, 8.5) == 2.0
     assert without_owner(terms, BUDGETS, 1.0, 10.0) == 3.0
     assert without_owner(terms, BUDGETS, 1.0, 10.0, {"b"}) == 6.0
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -136,8 +136,10 @@
 
 
 def two_regions(*regions: RegionRecord, gone: tuple[str, ...] = ()) -> Site:
-    gateways = [GatewayRecord(name=g, at=f"127.0.0.1:{8000 + n}", zone=f"z{n % 2}", gone=g in gone)
-                for n, g in enumerate(f"g{n}" for n in range(6))]  # fmt: skip
+    gateways = [
+        GatewayRecord(name=g, at=f"127.0.0.1:{8000 + n}", zone=f"z{n % 2}", gone=g in gone)
+        for n, g in enumerate(f"g{n}" for n in range(6))
+    ]
     return msgspec.structs.replace(one_gateway(), gateways=gateways, regions=list(regions))
 
 
@@ -173,21 +175,34 @@
 WRONG: list[tuple[str, str, str]] = [
     ("regions: north: zones: []", "regions.north.zones", "a region has a zone at least"),
     ('regions: north: zones: ["a", "z9"]', "regions.north.zones.1", "no gateway is in zone 'z9'"),
-    ('regions: { north: zones: ["a", "b"], south: zones: ["b"] }', "regions.south.zones.0",
-     "zone 'b' is in region 'north' already"),
+    (
+        'regions: { north: zones: ["a", "b"], south: zones: ["b"] }',
+        "regions.south.zones.0",
+        "zone 'b' is in region 'north' already",
+    ),
     ('regions: north: zones: ["a"]', "gateways.g2.zone", "zone 'b' is in no region, while others are in one"),
-    ('regions: { north: { zones: ["a"], share: 50% }, south: zones: ["b"] }', "regions.south",
-     "it has no share, while 'north' states one"),
-    ('regions: { north: { zones: ["a"], share: 50.1% }, south: { zones: ["b"], share: 50% } }',
-     "regions.south.share", "shares come to 1.001, more than the whole"),
-    ('regions: { north: { zones: ["a"], gone: true }, south: { zones: ["b"], gone: true } }', "regions",
-     "all of them are declared gone"),
-]  # fmt: skip
+    (
+        'regions: { north: { zones: ["a"], share: 50% }, south: zones: ["b"] }',
+        "regions.south",
+        "it has no share, while 'north' states one",
+    ),
+    (
+        'regions: { north: { zones: ["a"], share: 50.1% }, south: { zones: ["b"], share: 50% } }',
+        "regions.south.share",
+        "shares come to 1.001, more than the whole",
+    ),
+    (
+        'regions: { north: { zones: ["a"], gone: true }, south: { zones: ["b"], gone: true } }',
+        "regions",
+        "all of them are declared gone",
+    ),
+]
 
 
 @pytest.mark.parametrize("text, place, reason", WRONG)
-def test_wrong_regions_are_refused_with_their_place(text: str, place: str, reason: str, tmp_path: Path
-                                                    ) -> None:  # fmt: skip
+def test_wrong_regions_are_refused_with_their_place(
+    text: str, place: str, reason: str, tmp_path: Path
+) -> None:
     gateways = 'gateways: { g1: { at: "127.0.0.1:82", zone: "a" }, g2: { at: "127.0.0.1:83", zone: "b" } }'
     good = GOOD.replace('g0: { at: "127.0.0.1:8080" }', 'g0: { at: "127.0.0.1:8080", zone: "a" }')
     said = messages(load_text(f"{good}{gateways}\n{text}\n"))
@@ -225,8 +240,20 @@
     before = blake3(b"g0\ng1\ng2\n10.000\n0.100000").digest(4)
     m = Memory(T, "g0", names, DUTIES, 10.0, None, 1, own_part=0.1)
     assert m.lists.digests() == (before, b"\0" * 4)
-    assert sorted(m.record()) == ["current", "fence", "former", "former_lease", "former_own_part", "joined",
-                                  "lease", "life", "lives", "own_part", "version", "votes"]  # fmt: skip
+    assert sorted(m.record()) == [
+        "current",
+        "fence",
+        "former",
+        "former_lease",
+        "former_own_part",
+        "joined",
+        "lease",
+        "life",
+        "lives",
+        "own_part",
+        "version",
+        "votes",
+    ]
     one = Owners(T, 0, names, m, random.Random(1))
     assert one.members == [0, 1, 2] and [d.number for d in one.duties.values()] == [0, 1, 2]
     sent = [d for _ in range(9) if (d := one.decide(T)) is not None]
@@ -242,9 +269,17 @@
         if self.all.get(n) is not None:
             return
         mine = [m for m in range(self.n) if m % 2 == n % 2]
-        memory = Memory(self.clock(n), self.names[n], tuple(self.names[m] for m in mine), self.duties,
-                        self.lease, self.disks[n] if disk == "same" else None, self.chance.getrandbits(32),
-                        regions="even", scope=f"r{n % 2}")  # fmt: skip
+        memory = Memory(
+            self.clock(n),
+            self.names[n],
+            tuple(self.names[m] for m in mine),
+            self.duties,
+            self.lease,
+            self.disks[n] if disk == "same" else None,
+            self.chance.getrandbits(32),
+            regions="even",
+            scope=f"r{n % 2}",
+        )
         chance = random.Random(self.chance.random())
         self.all[n] = Owners(self.clock(n), n, self.names, memory, chance, mine, [DUTIES.index(BUDGETS)])
         self.wakes[n] = 0.0
@@ -279,21 +314,28 @@
 
 def test_words_of_another_region_an_unknown_duty_and_another_version_are_refused_and_counted() -> None:
     names, north = tuple(f"g{n}" for n in range(6)), (0, 2, 4)
-    memory = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN),
-                    scope="north")  # fmt: skip
+    memory = Memory(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN), scope="north"
+    )
     memory.confirmed, memory.votes_from = True, T
     one = Owners(T, 0, names, memory, random.Random(1), north, [2])
     pulled(one, T)
     before = memory.record()
     good = Words("ask", 2, 9, 1, one.shorts[2], *memory.lists.digests())
     other = Lists(NORTH.gateways, (), 10.0, 10.0, regions=digest_of(RAISED)).digests()
-    for sender, words in ((1, good._replace(who=one.shorts[1])), (2, good._replace(duty=1)),
-                          (2, good._replace(list=other[0])), (2, good._replace(term=1 << 63))):  # fmt: skip
+    for sender, words in (
+        (1, good._replace(who=one.shorts[1])),
+        (2, good._replace(duty=1)),
+        (2, good._replace(list=other[0])),
+        (2, good._replace(term=1 << 63)),
+    ):
         one.heard(T, sender, read_words(written(words)))
     assert sorted(one.counts.items()) == [
-        ("a duty that nobody knows", 1), ("a term out of reach", 1),
+        ("a duty that nobody knows", 1),
+        ("a term out of reach", 1),
         ("asked by one of another version of the site", 1),
-        ("of a gateway of another region", 1)]  # fmt: skip
+        ("of a gateway of another region", 1),
+    ]
     assert memory.record() == before
     one.heard(T, 2, good)
     assert memory.voters[BUDGETS].member == "g2"
@@ -302,10 +344,12 @@
 def test_a_file_of_another_region_counts_as_lost_and_regions_are_versions_of_the_list() -> None:
     first = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN), scope="north")
     held = first.record()
-    assert Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN),
-                  scope="north").intact  # fmt: skip
-    assert not Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN),
-                      scope="south").intact  # fmt: skip
+    assert Memory(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN), scope="north"
+    ).intact
+    assert not Memory(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN), scope="south"
+    ).intact
     m = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(RAISED), scope="north")
     assert m.lists.former == NORTH.gateways and first.lists.digests()[0] == m.lists.digests()[1]
     third = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, m.record(), 3, regions="third", scope="north")
@@ -332,8 +376,14 @@
 
 def said(name: str, region: str, mine: tuple[str, ...] = (), stands: bool = True) -> Said:
     def one(duty: str) -> dict[str, Any]:
-        return {"owner": name if duty in mine else "", "term": 3, "lease_left": 1.0, "mine": duty in mine,
-                "refused": 0, "standstill": "" if duty in mine else f"no {duty}"}  # fmt: skip
+        return {
+            "owner": name if duty in mine else "",
+            "term": 3,
+            "lease_left": 1.0,
+            "mine": duty in mine,
+            "refused": 0,
+            "standstill": "" if duty in mine else f"no {duty}",
+        }
 
     duties = {d: one(d) for d in DUTIES}
     duties[BUDGETS]["region"] = region
@@ -343,8 +393,12 @@
 
 def test_owners_are_named_with_their_region_and_a_standstill_with_its_reason() -> None:
     regions = {g: r.name for r in EVEN for g in r.gateways}
-    some = [said("g0", "north", (BUDGETS,)), said("g2", "north"), said("g1", "south"),
-            *(Said(name, None, "timed out") for name in ("g3", "g4", "g5"))]  # fmt: skip
+    some = [
+        said("g0", "north", (BUDGETS,)),
+        said("g2", "north"),
+        said("g1", "south"),
+        *(Said(name, None, "timed out") for name in ("g3", "g4", "g5")),
+    ]
     found = {o.duty: o for o in owned(some, regions)}
     assert sorted(found) == ["budgets (north)", "budgets (south)", "restarts", "verdicts"]
     assert (found["budgets (north)"].kind, found["budgets (north)"].owner) == ("owned", "g0")
@@ -386,10 +440,23 @@
     lines: list[tuple[float, str, dict[str, Any]]] = []
     for lender, who, t, number, share, term in loans:
         ask = {"who": who, "to": lender, "term": term, "life": 1}
-        lines += [(t, "want", {**ask, "sequence": number, "number": 0}),
-                  (t + 0.1, "lent", {**ask, "who": lender, "to": who, "sequence": number, "number": number,
-                                     "seconds": 5.0, "loans": [int(share * WHOLE)]}),
-                  (t + 1.0, "want", {**ask, "sequence": number + 50, "number": number})]  # fmt: skip
+        lines += [
+            (t, "want", {**ask, "sequence": number, "number": 0}),
+            (
+                t + 0.1,
+                "lent",
+                {
+                    **ask,
+                    "who": lender,
+                    "to": who,
+                    "sequence": number,
+                    "number": number,
+                    "seconds": 5.0,
+                    "loans": [int(share * WHOLE)],
+                },
+            ),
+            (t + 1.0, "want", {**ask, "sequence": number + 50, "number": number}),
+        ]
     out = []
     for place, (t, ev, more) in enumerate(sorted(lines, key=lambda x: x[0])):
         out.append(Line({"t": t, "ev": ev, **more}))
@@ -397,8 +464,14 @@
     return out
 
 
-WHOLES = Wholes({}, 0.0, 6, 3.0, {g: [WHOLE // 100] for r in EVEN for g in r.gateways},
-                regions={r.name: (r.gateways, r.share) for r in EVEN})  # fmt: skip
+WHOLES = Wholes(
+    {},
+    0.0,
+    6,
+    3.0,
+    {g: [WHOLE // 100] for r in EVEN for g in r.gateways},
+    regions={r.name: (r.gateways, r.share) for r in EVEN},
+)
 OF = {g: r.name for r in EVEN for g in r.gateways}
 
 
--- a/tests/test_whole_units.py
+++ b/tests/test_whole_units.py
@@ -75,12 +75,24 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(wholes, parts_of_it, st.sets(st.integers(0, 40), min_size=1), st.sets(st.integers(0, 40), min_size=1),
-       parts_of_it, shares, st.randoms(use_true_random=False))  # fmt: skip
+@given(
+    wholes,
+    parts_of_it,
+    st.sets(st.integers(0, 40), min_size=1),
+    st.sets(st.integers(0, 40), min_size=1),
+    parts_of_it,
+    shares,
+    st.randoms(use_true_random=False),
+)
 def test_while_a_list_changes_any_mixture_of_versions_is_within_what_is_not_lent(
-    whole: int, own_part: float, now: set[int], before: set[int], former_part: float, share: int,
-    chance: random.Random
-) -> None:  # fmt: skip
+    whole: int,
+    own_part: float,
+    now: set[int],
+    before: set[int],
+    former_part: float,
+    share: int,
+    chance: random.Random,
+) -> None:
     """Each gateway goes by the former version, or by both; the lender lends by both."""
     budgets = [RATE, count(whole)]
     current, former = (tuple(f"g{n}" for n in sorted(some)) for some in (now, before))
@@ -96,8 +108,10 @@
     # Settled: those who have heard, and those who have not yet. What the version before had lent may be in
     # force at first: a newcomer waits for it (`OwnPart.at`).
     settled = lists._replace(former=())
-    for surely, names, most in ((False, current, lent_beside(budgets, settled, share)),
-                                (True, former, lent_beside(budgets, old, share))):  # fmt: skip
+    for surely, names, most in (
+        (False, current, lent_beside(budgets, settled, share)),
+        (True, former, lent_beside(budgets, old, share)),
+    ):
         after = smallest_own(budgets, settled, surely, share)
         for i in range(2):
             own = sum(max(parts[i], by_both[n][i]) for n, parts in after.items() if n in names)
@@ -105,8 +119,13 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(st.integers(1, 900), st.integers(1, 900), parts_of_it, st.integers(1, 40),
-       st.randoms(use_true_random=False))  # fmt: skip
+@given(
+    st.integers(1, 900),
+    st.integers(1, 900),
+    parts_of_it,
+    st.integers(1, 40),
+    st.randoms(use_true_random=False),
+)
 def test_while_a_whole_changes_by_a_reload_the_sum_is_within_the_larger_one(
     one: int, other: int, own_part: float, gateways: int, chance: random.Random
 ) -> None:
@@ -185,8 +204,9 @@
 
     def __init__(self, gateways: int, units: int) -> None:
         self.budget = Budget(SET_UPS, "count", 0.2, WHOLE // units)
-        self.lender = Lender(T - 100.0, 1, [self.budget], {}, [units * self.budget.grain], range(gateways),
-                             [DIGEST], LOAN)  # fmt: skip
+        self.lender = Lender(
+            T - 100.0, 1, [self.budget], {}, [units * self.budget.grain], range(gateways), [DIGEST], LOAN
+        )
         self.borrowers = [Borrower([self.budget], [0], me + 1, [DIGEST], LOAN) for me in range(gateways)]
         self.now = T
 
