--- a/ledgehitch/scale/play.py
+++ b/ledgehitch/scale/play.py
@@ -256,10 +256,10 @@
     def _point(self, p: Played, role: str, mechanism: str, kind: str, figures: dict[str, float]) -> None:
         self.points.append(
             Point(
-                role=role,
+                role=role,  # type: ignore[arg-type]
                 mechanism=mechanism,
                 phase=p.phase.name,
-                size=float(len(self.rig.seats)),  # type: ignore[arg-type]
+                size=float(len(self.rig.seats)),
                 size_unit="members",
                 figures={k: round(v, 6) for k, v in figures.items()},
                 kind=kind,  # type: ignore[arg-type]
