--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -3,9 +3,12 @@
 import json
 import os
 import random
-import time
+import sys
+import tracemalloc
+from collections.abc import Callable
 from fractions import Fraction
 from pathlib import Path
+from types import FrameType
 from typing import Any
 
 import msgspec
@@ -496,7 +499,31 @@
     assert "name" not in messages(as_json) and "6 has no unit" not in messages(as_json)
 
 
-def test_a_large_site_is_checked_in_time_that_grows_with_its_text(tmp_path: Path) -> None:
+def calls_and_bytes(work: Callable[[], object]) -> tuple[int, int]:
+    """Calls of functions (Python's and C's) during `work`, and the most bytes that it held at once.
+
+    Neither depends on the clock, on other processes, or on what this process held before.
+    """
+    calls = 0
+
+    def count(frame: FrameType, event: str, argument: object) -> None:
+        nonlocal calls
+        calls += event in ("call", "c_call")
+
+    sys.setprofile(count)
+    try:
+        work()
+    finally:
+        sys.setprofile(None)
+    tracemalloc.start()
+    try:
+        work()
+        return calls, tracemalloc.get_traced_memory()[1]
+    finally:
+        tracemalloc.stop()
+
+
+def test_a_large_site_is_checked_with_work_that_grows_with_its_text(tmp_path: Path) -> None:
     def write(name: str, hosts: int, routes: int, files: int) -> Path:
         root = tmp_path / name
         (root / "parts").mkdir(parents=True)
@@ -509,17 +536,17 @@
         (root / "site.lh").write_text(GOOD + 'include "parts/*.lh"\n')
         return root / "site.lh"
 
-    def seconds(path: Path) -> float:
-        start = time.process_time()
+    def check(path: Path) -> None:
         loaded = load(path)
         assert messages(loaded) == "" and loaded.site is not None
-        return time.process_time() - start
 
-    small, large = write("small", 140, 300, 60), write("large", 1400, 3000, 60)
-    seconds(small)
-    # The least of several of each: other work on the machine slows single runs, and must not decide.
-    ratio = min(seconds(large) for _ in range(2)) / min(seconds(small) for _ in range(3))
-    assert ratio < 20, f"ten times the text took {ratio:.1f} times as long"
+    small, large = write("small", 70, 150, 30), write("large", 700, 1500, 30)
+    check(small)  # loads the schema, once
+    few, little = calls_and_bytes(lambda: check(small))
+    many, much = calls_and_bytes(lambda: check(large))
+    # Ten times the text: ten times the work, and up to a fifth more for sorting.
+    assert many < 12 * few, f"ten times the text took {many / few:.1f} times as many calls"
+    assert much < 12 * little, f"ten times the text took {much / little:.1f} times as many bytes"
 
 
 # ---- reloads -----------------------------------------------------------------------------------------------
