--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -111,12 +111,21 @@
         nonlocal playing
         while (decision := gw.decide(now)) is not None:
             if isinstance(decision, interface.TuneIn):
-                gw.opened(now, decision.vw, decision.host, 0, 0.03)
+                gw.opened(now, decision.viewing_id, decision.host, 0, 0.03)
                 playing += 1
 
-    for vw in range(1, size + 1):
+    for viewing_id in range(1, size + 1):
         now += 0.002
-        gw.asked(now, vw, "p", f"t{vw % 20}", (vw % 20) * 3 % hosts, max(3, hosts // 5), 3, now + 3.0)
+        gw.asked(
+            now,
+            viewing_id,
+            "p",
+            f"t{viewing_id % 20}",
+            (viewing_id % 20) * 3 % hosts,
+            max(3, hosts // 5),
+            3,
+            now + 3.0,
+        )
         pull()
     if playing != size:
         raise SystemExit(f"{playing} of {size} play")
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -35,7 +35,7 @@
     rows = [interface.Row(f"h{i}", i, 1.0, "k", "", "in_service", 0.0) for i in range(hosts)]
     gw.listed(0.0, "total", rows)
     load = 0.3 if room else 1.2
-    now, vw, spent = 100.0, 0, 0.0
+    now, viewing_id, spent = 100.0, 0, 0.0
     playing: dict[int, str] = {}
 
     def pull() -> None:
@@ -48,15 +48,26 @@
 
     for step in range(int(SECONDS * rate)):
         now = 100.0 + step / rate
-        vw += 1
+        viewing_id += 1
         start = time.perf_counter()
-        gw.asked(now, vw, "p", f"t{vw % 20}", (vw % 20) * 3 % hosts, max(3, hosts // 5), 3, now + 3.0)
+        gw.asked(
+            now,
+            viewing_id,
+            "p",
+            f"t{viewing_id % 20}",
+            (viewing_id % 20) * 3 % hosts,
+            max(3, hosts // 5),
+            3,
+            now + 3.0,
+        )
         pull()
-        if vw in playing:
-            gw.opened(now, vw, playing[vw], 0, 0.03)
+        if viewing_id in playing:
+            gw.opened(now, viewing_id, playing[viewing_id], 0, 0.03)
             pull()
-        if vw - rate in playing:
-            gw.ended(now, vw - rate, True, interface.Outcome.OK, playing.pop(vw - rate), 1.0, 0)
+        if viewing_id - rate in playing:
+            gw.ended(
+                now, viewing_id - rate, True, interface.Outcome.OK, playing.pop(viewing_id - rate), 1.0, 0
+            )
             pull()
         if step % max(1, rate // hosts) == 0:
             host = f"h{(step // max(1, rate // hosts)) % hosts}"
@@ -64,7 +75,7 @@
             gw.told(now, 0, host, 4, load)
             pull()
         spent += time.perf_counter() - start
-    return spent / vw * 1000
+    return spent / viewing_id * 1000
 
 
 def main(other: Path | None = None) -> list[dict[str, Any]]:
--- a/ledgehitch/brain.py
+++ b/ledgehitch/brain.py
@@ -144,9 +144,9 @@
 
 class Viewing:
     def __init__(
-        self, vw: int, package: Package, title: str, cells: tuple[int, int], top: int, tables: Tables
+        self, viewing_id: int, package: Package, title: str, cells: tuple[int, int], top: int, tables: Tables
     ) -> None:
-        self.vw, self.package, self.title, self.cells, self.top = vw, package, title, cells, top
+        self.vw, self.package, self.title, self.cells, self.top = viewing_id, package, title, cells, top
         self.rates, self.worths, self.marks = tables.rates, tables.worths, tables.marks
         self.patience = self.asked_at = 0.0
         self.host: MediaHost | None = None
@@ -256,7 +256,7 @@
     def asked(
         self,
         now: float,
-        vw: int,
+        viewing_id: int,
         package: str,
         title: str,
         first: int,
@@ -264,25 +264,33 @@
         top: int,
         patience: float,
     ) -> None:
-        v = self.waiting[vw] = self._viewing(vw, package, title, (first, spread), top)
+        v = self.waiting[viewing_id] = self._viewing(viewing_id, package, title, (first, spread), top)
         v.patience, v.asked_at = patience, min(now, patience - v.package.patience)
         if self.terms.extra_free is not None:
             self.asked_times.append(now)
 
     def handed_over(
-        self, now: float, vw: int, package: str, title: str, first: int, spread: int, top: int, host: str
+        self,
+        now: float,
+        viewing_id: int,
+        package: str,
+        title: str,
+        first: int,
+        spread: int,
+        top: int,
+        host: str,
     ) -> None:
-        v = self._viewing(vw, package, title, (first, spread), top)
+        v = self._viewing(viewing_id, package, title, (first, spread), top)
         v.host, v.tune_ins, v.playing = self.hosts.get(host), 1, True
         if v.host:
-            v.host.viewings[vw] = v
+            v.host.viewings[viewing_id] = v
             self.busy[v.host.number] = v.host
         self.doubts_until = now  # who is handed viewings was not away, so its list is as good as any
         self._begin(now, v)
 
-    def opened(self, now: float, vw: int, host: str, tune_in: int, latency: float) -> None:
+    def opened(self, now: float, viewing_id: int, host: str, tune_in: int, latency: float) -> None:
         self.inputs += 1
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is None or v.playing or v.host is None:
             return
         self._tally(v.host, True)
@@ -293,10 +301,10 @@
         v.out, v.playing = False, True
         self._begin(now, v)
 
-    def told(self, now: float, vw: int, host: str, kind: int, value: float) -> None:
+    def told(self, now: float, viewing_id: int, host: str, kind: int, value: float) -> None:
         """News on a viewing: 1 the share delivered, 2 its rung, 3 and 4 the use of link and uplink."""
         self.inputs += 1
-        v, h = self.viewings.get(vw), self.hosts.get(host)
+        v, h = self.viewings.get(viewing_id), self.hosts.get(host)
         if not 0 <= value < math.inf or h is None:
             return
         if kind == 2 and v is not None and v.playing:
@@ -323,7 +331,7 @@
     def ended(
         self,
         now: float,
-        vw: int,
+        viewing_id: int,
         closed: bool,
         code: int,
         host: str,
@@ -334,7 +342,7 @@
         self.inputs += 1
         h = self.hosts.get(host)
         self._reported(now, h, loads)
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is None:
             return
         was_playing, v.out, v.playing = v.playing, False, False
@@ -344,22 +352,22 @@
         elif h is not None:
             self._judge(now, h, code, was_playing)
         if v.host is not None:
-            v.host.viewings.pop(vw, None)
+            v.host.viewings.pop(viewing_id, None)
             if not v.host.viewings:
                 self.busy.pop(v.host.number, None)
         if closed or was_playing or v.gone:
-            del self.viewings[vw]
+            del self.viewings[viewing_id]
             return
         v.host = None
         v.may_have_run |= code not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
         v.anchor = v.anchor if v.may_have_run else None
         v.looked = False
-        self.waiting[vw] = v
+        self.waiting[viewing_id] = v
 
-    def left(self, now: float, vw: int) -> None:
-        v = self.viewings.get(vw)
-        if v is not None and self.waiting.pop(vw, None) is not None:
-            del self.viewings[vw]
+    def left(self, now: float, viewing_id: int) -> None:
+        v = self.viewings.get(viewing_id)
+        if v is not None and self.waiting.pop(viewing_id, None) is not None:
+            del self.viewings[viewing_id]
         elif v is not None:
             v.gone = True  # its outcome still comes, and frees its seat and load
 
@@ -389,10 +397,14 @@
 
     # ---- bookkeeping ---------------------------------------------------------------------------------------
 
-    def _viewing(self, vw: int, package: str, title: str, cells: tuple[int, int], top: int) -> Viewing:
+    def _viewing(
+        self, viewing_id: int, package: str, title: str, cells: tuple[int, int], top: int
+    ) -> Viewing:
         p = self.packages.get(package) or Package(package, 1.0, 3.0)
         tables = self.tables.get(package) or Tables(p, self.rates, self.gains, self.best)
-        v = self.viewings[vw] = Viewing(vw, p, title, cells, min(top, p.top, len(self.rates) - 1), tables)
+        v = self.viewings[viewing_id] = Viewing(
+            viewing_id, p, title, cells, min(top, p.top, len(self.rates) - 1), tables
+        )
         return v
 
     def _begin(self, now: float, v: Viewing) -> None:
@@ -699,11 +711,11 @@
         self._load(now, v, rung)
         yield say.TuneIn(v.vw, h.row.host, max(within, 0.001))
 
-    def leaves(self, now: float, vw: int) -> bool:
+    def leaves(self, now: float, viewing_id: int) -> bool:
         """Whether a tune-in that was held up on its way may leave now (else it is moot); books it as of now.
 
         Guards against news that overtook it: its media host drains, or started anew and bears little."""
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is None or v.host is None or not v.out or v.gone or not v.host.listed:
             return False
         if v.sent_at in v.host.sent:
--- a/ledgehitch/daemon/admin.py
+++ b/ledgehitch/daemon/admin.py
@@ -226,11 +226,11 @@
         if not most.isdigit():
             raise Refused(400, f"most is a number, not {most[:20]!r}")
         out = []
-        for vw, v in list(self.running.carrier.viewings.items())[: min(int(most), MOST)]:
-            entry = self.running.carrier.desk.entries.get(vw)
+        for viewing_id, v in list(self.running.carrier.viewings.items())[: min(int(most), MOST)]:
+            entry = self.running.carrier.desk.entries.get(viewing_id)
             out.append(
                 {
-                    "vw": vw,
+                    "vw": viewing_id,
                     "viewing": entry.resource if entry is not None else "",
                     "title": v.title,
                     "package": v.package.name,
@@ -250,13 +250,13 @@
         entry = self.running.carrier.desk.of(which)
         if entry is None and not which.isdigit():
             raise Refused(404, "no such viewing plays; one that has ended is known by its number alone")
-        vw = entry.vw if entry is not None else int(which)
+        viewing_id = entry.viewing_id if entry is not None else int(which)
         recorder.flush()
         ours, theirs = os.pipe()
 
         def tell() -> None:
             lines, size = [], 0
-            for line in reversed(words_on(recorder.path, vw)):
+            for line in reversed(words_on(recorder.path, viewing_id)):
                 size += len(line) + 8
                 if size > MOST_WORDS:
                     break
@@ -272,5 +272,5 @@
             os.close(ours)
             os.close(theirs)
         if not lines:
-            raise Refused(404, f"the record holds nothing on viewing {vw}")
-        return {"vw": vw, "lines": lines}
+            raise Refused(404, f"the record holds nothing on viewing {viewing_id}")
+        return {"vw": viewing_id, "lines": lines}
--- a/ledgehitch/daemon/why.py
+++ b/ledgehitch/daemon/why.py
@@ -10,35 +10,35 @@
 KINDS = {1: "share delivered", 2: "rung in force", 3: "use of the link", 4: "use of the uplink"}
 
 
-def words_on(path: Path, vw: int) -> list[str]:
+def words_on(path: Path, viewing_id: int) -> list[str]:
     """Lines of a record on one viewing, oldest first; the first line says when it asked."""
     found: list[str] = []
     for segment in segments(path):
-        found += told(entries(segment), vw)
+        found += told(entries(segment), viewing_id)
     return found
 
 
-def told(some: Iterable[list[Any]], vw: int) -> list[str]:
+def told(some: Iterable[list[Any]], viewing_id: int) -> list[str]:
     out = []
     for name, *args in some:
         if name == "pulled":
-            out += [f"{args[0]:.3f}  {word}" for d in args[1] if (word := _decided(d, vw))]
-        elif len(args) > 1 and args[1] == vw:
+            out += [f"{args[0]:.3f}  {word}" for d in args[1] if (word := _decided(d, viewing_id))]
+        elif len(args) > 1 and args[1] == viewing_id:
             word = _happened(name, args)
             if word:
                 out.append(f"{args[0]:.3f}  {word}")
     return out
 
 
-def _decided(decision: list[Any], vw: int) -> str:
+def _decided(decision: list[Any], viewing_id: int) -> str:
     match decision:
-        case ["TuneIn", n, host, within] if n == vw:
+        case ["TuneIn", n, host, within] if n == viewing_id:
             return f"-> tune in at {host}, answer wanted within {within:.3f} s"
-        case ["SetRung", n, rung] if n == vw:
+        case ["SetRung", n, rung] if n == viewing_id:
             return f"-> rung {rung}"
-        case ["Block", n, stay_away] if n == vw:
+        case ["Block", n, stay_away] if n == viewing_id:
             return "-> blocked" + (f", come again in {stay_away:.1f} s" if stay_away else "")
-        case ["Abort", n] if n == vw:
+        case ["Abort", n] if n == viewing_id:
             return "-> aborted"
     return ""
 
--- a/ledgehitch/gate.py
+++ b/ledgehitch/gate.py
@@ -53,21 +53,21 @@
             if host not in names and gone is None:
                 self.hosts[host] = now
 
-    def asked(self, vw: int, package: Package, patience: float) -> None:
-        self.viewings[vw] = _Held(package, patience)
+    def asked(self, viewing_id: int, package: Package, patience: float) -> None:
+        self.viewings[viewing_id] = _Held(package, patience)
 
-    def sending(self, now: float, vw: int, host: str, within: float) -> None:
+    def sending(self, now: float, viewing_id: int, host: str, within: float) -> None:
         """Passes, and books, a tune-in that leaves now; else raises `Shut`."""
         try:
-            v = self.viewings.get(vw)
+            v = self.viewings.get(viewing_id)
             if v is None:
-                raise Shut(0, f"viewing {vw} was never asked for, or has its answer")
+                raise Shut(0, f"viewing {viewing_id} was never asked for, or has its answer")
             if v.out or v.playing:
-                raise Shut(2, f"viewing {vw} has a tune-in out or plays")
+                raise Shut(2, f"viewing {viewing_id} has a tune-in out or plays")
             if v.may_have_run and v.package.effect == "once":
-                raise Shut(2, f"viewing {vw} may have been set up already, and is paid for")
+                raise Shut(2, f"viewing {viewing_id} may have been set up already, and is paid for")
             if now + within > v.patience + HURRY:
-                raise Shut(1, f"viewing {vw}: {within:.3f} s end after its patience")
+                raise Shut(1, f"viewing {viewing_id}: {within:.3f} s end after its patience")
             self._reaches(now, host)
         except Shut:
             self.stopped += 1
@@ -81,25 +81,25 @@
         if gone is not None and now > gone + self.grace:
             raise Shut(3, f"{host} was heard to drain {now - gone:.3f} s ago")
 
-    def leaving(self, now: float, vw: int, host: str) -> None:
+    def leaving(self, now: float, viewing_id: int, host: str) -> None:
         """One that passed and was held up on its way leaves only now; raises `Shut` where it must not.
 
         Guards against what changed meanwhile: its host drains, its time is over."""
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is None or not v.out:
-            raise Shut(0, f"viewing {vw} has no tune-in out")
+            raise Shut(0, f"viewing {viewing_id} has no tune-in out")
         if now > v.patience + HURRY:
-            raise Shut(1, f"viewing {vw}: its patience is over")
+            raise Shut(1, f"viewing {viewing_id}: its patience is over")
         self._reaches(now, host)
 
-    def came_back(self, vw: int, code: int) -> None:
+    def came_back(self, viewing_id: int, code: int) -> None:
         """A tune-in has its outcome."""
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is not None and v.out:
             v.out = False
             v.playing = code == Outcome.OK
             v.may_have_run |= code not in NEVER_RAN
 
-    def done(self, vw: int) -> None:
+    def done(self, viewing_id: int) -> None:
         """The viewing was blocked, aborted or has ended."""
-        self.viewings.pop(vw, None)
+        self.viewings.pop(viewing_id, None)
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -120,18 +120,18 @@
             self._let_in(now, self.doorman)
         for decision in self.mind.pulled(now):
             match decision:
-                case say.TuneIn(vw, host, within):
-                    self._tune_in(now, vw, host, within)
-                case say.SetRung(vw, rung):
-                    self._set_rung(vw, rung)
-                case say.Block(vw, stay_away):
+                case say.TuneIn(viewing_id, host, within):
+                    self._tune_in(now, viewing_id, host, within)
+                case say.SetRung(viewing_id, rung):
+                    self._set_rung(viewing_id, rung)
+                case say.Block(viewing_id, stay_away):
                     self.counts.blocked += 1
-                    self._settled(now, vw, "blocked", advice=stay_away)
-                    self._forget(vw)
-                case say.Abort(vw):
+                    self._settled(now, viewing_id, "blocked", advice=stay_away)
+                    self._forget(viewing_id)
+                case say.Abort(viewing_id):
                     self.counts.aborted += 1
-                    self._settled(now, vw, "aborted")
-                    self._forget(vw)
+                    self._settled(now, viewing_id, "aborted")
+                    self._forget(viewing_id)
                 case say.Probe(host):
                     self.counts.probes += 1
                     self._spawn(self._probe, host, name=f"probe {host}")
@@ -152,14 +152,14 @@
                     self._lost(now, host)
         while (duty := self.desk.decide(now)) is not None:
             match duty:
-                case Answer(conn, vw):
+                case Answer(conn, viewing_id):
                     event = self.waiting.pop(conn, None)
                     if event is not None:
-                        event.set(vw)
-                case Leave(vw):
-                    self._left(now, vw)
-                case End(vw):
-                    self._end(now, vw)
+                        event.set(viewing_id)
+                case Leave(viewing_id):
+                    self._left(now, viewing_id)
+                case End(viewing_id):
+                    self._end(now, viewing_id)
         at_door = self.doorman.door.wake_at() if self.doorman is not None else None
         asks = (self.mind.brain.wake_at(), self.watch.wake_at(), self.desk.wake_at(), at_door)
         return min(at for at in asks if at is not None)
@@ -173,7 +173,7 @@
         self,
         conn: int,
         key: bytes,
-        vw: int,
+        viewing_id: int,
         viewing: Viewing,
         cells: tuple[int, int],
         top: int,
@@ -186,55 +186,62 @@
         `ticket` and `address` are for the door."""
         now = time.monotonic()
         event = self.waiting[conn] = Event(self.loop)
-        if self.desk.offered(now, conn, key, vw, ufrag):
+        if self.desk.offered(now, conn, key, viewing_id, ufrag):
             self.counts.asked += 1
-            self.viewings[vw] = viewing
+            self.viewings[viewing_id] = viewing
             if self.doorman is None:
-                self._admit(now, vw, cells, top, patience)
+                self._admit(now, viewing_id, cells, top, patience)
             else:
-                self._at_door[vw] = cells, top, patience
+                self._at_door[viewing_id] = cells, top, patience
                 name = name_of(self.doorman.secret, viewing.token, "", address, self.doorman.order)
-                self.doorman.asked(now, vw, name, viewing.package.name, patience, ticket)
+                self.doorman.asked(now, viewing_id, name, viewing.package.name, patience, ticket)
         else:
             self.counts.joined += 1
         self.stir()
         return event
 
-    def _admit(self, now: float, vw: int, cells: tuple[int, int], top: int, patience: float) -> None:
-        viewing = self.viewings[vw]
-        self.gate.asked(vw, viewing.package, patience)
+    def _admit(self, now: float, viewing_id: int, cells: tuple[int, int], top: int, patience: float) -> None:
+        viewing = self.viewings[viewing_id]
+        self.gate.asked(viewing_id, viewing.package, patience)
         name, title = viewing.package.name, viewing.title
-        self.mind.asked(now, vw, name, title, cells[0], cells[1], top, patience)
+        self.mind.asked(now, viewing_id, name, title, cells[0], cells[1], top, patience)
 
     def _let_in(self, now: float, doorman: Doorman) -> None:
         """Those whom the door lets in are the module's from here on; the others have their answer."""
         while (decision := doorman.decide(now)) is not None:
-            vw = decision.conn
-            offer = self._at_door.pop(vw, None)
+            viewing_id = decision.conn
+            offer = self._at_door.pop(viewing_id, None)
             if offer is None:
                 continue  # its viewer had left
             if isinstance(decision, Let):
-                self._admit(now, vw, *offer)
+                self._admit(now, viewing_id, *offer)
             else:
                 self.counts.turned_away += 1
                 self.desk.settled(
-                    now, vw, "blocked", advice=decision.advice, why=decision.why, ticket=decision.ticket
+                    now,
+                    viewing_id,
+                    "blocked",
+                    advice=decision.advice,
+                    why=decision.why,
+                    ticket=decision.ticket,
                 )
-                self.viewings.pop(vw, None)
+                self.viewings.pop(viewing_id, None)
 
-    def _settled(self, now: float, vw: int, kind: Kind, answer: str = "", advice: float = 0.0) -> None:
+    def _settled(
+        self, now: float, viewing_id: int, kind: Kind, answer: str = "", advice: float = 0.0
+    ) -> None:
         """The module's answer to a viewing: the desk passes it on, the door has room again."""
-        self.desk.settled(now, vw, kind, answer, advice)
+        self.desk.settled(now, viewing_id, kind, answer, advice)
         if self.doorman is not None:
-            self.doorman.settled(now, vw, kind != "plays")
+            self.doorman.settled(now, viewing_id, kind != "plays")
             if self._at_door:
                 self.stir()
 
-    def overdue(self, conn: int, vw: int) -> None:
+    def overdue(self, conn: int, viewing_id: int) -> None:
         """Patience ran out without a decision, which only a fault can bring about: the viewer is told."""
-        log.error("no decision within patience", vw=vw)
-        self._settled(time.monotonic(), vw, "aborted")
-        self._left(time.monotonic(), vw)
+        log.error("no decision within patience", vw=viewing_id)
+        self._settled(time.monotonic(), viewing_id, "aborted")
+        self._left(time.monotonic(), viewing_id)
         self.waiting.pop(conn, None)
 
     def hung_up(self, conn: int) -> None:
@@ -244,117 +251,121 @@
             event.set(None)
         self.stir()
 
-    def _forget(self, vw: int) -> None:
-        v = self.viewings.pop(vw, None)
-        self.gate.done(vw)
+    def _forget(self, viewing_id: int) -> None:
+        v = self.viewings.pop(viewing_id, None)
+        self.gate.done(viewing_id)
         if v is not None:
-            self.playing_at.get(v.host, {}).pop(vw, None)
+            self.playing_at.get(v.host, {}).pop(viewing_id, None)
             for tell in v.events or ():
                 tell("inactive", {})
 
-    def _left(self, now: float, vw: int) -> None:
+    def _left(self, now: float, viewing_id: int) -> None:
         """The viewer is gone before the answer: what is out is called back, and its end is told."""
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is None:
             return
         self.counts.left += 1
         if self.doorman is not None:
-            self.doorman.gone(now, vw)
-            if self._at_door.pop(vw, None) is not None:
-                self.viewings.pop(vw, None)
+            self.doorman.gone(now, viewing_id)
+            if self._at_door.pop(viewing_id, None) is not None:
+                self.viewings.pop(viewing_id, None)
                 return
-        self.mind.left(now, vw)
+        self.mind.left(now, viewing_id)
         if v.task is None:
-            self._forget(vw)
+            self._forget(viewing_id)
         else:
             v.task.cancel()
         self.stir()
 
-    def _end(self, now: float, vw: int) -> None:
+    def _end(self, now: float, viewing_id: int) -> None:
         """The viewer of what plays is gone or has ended it."""
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is None:
             return
         self.counts.ended += 1
-        self.mind.ended(now, vw, True, Outcome.OK, v.host, 0.0, v.tune_ins - 1)
+        self.mind.ended(now, viewing_id, True, Outcome.OK, v.host, 0.0, v.tune_ins - 1)
         if v.session:
-            self._spawn(self._order, v.at, "DELETE", v.session, name=f"end {vw}")
-        self._forget(vw)
+            self._spawn(self._order, v.at, "DELETE", v.session, name=f"end {viewing_id}")
+        self._forget(viewing_id)
         self.stir()
 
-    def ended_there(self, now: float, vw: int, code: int) -> None:
+    def ended_there(self, now: float, viewing_id: int, code: int) -> None:
         """The media host ended it."""
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is None or not v.session:
             self.counts.unknown += 1
             return
         self.counts.ended += 1
-        self.mind.ended(now, vw, True, code, v.host, 0.0, v.tune_ins - 1)
-        self.desk.ended(now, vw)
-        self._forget(vw)
+        self.mind.ended(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
+        self.desk.ended(now, viewing_id)
+        self._forget(viewing_id)
         self.stir()
 
     def end_all(self) -> None:
         """What plays is told its end, here and at its media host: this gateway goes. Who is owed an answer
         is left alone."""
         now = time.monotonic()
-        for vw, v in list(self.viewings.items()):
+        for viewing_id, v in list(self.viewings.items()):
             if v.session:
-                self.desk.ended(now, vw)
-                self._end(now, vw)
+                self.desk.ended(now, viewing_id)
+                self._end(now, viewing_id)
 
     def _lost(self, now: float, host: str) -> None:
-        for vw in list(self.playing_at.get(host, {})):
-            self.ended_there(now, vw, Outcome.RESET)
+        for viewing_id in list(self.playing_at.get(host, {})):
+            self.ended_there(now, viewing_id, Outcome.RESET)
 
     # ---- tune-ins ------------------------------------------------------------------------------------------
 
-    def _tune_in(self, now: float, vw: int, host: str, within: float) -> None:
-        v = self.viewings.get(vw)
+    def _tune_in(self, now: float, viewing_id: int, host: str, within: float) -> None:
+        v = self.viewings.get(viewing_id)
         number = v.tune_ins if v is not None else 0
         try:
-            self.gate.sending(now, vw, host, within)
+            self.gate.sending(now, viewing_id, host, within)
         except Shut as why:
             self.counts.stopped_at_gate += 1
-            log.error("stopped at the gate", vw=vw, host=host, why=str(why))
-            self.mind.ended(now, vw, False, Outcome.MOOT, host, 0.0, number)
+            log.error("stopped at the gate", vw=viewing_id, host=host, why=str(why))
+            self.mind.ended(now, viewing_id, False, Outcome.MOOT, host, 0.0, number)
             self.stir()
             return
         assert v is not None
         v.tune_ins += 1
         v.host = host
-        v.task = self._spawn(self._set_up, vw, v, host, number, within, now, name=f"tune-in {vw}/{number}")
+        v.task = self._spawn(
+            self._set_up, viewing_id, v, host, number, within, now, name=f"tune-in {viewing_id}/{number}"
+        )
 
-    def _set_up(self, vw: int, v: Viewing, host: str, number: int, within: float, sent: float) -> None:
+    def _set_up(
+        self, viewing_id: int, v: Viewing, host: str, number: int, within: float, sent: float
+    ) -> None:
         at = self.at.get(host, "")
-        key = f"{self.name}.{self.boot}.{vw}.{number}"
+        key = f"{self.name}.{self.boot}.{viewing_id}.{number}"
         code, told = Outcome.CANCELLED, False
         try:
             code, loads, response = self._asked_there(v, at, key, within - (time.monotonic() - sent))
             now = time.monotonic()
-            self.gate.came_back(vw, code)
+            self.gate.came_back(viewing_id, code)
             v.task = None
             told = True
             if code == Outcome.OK and response is not None:
-                self._opened(now, vw, v, host, number, at, response, now - sent)
+                self._opened(now, viewing_id, v, host, number, at, response, now - sent)
                 for kind, value in ((3, loads.get("x0")), (4, loads.get("x1"))):
                     if value is not None:
-                        self.mind.told(now, vw, host, kind, value)
+                        self.mind.told(now, viewing_id, host, kind, value)
             else:
-                self._failed(now, vw, host, number, code, now - sent, loads)
+                self._failed(now, viewing_id, host, number, code, now - sent, loads)
         finally:
             if not told:
                 # Called back: the closed connection tells the media host, and no tune-in is out any more.
                 v.task = None
-                self.gate.came_back(vw, Outcome.CANCELLED)
+                self.gate.came_back(viewing_id, Outcome.CANCELLED)
                 now = time.monotonic()
-                self.mind.ended(now, vw, True, Outcome.CANCELLED, host, now - sent, number)
+                self.mind.ended(now, viewing_id, True, Outcome.CANCELLED, host, now - sent, number)
                 # Guards against a fault of ours leaving a viewer without answer; one who left is owed none.
-                self._settled(now, vw, "aborted")
-                self._forget(vw)
+                self._settled(now, viewing_id, "aborted")
+                self._forget(viewing_id)
             if code not in (Outcome.OK, Outcome.FULL, Outcome.CONNECT_FAILED):
                 # It may have run: whatever came of it there is not wanted.
-                self._spawn(self._order, at, "DELETE", f"/tune-ins/{key}", name=f"call back {vw}")
+                self._spawn(self._order, at, "DELETE", f"/tune-ins/{key}", name=f"call back {viewing_id}")
             self.counts.outcomes[code.name] = self.counts.outcomes.get(code.name, 0) + 1
             self.stir()
 
@@ -396,7 +407,7 @@
     def _opened(
         self,
         now: float,
-        vw: int,
+        viewing_id: int,
         v: Viewing,
         host: str,
         number: int,
@@ -408,16 +419,16 @@
         v.session = response.header("location") or ""
         v.layer = link_to(response.header("link"), LAYER)
         v.offer = v.read = None
-        self.playing_at.setdefault(host, {})[vw] = None
+        self.playing_at.setdefault(host, {})[viewing_id] = None
         self.counts.plays += 1
         self.joins.joined(now, now - v.asked_at)
-        self.mind.opened(now, vw, host, number, latency)
-        self._settled(now, vw, "plays", response.body.decode("utf-8", "replace"))
+        self.mind.opened(now, viewing_id, host, number, latency)
+        self._settled(now, viewing_id, "plays", response.body.decode("utf-8", "replace"))
 
     def _failed(
         self,
         now: float,
-        vw: int,
+        viewing_id: int,
         host: str,
         number: int,
         code: Outcome,
@@ -425,7 +436,7 @@
         loads: dict[str, float],
     ) -> None:
         values = [loads.get(name, -1.0) for name in self.load_fields]
-        self.mind.ended(now, vw, False, code, host, latency, number, values)
+        self.mind.ended(now, viewing_id, False, code, host, latency, number, values)
 
     # ---- what else goes to media hosts ---------------------------------------------------------------------
 
@@ -444,8 +455,8 @@
         except (TimedOut, ConnectFailed, Interrupted, ValueError):
             return None
 
-    def _set_rung(self, vw: int, rung: int) -> None:
-        v = self.viewings.get(vw)
+    def _set_rung(self, viewing_id: int, rung: int) -> None:
+        v = self.viewings.get(viewing_id)
         if v is None:
             return
         v.rung = rung
@@ -453,12 +464,12 @@
             v.wanted = rung
             if not v.telling:
                 v.telling = True
-                self._spawn(self._tell_rung, vw, v, name=f"rung {vw}")
+                self._spawn(self._tell_rung, viewing_id, v, name=f"rung {viewing_id}")
 
-    def _tell_rung(self, vw: int, v: Viewing) -> None:
+    def _tell_rung(self, viewing_id: int, v: Viewing) -> None:
         """Tells the newest rung; one decided while another is on its way waits for that."""
         try:
-            while v.wanted is not None and vw in self.viewings:
+            while v.wanted is not None and viewing_id in self.viewings:
                 rung, v.wanted = v.wanted, None
                 body = msgspec.json.encode({"mediaId": "0", "encodingId": str(rung)})
                 try:
@@ -471,8 +482,8 @@
                     v.in_force = rung
                     for tell in v.events or ():
                         tell("layers", {"encodingId": str(rung)})
-                elif v.wanted is None and vw in self.viewings:
-                    self.mind.told(time.monotonic(), vw, v.host, 2, v.in_force)
+                elif v.wanted is None and viewing_id in self.viewings:
+                    self.mind.told(time.monotonic(), viewing_id, v.host, 2, v.in_force)
                     self.stir()
         finally:
             v.telling = False
--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -98,10 +98,12 @@
 
     # ---- viewings ------------------------------------------------------------------------------------------
 
-    def asked(self, now: float, vw: int, name: bytes, package: str, patience: float, ticket: str) -> None:
+    def asked(
+        self, now: float, viewing_id: int, name: bytes, package: str, patience: float, ticket: str
+    ) -> None:
         if self.look is not None:
             self.look(now)
-        self.door.asked(now, vw, name, package, patience, ticket, time.time() - now)
+        self.door.asked(now, viewing_id, name, package, patience, ticket, time.time() - now)
 
     def needs_told(self) -> None:
         if isinstance(self.door, Door):
@@ -115,11 +117,11 @@
             self.look(now)
         return self.door.decide(now)
 
-    def gone(self, now: float, vw: int) -> None:
-        self.door.gone(now, vw)
+    def gone(self, now: float, viewing_id: int) -> None:
+        self.door.gone(now, viewing_id)
 
-    def settled(self, now: float, vw: int, failed: bool) -> None:
-        self.door.settled(now, vw, failed)
+    def settled(self, now: float, viewing_id: int, failed: bool) -> None:
+        self.door.settled(now, viewing_id, failed)
 
     def given_up(self, now: float) -> None:
         """A tune-in was not answered in its time."""
--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -60,7 +60,7 @@
         self.playing: Callable[[], dict[str, int]] = dict  # viewings that play now, by rack
         self.rack_of: Callable[[str], str] = lambda host: ""
         self._conns = itertools.count(1)
-        self._vws = itertools.count(1)
+        self._viewing_ids = itertools.count(1)
 
     def handle(self, request: Request) -> Response:
         parts = request.path.strip("/").split("/")
@@ -123,7 +123,7 @@
                 there = [("Location", f"http://{other}{request.target}"), *_cors()]
                 raise Refused(307, "this gateway drains, another takes it", there)
             raise Refused(503, "this gateway drains", [("Retry-After", "0")])
-        conn, vw = next(self._conns), next(self._vws)
+        conn, viewing_id = next(self._conns), next(self._viewing_ids)
         digest = blake3()
         for part in (method, package, title, token, str(top)):
             digest.update(part.encode() + b"\0")
@@ -133,7 +133,7 @@
         event = self.carrier.ask(
             conn,
             digest.digest(16),
-            vw,
+            viewing_id,
             viewing,
             cells,
             top,
@@ -145,12 +145,12 @@
         request.hung_up(lambda: self.carrier.hung_up(conn))
         try:
             with self.loop.deadline(max(0.0, patience - self.loop.now) + LAST):
-                vw = event.wait()
+                viewing_id = event.wait()
         except TimedOut:
-            self.carrier.overdue(conn, vw)
-        if vw is None:
+            self.carrier.overdue(conn, viewing_id)
+        if viewing_id is None:
             raise NoAnswer("the client hung up")
-        return self._settled(conn, vw)
+        return self._settled(conn, viewing_id)
 
     def _offer(self, request: Request, method: str) -> Offer:
         try:
@@ -177,8 +177,8 @@
             return len(self.rates) - 1
         return max((i for i, rate in enumerate(self.rates) if rate <= kb), default=0)
 
-    def _settled(self, conn: int, vw: int) -> Response:
-        entry = self.carrier.desk.entries.get(vw)
+    def _settled(self, conn: int, viewing_id: int) -> Response:
+        entry = self.carrier.desk.entries.get(viewing_id)
         settled = entry.settled if entry is not None else None
         if entry is None or settled is None:
             # It ended between its answer and this connection's: for this one it never came about.
@@ -196,7 +196,7 @@
                 ("Accept-Patch", FRAGMENT),
                 *_cors(),
             ]
-            playing = self.carrier.viewings.get(vw)
+            playing = self.carrier.viewings.get(viewing_id)
             if self.tokens is not None and playing is not None:
                 took = self.loop.now - playing.asked_at
                 rack, target = self.rack_of(playing.host), playing.package.join_target
@@ -233,7 +233,7 @@
 
     def _viewing(self, resource: str) -> Viewing:
         entry = self.carrier.desk.of(resource)
-        viewing = self.carrier.viewings.get(entry.vw) if entry is not None and entry.playing else None
+        viewing = self.carrier.viewings.get(entry.viewing_id) if entry is not None and entry.playing else None
         if viewing is None:
             raise Refused(404, "no such viewing, or it has ended")
         return viewing
--- a/ledgehitch/gateway/mind.py
+++ b/ledgehitch/gateway/mind.py
@@ -28,7 +28,7 @@
     def asked(
         self,
         now: float,
-        vw: int,
+        viewing_id: int,
         package: str,
         title: str,
         first: int,
@@ -36,21 +36,21 @@
         top: int,
         patience: float,
     ) -> None:
-        self._note("asked", now, vw, package, title, first, spread, top, patience)
-        self.brain.asked(now, vw, package, title, first, spread, top, patience)
+        self._note("asked", now, viewing_id, package, title, first, spread, top, patience)
+        self.brain.asked(now, viewing_id, package, title, first, spread, top, patience)
 
-    def opened(self, now: float, vw: int, host: str, tune_in: int, latency: float) -> None:
-        self._note("opened", now, vw, host, tune_in, latency)
-        self.brain.opened(now, vw, host, tune_in, latency)
+    def opened(self, now: float, viewing_id: int, host: str, tune_in: int, latency: float) -> None:
+        self._note("opened", now, viewing_id, host, tune_in, latency)
+        self.brain.opened(now, viewing_id, host, tune_in, latency)
 
-    def told(self, now: float, vw: int, host: str, kind: int, value: float) -> None:
-        self._note("told", now, vw, host, kind, value)
-        self.brain.told(now, vw, host, kind, value)
+    def told(self, now: float, viewing_id: int, host: str, kind: int, value: float) -> None:
+        self._note("told", now, viewing_id, host, kind, value)
+        self.brain.told(now, viewing_id, host, kind, value)
 
     def ended(
         self,
         now: float,
-        vw: int,
+        viewing_id: int,
         closed: bool,
         code: int,
         host: str,
@@ -58,12 +58,12 @@
         tune_in: int,
         loads: Sequence[float] = (),
     ) -> None:
-        self._note("ended", now, vw, closed, int(code), host, latency, tune_in, list(loads))
-        self.brain.ended(now, vw, closed, code, host, latency, tune_in, loads)
+        self._note("ended", now, viewing_id, closed, int(code), host, latency, tune_in, list(loads))
+        self.brain.ended(now, viewing_id, closed, code, host, latency, tune_in, loads)
 
-    def left(self, now: float, vw: int) -> None:
-        self._note("left", now, vw)
-        self.brain.left(now, vw)
+    def left(self, now: float, viewing_id: int) -> None:
+        self._note("left", now, viewing_id)
+        self.brain.left(now, viewing_id)
 
     def probed(self, now: float, host: str, code: int, latency: float, loads: Sequence[float] = ()) -> None:
         self._note("probed", now, host, int(code), latency, list(loads))
--- a/ledgehitch/interface.py
+++ b/ledgehitch/interface.py
@@ -111,14 +111,14 @@
 class TuneIn:
     """Ask a media host to start the viewing; the outcome is wanted within so many seconds."""
 
-    vw: int
+    viewing_id: int
     host: str
     within: float
 
 
 @dataclass(frozen=True)
 class SetRung:
-    vw: int
+    viewing_id: int
     rung: int
 
 
@@ -126,7 +126,7 @@
 class Block:
     """Turn the viewer away; `stay_away` of 0 gives no advice."""
 
-    vw: int
+    viewing_id: int
     stay_away: float
 
 
@@ -134,7 +134,7 @@
 class Abort:
     """Tell the viewer that the viewing failed, with no word on whether it ran."""
 
-    vw: int
+    viewing_id: int
 
 
 @dataclass(frozen=True)
--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -234,13 +234,13 @@
         host: str,
         key: str,
         front: Front,
-        vw: int,
+        viewing_id: int,
         package: str,
         title: str,
         rung: int,
         answered: Callable[..., None],
     ) -> None:
-        self.hosts[host].tune_in(key, front, vw, package, title, rung, answered)
+        self.hosts[host].tune_in(key, front, viewing_id, package, title, rung, answered)
 
     def gave_up(self, host: str, key: str) -> None:
         self.hosts[host].gave_up(key)
@@ -313,8 +313,10 @@
             host = self.hosts[name]
             if host.up and not host.troubles.silent:
                 for front in host.by_front:
-                    vw = host.vw_of(front)
-                    due.setdefault(front, []).extend((vw, name, k, round(value, 4)) for k, value in kinds)
+                    viewing_id = host.viewing_id_of(front)
+                    due.setdefault(front, []).extend(
+                        (viewing_id, name, k, round(value, 4)) for k, value in kinds
+                    )
         for front, some in due.items():
             self.send(front, front.told, some)
 
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -68,7 +68,7 @@
         self.up, self.still = True, False
         self.stopped_at_gate = 0
         self._backlog: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self._vws = itertools.count(1)
+        self._viewing_ids = itertools.count(1)
         self._wake = math.inf
 
     # ---- what arrives --------------------------------------------------------------------------------------
@@ -126,22 +126,22 @@
         ticket: str = "",
     ) -> None:
         """An offer; `answered` (kind, advice, resource, session, ticket) is called at the viewer's end."""
-        now, vw = self.ground.agenda.now, next(self._vws)
+        now, viewing_id = self.ground.agenda.now, next(self._viewing_ids)
         self.answers[conn] = answered
-        if not self.desk.offered(now, conn, key, vw):
+        if not self.desk.offered(now, conn, key, viewing_id):
             return
-        self.viewings[vw] = Viewing(self.packages[package], title)
+        self.viewings[viewing_id] = Viewing(self.packages[package], title)
         if self.door is None:
-            self._admit(now, vw, cells, top, patience)
+            self._admit(now, viewing_id, cells, top, patience)
             return
-        self._at_door[vw] = cells, top, patience
+        self._at_door[viewing_id] = cells, top, patience
         name = name_of(self.ground.secret, who, "", "")
-        self.door.asked(now, vw, name, package, patience, ticket)
+        self.door.asked(now, viewing_id, name, package, patience, ticket)
 
-    def _admit(self, now: float, vw: int, cells: tuple[int, int], top: int, patience: float) -> None:
-        v = self.viewings[vw]
-        self.gate.asked(vw, v.package, patience)
-        self.brain.asked(now, vw, v.package.name, v.title, cells[0], cells[1], top, patience)
+    def _admit(self, now: float, viewing_id: int, cells: tuple[int, int], top: int, patience: float) -> None:
+        v = self.viewings[viewing_id]
+        self.gate.asked(viewing_id, v.package, patience)
+        self.brain.asked(now, viewing_id, v.package.name, v.title, cells[0], cells[1], top, patience)
 
     def hung_up(self, conn: int) -> None:
         if self.answers.pop(conn, None) is not None:
@@ -153,25 +153,25 @@
     def told(self, notes: Sequence[tuple[int, str, int, float]]) -> None:
         """Notes of media hosts, each on one viewing: viewing, host, kind, value."""
         now = self.ground.agenda.now
-        for vw, host, kind, value in notes:
-            v = self.viewings.get(vw)
+        for viewing_id, host, kind, value in notes:
+            v = self.viewings.get(viewing_id)
             if kind in (3, 4) or (v is not None and v.host == host and v.session is not None):
-                self.brain.told(now, vw, host, kind, value)
+                self.brain.told(now, viewing_id, host, kind, value)
 
-    def ended_there(self, vw: int, session: Session, code: int) -> None:
-        v = self.viewings.get(vw)
+    def ended_there(self, viewing_id: int, session: Session, code: int) -> None:
+        v = self.viewings.get(viewing_id)
         if v is None or v.session is not session:
             return
         now = self.ground.agenda.now
-        self.brain.ended(now, vw, True, code, v.host, 0.0, v.tune_ins - 1)
-        self.desk.ended(now, vw)
-        self._forget(vw)
+        self.brain.ended(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
+        self.desk.ended(now, viewing_id)
+        self._forget(viewing_id)
 
     def lost(self, host: str) -> None:
         """All that plays there has ended."""
-        for vw, v in list(self.viewings.items()):
+        for viewing_id, v in list(self.viewings.items()):
             if v.host == host and v.session is not None:
-                self.ended_there(vw, v.session, Outcome.RESET)
+                self.ended_there(viewing_id, v.session, Outcome.RESET)
 
     def peer_said(self, words: bytes) -> None:
         self.brain.peer_said(self.ground.agenda.now, words)
@@ -184,22 +184,27 @@
 
     def _let_in(self, now: float, door: Door) -> None:
         while (decision := door.decide(now)) is not None:
-            vw = decision.conn
-            offer = self._at_door.pop(vw, None)
+            viewing_id = decision.conn
+            offer = self._at_door.pop(viewing_id, None)
             if offer is None:
                 continue  # its viewer had left
             if isinstance(decision, Let):
-                self._admit(now, vw, *offer)
+                self._admit(now, viewing_id, *offer)
             else:
                 self.desk.settled(
-                    now, vw, "blocked", advice=decision.advice, why=decision.why, ticket=decision.ticket
+                    now,
+                    viewing_id,
+                    "blocked",
+                    advice=decision.advice,
+                    why=decision.why,
+                    ticket=decision.ticket,
                 )
-                self.viewings.pop(vw, None)
+                self.viewings.pop(viewing_id, None)
 
-    def _settled(self, now: float, vw: int, kind: Kind, advice: float = 0.0) -> None:
-        self.desk.settled(now, vw, kind, advice=advice)
+    def _settled(self, now: float, viewing_id: int, kind: Kind, advice: float = 0.0) -> None:
+        self.desk.settled(now, viewing_id, kind, advice=advice)
         if self.door is not None:
-            self.door.settled(now, vw, kind != "plays")
+            self.door.settled(now, viewing_id, kind != "plays")
 
     def _pump(self) -> None:
         now, g = self.ground.agenda.now, self.ground
@@ -212,16 +217,16 @@
         g.module_ended(began)
         for decision in decisions:
             match decision:
-                case say.TuneIn(vw, host, within):
-                    self._tune_in(now, vw, host, within)
-                case say.SetRung(vw, rung):
-                    self._set_rung(vw, rung)
-                case say.Block(vw, stay_away):
-                    self._settled(now, vw, "blocked", stay_away)
-                    self._forget(vw)
-                case say.Abort(vw):
-                    self._settled(now, vw, "aborted")
-                    self._forget(vw)
+                case say.TuneIn(viewing_id, host, within):
+                    self._tune_in(now, viewing_id, host, within)
+                case say.SetRung(viewing_id, rung):
+                    self._set_rung(viewing_id, rung)
+                case say.Block(viewing_id, stay_away):
+                    self._settled(now, viewing_id, "blocked", stay_away)
+                    self._forget(viewing_id)
+                case say.Abort(viewing_id):
+                    self._settled(now, viewing_id, "aborted")
+                    self._forget(viewing_id)
                 case say.Probe(host):
                     g.agenda.after(g.hop, self._probe, host, now)
                 case say.Tell(words, to):
@@ -231,13 +236,13 @@
         again = bool(self._at_door) and self.door is not None and self.door.has_room(now)
         while (duty := self.desk.decide(now)) is not None:
             match duty:
-                case Answer(conn, vw):
-                    self._answer(now, conn, vw)
-                case Leave(vw):
-                    self._left(now, vw)
+                case Answer(conn, viewing_id):
+                    self._answer(now, conn, viewing_id)
+                case Leave(viewing_id):
+                    self._left(now, viewing_id)
                     again = True
-                case End(vw):
-                    self._end(now, vw)
+                case End(viewing_id):
+                    self._end(now, viewing_id)
                     again = True
         if again:
             self._pump()
@@ -248,12 +253,12 @@
             self._wake = wake
             g.agenda.at(wake, self.take, self._woken, wake)
 
-    def _answer(self, now: float, conn: int, vw: int) -> None:
-        answered, entry = self.answers.pop(conn, None), self.desk.entries.get(vw)
+    def _answer(self, now: float, conn: int, viewing_id: int) -> None:
+        answered, entry = self.answers.pop(conn, None), self.desk.entries.get(viewing_id)
         if answered is None:
             return
         settled = entry.settled if entry is not None else None
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if entry is None or settled is None:
             answered_with: tuple[Any, ...] = ("aborted", 0.0, "", None, "")
         else:
@@ -263,48 +268,50 @@
         self.desk.delivered(now, conn)
         self.ground.agenda.after(self.ground.hop, answered, *answered_with)
 
-    def _forget(self, vw: int) -> None:
-        self.viewings.pop(vw, None)
-        self.gate.done(vw)
+    def _forget(self, viewing_id: int) -> None:
+        self.viewings.pop(viewing_id, None)
+        self.gate.done(viewing_id)
 
-    def _left(self, now: float, vw: int) -> None:
-        v = self.viewings.get(vw)
+    def _left(self, now: float, viewing_id: int) -> None:
+        v = self.viewings.get(viewing_id)
         if v is None:
             return
         if self.door is not None:
-            self.door.gone(now, vw)
-            if self._at_door.pop(vw, None) is not None:
-                self.viewings.pop(vw, None)
+            self.door.gone(now, viewing_id)
+            if self._at_door.pop(viewing_id, None) is not None:
+                self.viewings.pop(viewing_id, None)
                 return
-        self.brain.left(now, vw)
+        self.brain.left(now, viewing_id)
         if v.out >= 0:
             number, v.out = v.out, -1
-            self.gate.came_back(vw, Outcome.CANCELLED)
-            self.brain.ended(now, vw, True, Outcome.CANCELLED, v.host, now - v.sent, number)
-            self._call_back(vw, v.host, number)
-        self._forget(vw)
+            self.gate.came_back(viewing_id, Outcome.CANCELLED)
+            self.brain.ended(now, viewing_id, True, Outcome.CANCELLED, v.host, now - v.sent, number)
+            self._call_back(viewing_id, v.host, number)
+        self._forget(viewing_id)
 
-    def _end(self, now: float, vw: int) -> None:
-        v = self.viewings.get(vw)
+    def _end(self, now: float, viewing_id: int) -> None:
+        v = self.viewings.get(viewing_id)
         if v is None:
             return
-        self.brain.ended(now, vw, True, Outcome.OK, v.host, 0.0, v.tune_ins - 1)
+        self.brain.ended(now, viewing_id, True, Outcome.OK, v.host, 0.0, v.tune_ins - 1)
         if v.session is not None:
             self.ground.agenda.after(self.ground.hop, self.ground.ends, v.session)
-        self._forget(vw)
+        self._forget(viewing_id)
 
     # ---- tune-ins ------------------------------------------------------------------------------------------
 
-    def _key(self, vw: int, number: int) -> str:
-        return f"{self.name}.{self.boot}.{vw}.{number}"
+    def _key(self, viewing_id: int, number: int) -> str:
+        return f"{self.name}.{self.boot}.{viewing_id}.{number}"
 
-    def _tune_in(self, now: float, vw: int, host: str, within: float) -> None:
-        v, g = self.viewings.get(vw), self.ground
+    def _tune_in(self, now: float, viewing_id: int, host: str, within: float) -> None:
+        v, g = self.viewings.get(viewing_id), self.ground
         try:
-            self.gate.sending(now, vw, host, within)
+            self.gate.sending(now, viewing_id, host, within)
         except Shut:
             self.stopped_at_gate += 1
-            self.brain.ended(now, vw, False, Outcome.MOOT, host, 0.0, v.tune_ins if v is not None else 0)
+            self.brain.ended(
+                now, viewing_id, False, Outcome.MOOT, host, 0.0, v.tune_ins if v is not None else 0
+            )
             g.agenda.at(now, self.take, self._woken, now)
             return
         assert v is not None
@@ -312,44 +319,44 @@
         v.tune_ins += 1
 
         def answered(code: Outcome, loads: Loads, session: Session | None) -> None:
-            self._came_back(vw, number, now, code, loads, session)
+            self._came_back(viewing_id, number, now, code, loads, session)
 
-        key, way = self._key(vw, number), g.way(self, g.hosts[host])
-        g.agenda.after(way, g.tune_in, host, key, self, vw, v.package.name, v.title, v.rung, answered)
+        key, way = self._key(viewing_id, number), g.way(self, g.hosts[host])
+        g.agenda.after(way, g.tune_in, host, key, self, viewing_id, v.package.name, v.title, v.rung, answered)
         g.agenda.at(now + max(within, 0.001), self.take, answered, Outcome.TIMEOUT, {}, None)
 
     def _came_back(
-        self, vw: int, number: int, sent: float, code: Outcome, loads: Loads, session: Session | None
+        self, viewing_id: int, number: int, sent: float, code: Outcome, loads: Loads, session: Session | None
     ) -> None:
-        v, now = self.viewings.get(vw), self.ground.agenda.now
+        v, now = self.viewings.get(viewing_id), self.ground.agenda.now
         if v is None or v.out != number:
             return  # it was given up before
         v.out = -1
-        self.gate.came_back(vw, code)
+        self.gate.came_back(viewing_id, code)
         if code == Outcome.TIMEOUT and self.door is not None:
             self.door.given_up(now)
         if code == Outcome.OK and session is not None:
             v.session, v.in_force = session, v.rung
-            self.brain.opened(now, vw, v.host, number, now - sent)
-            self._settled(now, vw, "plays")
+            self.brain.opened(now, viewing_id, v.host, number, now - sent)
+            self._settled(now, viewing_id, "plays")
             for kind, name in ((3, "x0"), (4, "x1")):
                 if name in loads:
-                    self.brain.told(now, vw, v.host, kind, loads[name])
+                    self.brain.told(now, viewing_id, v.host, kind, loads[name])
             if session.id not in session.host.sessions:
-                self.ended_there(vw, session, Outcome.RESET)
+                self.ended_there(viewing_id, session, Outcome.RESET)
             return
         values = [loads.get(name, -1.0) for name in self.load_fields]
-        self.brain.ended(now, vw, False, code, v.host, now - sent, number, values)
+        self.brain.ended(now, viewing_id, False, code, v.host, now - sent, number, values)
         if code not in (Outcome.FULL, Outcome.CONNECT_FAILED):
-            self._call_back(vw, v.host, number)
+            self._call_back(viewing_id, v.host, number)
 
-    def _call_back(self, vw: int, host: str, number: int) -> None:
-        self.ground.agenda.after(self.ground.hop, self.ground.gave_up, host, self._key(vw, number))
+    def _call_back(self, viewing_id: int, host: str, number: int) -> None:
+        self.ground.agenda.after(self.ground.hop, self.ground.gave_up, host, self._key(viewing_id, number))
 
     # ---- rungs and probes ----------------------------------------------------------------------------------
 
-    def _set_rung(self, vw: int, rung: int) -> None:
-        v = self.viewings.get(vw)
+    def _set_rung(self, viewing_id: int, rung: int) -> None:
+        v = self.viewings.get(viewing_id)
         if v is None:
             return
         v.rung = rung
@@ -357,33 +364,39 @@
             v.wanted = rung
             if not v.telling:
                 v.telling = True
-                self._tell_rung(vw, v)
+                self._tell_rung(viewing_id, v)
 
-    def _tell_rung(self, vw: int, v: Viewing) -> None:
+    def _tell_rung(self, viewing_id: int, v: Viewing) -> None:
         assert v.session is not None and v.wanted is not None
         rung, v.wanted = v.wanted, None
         g = self.ground
-        g.agenda.after(g.hop, self._rung_there, vw, v, v.session, rung)
+        g.agenda.after(g.hop, self._rung_there, viewing_id, v, v.session, rung)
 
-    def _rung_there(self, vw: int, v: Viewing, session: Session, rung: int) -> None:
+    def _rung_there(self, viewing_id: int, v: Viewing, session: Session, rung: int) -> None:
         g, host = self.ground, session.host
         if host.set_rung(session, rung):
-            g.send(self, self._rung_told, vw, v, rung, True)
+            g.send(self, self._rung_told, viewing_id, v, rung, True)
         else:
             silent = host.up and (host.troubles.hangs or host.troubles.silent)
             g.agenda.after(
-                PATIENCE_FOR_ORDERS if silent else g.hop, self.take, self._rung_told, vw, v, rung, False
+                PATIENCE_FOR_ORDERS if silent else g.hop,
+                self.take,
+                self._rung_told,
+                viewing_id,
+                v,
+                rung,
+                False,
             )
 
-    def _rung_told(self, vw: int, v: Viewing, rung: int, told: bool) -> None:
-        if self.viewings.get(vw) is not v:
+    def _rung_told(self, viewing_id: int, v: Viewing, rung: int, told: bool) -> None:
+        if self.viewings.get(viewing_id) is not v:
             return
         if told:
             v.in_force = rung
         elif v.wanted is None:
-            self.brain.told(self.ground.agenda.now, vw, v.host, 2, v.in_force)
+            self.brain.told(self.ground.agenda.now, viewing_id, v.host, 2, v.in_force)
         if v.wanted is not None:
-            self._tell_rung(vw, v)
+            self._tell_rung(viewing_id, v)
         else:
             v.telling = False
 
--- a/ledgehitch/model/media.py
+++ b/ledgehitch/model/media.py
@@ -22,40 +22,40 @@
 
 
 class Session:
-    __slots__ = ("id", "key", "front", "vw", "kb", "per_kb", "rung", "host")
+    __slots__ = ("id", "key", "front", "viewing_id", "kb", "per_kb", "rung", "host")
 
     def __init__(
         self,
         id: str,
         key: str,
         front: "Front",
-        vw: int,
+        viewing_id: int,
         per_kb: float,
         rung: int,
         kb: float,
         host: "MediaHost",
     ) -> None:
-        self.id, self.key, self.front, self.vw, self.host = id, key, front, vw, host
+        self.id, self.key, self.front, self.viewing_id, self.host = id, key, front, viewing_id, host
         self.per_kb, self.rung, self.kb = per_kb, rung, kb  # true kB for each kB of the ladder; kB asked now
 
 
 class SetUp:
     """A tune-in on which this host works, or which it will never answer."""
 
-    __slots__ = ("id", "key", "front", "vw", "package", "title", "rung", "answered", "works")
+    __slots__ = ("id", "key", "front", "viewing_id", "package", "title", "rung", "answered", "works")
 
     def __init__(
         self,
         id: str,
         key: str,
         front: "Front",
-        vw: int,
+        viewing_id: int,
         package: str,
         title: str,
         rung: int,
         answered: Callable[..., None],
     ) -> None:
-        self.id, self.key, self.front, self.vw = id, key, front, vw
+        self.id, self.key, self.front, self.viewing_id = id, key, front, viewing_id
         self.package, self.title, self.rung, self.answered = package, title, rung, answered
         self.works = False
 
@@ -124,7 +124,7 @@
         self,
         key: str,
         front: "Front",
-        vw: int,
+        viewing_id: int,
         package: str,
         title: str,
         rung: int,
@@ -136,7 +136,9 @@
             g.send(front, answered, Outcome.CONNECT_FAILED, {}, None)
             return
         self._ids += 1
-        one = SetUp(f"{self.name}+{self.lives}+{self._ids}", key, front, vw, package, title, rung, answered)
+        one = SetUp(
+            f"{self.name}+{self.lives}+{self._ids}", key, front, viewing_id, package, title, rung, answered
+        )
         g.write(
             "setup",
             host=self.name,
@@ -175,7 +177,7 @@
             return
         per_kb = g.scales.get(one.package, 1.0) * g.habits.true_rate(one.title)
         kb = g.rates[one.rung] * per_kb
-        session = Session(one.id, one.key, one.front, one.vw, per_kb, one.rung, kb, self)
+        session = Session(one.id, one.key, one.front, one.viewing_id, per_kb, one.rung, kb, self)
         self.sessions[one.id], self.by_key[one.key] = session, one.id
         self.by_front.setdefault(one.front, {})[one.id] = session
         self.asked += kb
@@ -252,6 +254,6 @@
         d = self._shown[1]
         return {"util": min(1.0, d.link), "inflight": float(len(self.sessions)), "x0": d.link, "x1": d.uplink}
 
-    def vw_of(self, front: "Front") -> int:
+    def viewing_id_of(self, front: "Front") -> int:
         """One viewing of that gateway here: notes are told on it."""
-        return next(iter(self.by_front[front].values())).vw
+        return next(iter(self.by_front[front].values())).viewing_id
--- a/ledgehitch/model/spoilt.py
+++ b/ledgehitch/model/spoilt.py
@@ -14,8 +14,8 @@
 class OpenGate(Gate):
     """Stops nothing."""
 
-    def sending(self, now: float, vw: int, host: str, within: float) -> None:
-        v = self.viewings.get(vw)
+    def sending(self, now: float, viewing_id: int, host: str, within: float) -> None:
+        v = self.viewings.get(viewing_id)
         if v is not None:
             v.out = True
 
--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -115,7 +115,7 @@
         log(
             "counts",
             waiting=c.desk.waiting,
-            playing=len(c.desk.by_vw) - c.desk.waiting,
+            playing=len(c.desk.by_viewing_id) - c.desk.waiting,
             conns=len(f.conns),
             aside=aside,
             lines=h.count,
@@ -159,7 +159,7 @@
                 called = True
                 carrier.last_call(now)
             unsent = carrier.front.unsent + carrier.hosts.unsent
-            if self.life.exits(now, waiting, len(carrier.desk.by_vw) - waiting, unsent):
+            if self.life.exits(now, waiting, len(carrier.desk.by_viewing_id) - waiting, unsent):
                 return
             self.loop.sleep(0.05)
 
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -123,19 +123,19 @@
 
     def _carry_out(self, now: float, decision: say.Decision) -> None:
         match decision:
-            case say.TuneIn(vw, host, within):
-                self._tune_in(now, vw, host, within)
-            case say.SetRung(vw, rung):
-                v = self.viewings[vw]
+            case say.TuneIn(viewing_id, host, within):
+                self._tune_in(now, viewing_id, host, within)
+            case say.SetRung(viewing_id, rung):
+                v = self.viewings[viewing_id]
                 v.rung = rung
                 if v.plays:
                     self.hosts.set_rung(v.host, v.sid, v.line, rung)
-            case say.Block(vw, stay_away):
-                self._done(vw)
-                self.desk.blocked(vw, stay_away)
-            case say.Abort(vw):
-                self._done(vw)
-                self.desk.aborted(vw)
+            case say.Block(viewing_id, stay_away):
+                self._done(viewing_id)
+                self.desk.blocked(viewing_id, stay_away)
+            case say.Abort(viewing_id):
+                self._done(viewing_id)
+                self.desk.aborted(viewing_id)
             case say.Probe(host):
                 self.count("probes")
                 if not self.hosts.probe(host):
@@ -146,18 +146,18 @@
             case say.Subscribe():
                 pass  # the journal service is listened to all the time
 
-    def _tune_in(self, now: float, vw: int, host: str, within: float) -> None:
-        v = self.viewings[vw]
+    def _tune_in(self, now: float, viewing_id: int, host: str, within: float) -> None:
+        v = self.viewings[viewing_id]
         number = v.tune_ins
         v.tune_ins += 1
         try:
-            self.gate.sending(now, vw, host, within)
+            self.gate.sending(now, viewing_id, host, within)
         except Shut as why:
-            log("stopped", vw=vw, host=host, why=why)
-            self._undone.append(lambda: self._ended(now, vw, False, Outcome.MOOT, host, 0.0, number))
+            log("stopped", vw=viewing_id, host=host, why=why)
+            self._undone.append(lambda: self._ended(now, viewing_id, False, Outcome.MOOT, host, 0.0, number))
             return
-        if self.front.gone(self.desk.by_vw[vw].conn, v.sid):
-            self._undone.append(lambda: self._gone(now, vw, host, number))
+        if self.front.gone(self.desk.by_viewing_id[viewing_id].conn, v.sid):
+            self._undone.append(lambda: self._gone(now, viewing_id, host, number))
             return
         left = f"{max(1, int(within * 1000))}"
         fields: dict[str, str | int | float] = {"class": v.package.name, "key": v.title, "left": left}
@@ -169,14 +169,14 @@
             self._undone.append(lambda: self.broke(now, v.sid, host, Outcome.MOOT))
             return
         v.until = now + within
-        v.timer = self.loop.call_at(v.until, lambda: self._timed_out(vw))
+        v.timer = self.loop.call_at(v.until, lambda: self._timed_out(viewing_id))
 
-    def _gone(self, now: float, vw: int, host: str, number: int) -> None:
+    def _gone(self, now: float, viewing_id: int, host: str, number: int) -> None:
         """A tune-in was wanted for a viewer who has gone: it never left, and there is no other."""
         self.count("gone")
-        entry = self.desk.by_vw.get(vw)
+        entry = self.desk.by_viewing_id.get(viewing_id)
         if entry is not None:
-            self._ended(now, vw, False, Outcome.MOOT, host, 0.0, number)
+            self._ended(now, viewing_id, False, Outcome.MOOT, host, 0.0, number)
             self.torn(now, entry.sid)
 
     def leaves(self, now: float, sid: str, line: Line) -> float | None:
@@ -185,30 +185,30 @@
         found = self._of(sid)
         if found is None or not found[1].out or found[1].line is not line:
             return None
-        vw, v = found
+        viewing_id, v = found
         number = v.tune_ins - 1
-        if self.front.gone(self.desk.by_vw[vw].conn, sid):
-            self._gone(now, vw, line.host, number)
+        if self.front.gone(self.desk.by_viewing_id[viewing_id].conn, sid):
+            self._gone(now, viewing_id, line.host, number)
             return None
         try:
-            self.gate.leaving(now, vw, line.host)
-            if not self.brain.leaves(now, vw):
+            self.gate.leaving(now, viewing_id, line.host)
+            if not self.brain.leaves(now, viewing_id):
                 raise Shut(4, f"{line.host} takes no more of it now")
         except Shut as why:
-            log("held-too-long", vw=vw, host=line.host, why=why)
-            self._ended(now, vw, False, Outcome.MOOT, line.host, now - v.sent_at, number)
+            log("held-too-long", vw=viewing_id, host=line.host, why=why)
+            self._ended(now, viewing_id, False, Outcome.MOOT, line.host, now - v.sent_at, number)
             return None
         return v.until - now
 
-    def _timed_out(self, vw: int) -> None:
-        v = self.viewings.get(vw)
+    def _timed_out(self, viewing_id: int) -> None:
+        v = self.viewings.get(viewing_id)
         if v is None or not v.out:
             return
         if v.line is not None:
             left = self.hosts.give_up(v.line, v.sid, True)
             code = Outcome.TIMEOUT if left else Outcome.CONNECT_FAILED
             now = time.monotonic()
-            self._ended(now, vw, False, code, v.host, now - v.sent_at, v.tune_ins - 1)
+            self._ended(now, viewing_id, False, code, v.host, now - v.sent_at, v.tune_ins - 1)
 
     # ---- what viewers want ---------------------------------------------------------------------------------
 
@@ -226,13 +226,13 @@
         patience: float,
         blob: str,
     ) -> bool:
-        vw = self.desk.asked(conn, sid, cseq)
-        if vw is None:
+        viewing_id = self.desk.asked(conn, sid, cseq)
+        if viewing_id is None:
             return False
         self.count("asked")
-        self.viewings[vw] = Viewing(sid, package, title, blob)
-        self.gate.asked(vw, package, patience)
-        self.brain.asked(now, vw, package.name, title, first, spread, top, patience)
+        self.viewings[viewing_id] = Viewing(sid, package, title, blob)
+        self.gate.asked(viewing_id, package, patience)
+        self.brain.asked(now, viewing_id, package.name, title, first, spread, top, patience)
         self.stir()
         return True
 
@@ -251,15 +251,15 @@
         """One that plays already; whether its media host is one that is there."""
         if host not in self.hosts.at:
             return False
-        vw = self.desk.held(conn, sid)
-        if vw is None:
+        viewing_id = self.desk.held(conn, sid)
+        if viewing_id is None:
             return True
         self.count("handed_over")
-        v = self.viewings[vw] = Viewing(sid, package, title, "")
+        v = self.viewings[viewing_id] = Viewing(sid, package, title, "")
         v.host, v.plays, v.began, v.tune_ins = host, True, now, 1
-        self.gate.asked(vw, package, now + package.patience)
+        self.gate.asked(viewing_id, package, now + package.patience)
         self.watch.stands(now, host)
-        self.brain.handed_over(now, vw, package.name, title, first, spread, top, host)
+        self.brain.handed_over(now, viewing_id, package.name, title, first, spread, top, host)
         self.stir()
         return True
 
@@ -268,49 +268,49 @@
         found = self.desk.torn(sid)
         if found is None:
             return False
-        vw, played = found
+        viewing_id, played = found
         if played:
             self.count("ended_by_viewer")
-            v = self.viewings[vw]
+            v = self.viewings[viewing_id]
             self.hosts.release(v.host, sid, v.line)
-            self._over(now, vw, Outcome.CANCELLED)
+            self._over(now, viewing_id, Outcome.CANCELLED)
         else:
-            self._left(now, vw)
+            self._left(now, viewing_id)
         self.stir()
         return True
 
     def last_call(self, now: float) -> None:
         """The process is about to be killed: what is out is given up, what waits gets its final answer."""
-        for vw, v in list(self.viewings.items()):
+        for viewing_id, v in list(self.viewings.items()):
             if v.out and v.line is not None:
-                self._timed_out(vw)
+                self._timed_out(viewing_id)
         self.brain.last_call(now)
         self.stir()
 
     def hung_up(self, conn: int) -> None:
         """Guards against a tune-in for a viewer who has gone: the module hears of it before it is asked."""
         now = time.monotonic()
-        for vw in self.desk.hung_up(conn):
-            self._left(now, vw)
+        for viewing_id in self.desk.hung_up(conn):
+            self._left(now, viewing_id)
         self.stir()
 
-    def _left(self, now: float, vw: int) -> None:
+    def _left(self, now: float, viewing_id: int) -> None:
         self.count("left")
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is None:
             return
-        self.brain.left(now, vw)
+        self.brain.left(now, viewing_id)
         if v.out and v.line is not None:
             self.hosts.give_up(v.line, v.sid, False)
-            self._ended(now, vw, True, Outcome.CANCELLED, v.host, now - v.sent_at, v.tune_ins - 1)
-        self._done(vw)
+            self._ended(now, viewing_id, True, Outcome.CANCELLED, v.host, now - v.sent_at, v.tune_ins - 1)
+        self._done(viewing_id)
 
     # ---- what media hosts say ------------------------------------------------------------------------------
 
     def _of(self, sid: str) -> tuple[int, Viewing] | None:
         entry = self.desk.by_sid.get(sid)
-        v = self.viewings.get(entry.vw) if entry is not None else None
-        return (entry.vw, v) if entry is not None and v is not None else None
+        v = self.viewings.get(entry.viewing_id) if entry is not None else None
+        return (entry.viewing_id, v) if entry is not None and v is not None else None
 
     def started(self, now: float, sid: str, host: str, line: Line, blob: str) -> None:
         found = self._of(sid)
@@ -319,24 +319,24 @@
             self.count("late_answers")
             self.hosts.release(host, sid, line)
             return
-        vw, v = found
+        viewing_id, v = found
         if not v.out or v.line is not line:
             # Of a former set-up of this id: given up there by its id, which is that of the one that is out.
             self.count("second_answers")
             return
         self._in(v)
         v.plays, v.began, v.blob = True, v.sent_at, ""
-        self.gate.came_back(vw, Outcome.OK)
+        self.gate.came_back(viewing_id, Outcome.OK)
         self.watch.stands(now, host)
-        self.brain.opened(now, vw, host, v.tune_ins - 1, now - v.sent_at)
-        self.desk.plays(vw, blob)
+        self.brain.opened(now, viewing_id, host, v.tune_ins - 1, now - v.sent_at)
+        self.desk.plays(viewing_id, blob)
         self.stir()
 
     def finished(self, now: float, sid: str, host: str, line: Line, cause: int, loads: list[float]) -> None:
         found = self._of(sid)
         if found is None or found[1].host != host or not (found[1].out or found[1].plays):
             return
-        vw, v = found
+        viewing_id, v = found
         code = CAUSES.get(cause, Outcome.RESET)
         if v.line is not line and (v.out or code in (Outcome.FULL, Outcome.ERROR, Outcome.MOOT)):
             # Guards against a second copy, come late, of how a former set-up of this id ended: it would be
@@ -345,20 +345,20 @@
             return
         if v.plays:
             self.count(f"over_{code.name.lower()}")  # by code: causes are any number a media host likes
-            self._over(now, vw, code, loads)
-            self.desk.over(vw, cause, owed=code != Outcome.CANCELLED)
+            self._over(now, viewing_id, code, loads)
+            self.desk.over(viewing_id, cause, owed=code != Outcome.CANCELLED)
         else:
             if code in (Outcome.OK, Outcome.CANCELLED):
                 code = Outcome.RESET  # no answer came before
-            self._ended(now, vw, False, code, host, now - v.sent_at, v.tune_ins - 1, loads)
+            self._ended(now, viewing_id, False, code, host, now - v.sent_at, v.tune_ins - 1, loads)
         self.stir()
 
     def broke(self, now: float, sid: str, host: str, how: Outcome) -> None:
         """The connection of a set-up ended before its outcome."""
         found = self._of(sid)
         if found is not None and found[1].out and found[1].host == host:
-            vw, v = found
-            self._ended(now, vw, False, how, host, now - v.sent_at, v.tune_ins - 1)
+            viewing_id, v = found
+            self._ended(now, viewing_id, False, how, host, now - v.sent_at, v.tune_ins - 1)
 
     def noticed(self, now: float, sid: str, host: str, note: str, value: float) -> None:
         found = self._of(sid)
@@ -404,7 +404,7 @@
     def _ended(
         self,
         now: float,
-        vw: int,
+        viewing_id: int,
         closed: bool,
         code: Outcome,
         host: str,
@@ -413,37 +413,41 @@
         loads: list[float] | None = None,
     ) -> None:
         """A tune-in that did not come to play has its outcome."""
-        v = self.viewings.get(vw)
+        v = self.viewings.get(viewing_id)
         if v is not None:
             self._in(v)
             v.line = None
         self.count(code.name.lower())
-        self.gate.came_back(vw, code)
-        self.brain.ended(now, vw, closed, code, host, latency, tune_in, loads or ())
+        self.gate.came_back(viewing_id, code)
+        self.brain.ended(now, viewing_id, closed, code, host, latency, tune_in, loads or ())
         self.stir()
 
-    def _over(self, now: float, vw: int, code: Outcome, loads: list[float] | None = None) -> None:
+    def _over(self, now: float, viewing_id: int, code: Outcome, loads: list[float] | None = None) -> None:
         """A viewing that played has ended."""
-        v = self.viewings[vw]
+        v = self.viewings[viewing_id]
         self.watch.over(v.host)
-        self.brain.ended(now, vw, True, code, v.host, now - v.sent_at, v.tune_ins - 1, loads or ())
-        self._done(vw)
+        self.brain.ended(now, viewing_id, True, code, v.host, now - v.sent_at, v.tune_ins - 1, loads or ())
+        self._done(viewing_id)
 
     def _lost(self, now: float, host: str, before: float) -> None:
-        gone = [(vw, v) for vw, v in self.viewings.items() if v.plays and v.host == host and v.began < before]
+        gone = [
+            (viewing_id, v)
+            for viewing_id, v in self.viewings.items()
+            if v.plays and v.host == host and v.began < before
+        ]
         log("lost", host=host, viewings=len(gone))
-        for vw, v in gone:
+        for viewing_id, v in gone:
             self.count("lost")
             # Guards against one that plays on behind a cut: it is ended should the host ever hear it.
             if host in self.hosts.lines:
                 self.hosts.release(host, v.sid, v.line)
-            self._over(now, vw, Outcome.RESET)
-            self.desk.over(vw, CUT)
+            self._over(now, viewing_id, Outcome.RESET)
+            self.desk.over(viewing_id, CUT)
         self.stir()
 
-    def _done(self, vw: int) -> None:
-        self.viewings.pop(vw, None)
-        self.gate.done(vw)
+    def _done(self, viewing_id: int) -> None:
+        self.viewings.pop(viewing_id, None)
+        self.gate.done(viewing_id)
 
     def sweep(self, now: float) -> None:
         self.hosts.sweep(now)
--- a/ledgehitch/platform/desk.py
+++ b/ledgehitch/platform/desk.py
@@ -2,8 +2,8 @@
 
 Inputs (`asked`, `held`, `plays`, `blocked`, `aborted`, `over`, `torn`, `hung_up`, `came`) only update what is
 known; `decide()` then gives what is to be sent, one by one, until None. `conn` numbers a viewers' connection,
-`sid` is a viewing's id on the wire, `vw` its number here. An answer leaves once for each set-up, never twice
-(rule 1); an id that is open is never taken for another viewing.
+`sid` is a viewing's id on the wire, `viewing_id` its number here. An answer leaves once for each set-up,
+never twice (rule 1); an id that is open is never taken for another viewing.
 """
 
 from collections import deque
@@ -40,17 +40,24 @@
 
 
 class Entry:
-    __slots__ = ("vw", "sid", "conn", "cseq", "plays", "peer")
+    __slots__ = ("viewing_id", "sid", "conn", "cseq", "plays", "peer")
 
-    def __init__(self, vw: int, sid: str, conn: int, cseq: str, plays: bool, peer: str) -> None:
-        self.vw, self.sid, self.conn, self.cseq, self.plays, self.peer = vw, sid, conn, cseq, plays, peer
+    def __init__(self, viewing_id: int, sid: str, conn: int, cseq: str, plays: bool, peer: str) -> None:
+        self.viewing_id, self.sid, self.conn, self.cseq, self.plays, self.peer = (
+            viewing_id,
+            sid,
+            conn,
+            cseq,
+            plays,
+            peer,
+        )
 
 
 class Desk:
     """The register of one gateway's viewings, by number, by id and by connection."""
 
     def __init__(self) -> None:
-        self.by_vw: dict[int, Entry] = {}
+        self.by_viewing_id: dict[int, Entry] = {}
         self.by_sid: dict[str, Entry] = {}
         self.by_conn: dict[int, dict[int, None]] = {}
         self.homes: dict[int, None] = {}  # open connections on which a set-up came, the latest last
@@ -85,15 +92,15 @@
             return None
         self._next += 1
         entry = Entry(self._next, sid, conn, cseq, plays, self.peers.get(conn, ""))
-        self.by_vw[entry.vw] = self.by_sid[sid] = entry
-        self.by_conn.setdefault(conn, {})[entry.vw] = None
+        self.by_viewing_id[entry.viewing_id] = self.by_sid[sid] = entry
+        self.by_conn.setdefault(conn, {})[entry.viewing_id] = None
         self.waiting += not plays
         self.came(conn)
-        return entry.vw
+        return entry.viewing_id
 
-    def plays(self, vw: int, description: str) -> bool:
+    def plays(self, viewing_id: int, description: str) -> bool:
         """Whether somebody waited for it."""
-        entry = self.by_vw.get(vw)
+        entry = self.by_viewing_id.get(viewing_id)
         if entry is None or entry.plays:
             return False
         entry.plays = True
@@ -101,22 +108,22 @@
         self._due.append(Answer(entry.conn, entry.sid, entry.cseq, "plays", description))
         return True
 
-    def blocked(self, vw: int, advice: float = 0.0) -> None:
-        self._end(vw, "blocked", advice)
+    def blocked(self, viewing_id: int, advice: float = 0.0) -> None:
+        self._end(viewing_id, "blocked", advice)
 
-    def aborted(self, vw: int) -> None:
-        self._end(vw, "aborted", 0.0)
+    def aborted(self, viewing_id: int) -> None:
+        self._end(viewing_id, "aborted", 0.0)
 
-    def _end(self, vw: int, kind: str, advice: float) -> None:
-        entry = self.by_vw.get(vw)
+    def _end(self, viewing_id: int, kind: str, advice: float) -> None:
+        entry = self.by_viewing_id.get(viewing_id)
         if entry is None or entry.plays:
             return
         self._drop(entry)
         self._due.append(Answer(entry.conn, entry.sid, entry.cseq, kind, "", advice))
 
-    def over(self, vw: int, cause: int, owed: bool = True) -> None:
+    def over(self, viewing_id: int, cause: int, owed: bool = True) -> None:
         """A viewing that played has ended; its viewer is owed a release unless it ended it itself."""
-        entry = self.by_vw.get(vw)
+        entry = self.by_viewing_id.get(viewing_id)
         if entry is None:
             return
         self._drop(entry)
@@ -151,7 +158,7 @@
         if entry is None:
             return None
         self._drop(entry)
-        return entry.vw, entry.plays
+        return entry.viewing_id, entry.plays
 
     def hung_up(self, conn: int) -> list[int]:
         """A connection is gone: what plays stands, tied to no connection; gives those that waited there, for
@@ -159,12 +166,12 @@
         self.homes.pop(conn, None)
         self.peers.pop(conn, None)
         left = []
-        for vw in self.by_conn.pop(conn, {}):
-            entry = self.by_vw[vw]
+        for viewing_id in self.by_conn.pop(conn, {}):
+            entry = self.by_viewing_id[viewing_id]
             entry.conn = 0
             if not entry.plays:
                 self._drop(entry)
-                left.append(vw)
+                left.append(viewing_id)
         return left
 
     def crossed(self, sid: str) -> bool:
@@ -176,10 +183,10 @@
         return len(self.by_conn.get(conn, ()))
 
     def waits_on(self, conn: int) -> bool:
-        return any(not self.by_vw[vw].plays for vw in self.by_conn.get(conn, ()))
+        return any(not self.by_viewing_id[viewing_id].plays for viewing_id in self.by_conn.get(conn, ()))
 
     def _drop(self, entry: Entry) -> None:
-        del self.by_vw[entry.vw]
+        del self.by_viewing_id[entry.viewing_id]
         del self.by_sid[entry.sid]
         self.waiting -= not entry.plays
         self.past.pop(entry.sid, None)
@@ -188,7 +195,7 @@
             del self.past[next(iter(self.past))]
         there = self.by_conn.get(entry.conn)
         if there is not None:
-            there.pop(entry.vw, None)
+            there.pop(entry.viewing_id, None)
             if not there:
                 del self.by_conn[entry.conn]
 
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -252,7 +252,7 @@
         except UnicodeDecodeError:
             raise Wrong(400, "the description is not UTF-8") from None
         desk = self.carrier.desk
-        if self.bounds.full(desk.waiting, len(desk.by_vw)) or not self.life.takes:
+        if self.bounds.full(desk.waiting, len(desk.by_viewing_id)) or not self.life.takes:
             conn.pipe.write(rtsp.answer(503, cseq, sid))
             return
         if not self.carrier.asked(now, conn.number, sid, cseq, *sold, now + int(left) / 1000, blob):
--- a/ledgehitch/proof/check.py
+++ b/ledgehitch/proof/check.py
@@ -83,8 +83,8 @@
 
     def __init__(self, line: Line) -> None:
         self.line, self.host = line, line["host"]
-        gateway, boot, vw, number = (line["key"].split(".") + ["", "", "", "0"])[:4]
-        self.key, self.number = f"{gateway}.{boot}.{vw}", int(number or 0)
+        gateway, boot, viewing_id, number = (line["key"].split(".") + ["", "", "", "0"])[:4]
+        self.key, self.number = f"{gateway}.{boot}.{viewing_id}", int(number or 0)
         self.begun: float = line["t"]
         self.over: float | None = None
         self.over_line: Line | None = None
--- a/ledgehitch/signalling/decide.py
+++ b/ledgehitch/signalling/decide.py
@@ -2,8 +2,8 @@
 
 Inputs (`offered`, `settled`, `delivered`, `undelivered`, `hung_up`, `deleted`, `ended`) only update what is
 known; `decide(now)` then gives what is to be done, one by one, until None. `conn` numbers a connection's
-request, `vw` a viewing; both are the caller's. An answer leaves here once for each connection, never twice
-(rule 1), and one offer is one viewing, however often it comes (rule 2).
+request, `viewing_id` a viewing; both are the caller's. An answer leaves here once for each connection, never
+twice (rule 1), and one offer is one viewing, however often it comes (rule 2).
 """
 
 import heapq
@@ -25,21 +25,21 @@
     """Answer this connection with what was settled for the viewing."""
 
     conn: int
-    vw: int
+    viewing_id: int
 
 
 @dataclass(frozen=True)
 class Leave:
     """Nobody waits any more for this viewing, which has no answer yet."""
 
-    vw: int
+    viewing_id: int
 
 
 @dataclass(frozen=True)
 class End:
     """This viewing plays and its viewer is gone or has ended it."""
 
-    vw: int
+    viewing_id: int
 
 
 Decision = Answer | Leave | End
@@ -59,10 +59,20 @@
 
 
 class Entry:
-    __slots__ = ("vw", "key", "resource", "conns", "settled", "playing", "version", "ufrag", "orphan_at")
-
-    def __init__(self, vw: int, key: bytes, resource: str, ufrag: str) -> None:
-        self.vw, self.key, self.resource, self.ufrag = vw, key, resource, ufrag
+    __slots__ = (
+        "viewing_id",
+        "key",
+        "resource",
+        "conns",
+        "settled",
+        "playing",
+        "version",
+        "ufrag",
+        "orphan_at",
+    )
+
+    def __init__(self, viewing_id: int, key: bytes, resource: str, ufrag: str) -> None:
+        self.viewing_id, self.key, self.resource, self.ufrag = viewing_id, key, resource, ufrag
         self.conns: dict[int, None] | None = {}  # whose answer is due, or on its way; None: none ever again
         self.settled: Settled | None = None
         self.playing = False
@@ -84,9 +94,9 @@
 
     # ---- what happens --------------------------------------------------------------------------------------
 
-    def offered(self, now: float, conn: int, key: bytes, vw: int, ufrag: str = "") -> bool:
+    def offered(self, now: float, conn: int, key: bytes, viewing_id: int, ufrag: str = "") -> bool:
         """An offer came; `key` is its digest with all that makes it that offer. Whether it is a new viewing
-        (then it has the number `vw`); else the connection gets the answer that the known one gets."""
+        (then it has the number `viewing_id`); else the connection gets the answer that the known one gets."""
         known = self._by_key.get(key)
         if known is not None and (known.settled is None or now < known.settled.until):
             self._by_conn[conn] = known
@@ -95,19 +105,21 @@
             known.conns[conn] = None
             known.orphan_at = 0.0
             if known.settled is not None:
-                self._due.append(Answer(conn, known.vw))
+                self._due.append(Answer(conn, known.viewing_id))
             return False
-        resource = blake3(vw.to_bytes(8, "big"), key=self._secret).hexdigest(16)
-        entry = Entry(vw, key, resource, ufrag)
+        resource = blake3(viewing_id.to_bytes(8, "big"), key=self._secret).hexdigest(16)
+        entry = Entry(viewing_id, key, resource, ufrag)
         assert entry.conns is not None
         entry.conns[conn] = None
-        self.entries[vw] = self._by_key[key] = self._by_resource[resource] = self._by_conn[conn] = entry
+        self.entries[viewing_id] = self._by_key[key] = self._by_resource[resource] = self._by_conn[conn] = (
+            entry
+        )
         return True
 
     def settled(
         self,
         now: float,
-        vw: int,
+        viewing_id: int,
         kind: Kind,
         answer: str = "",
         advice: float = 0.0,
@@ -115,17 +127,17 @@
         ticket: str = "",
     ) -> None:
         """The viewing has its one answer. A second one is refused: the first stands."""
-        entry = self.entries.get(vw)
+        entry = self.entries.get(viewing_id)
         if entry is None or entry.settled is not None:
             return
         again = AGAIN if kind == "plays" else max(advice, AGAIN_FAILED)
         entry.settled = Settled(kind, answer, advice, now + again, why, ticket)
         entry.playing = kind == "plays"
         for conn in entry.conns or ():
-            self._due.append(Answer(conn, vw))
+            self._due.append(Answer(conn, viewing_id))
         if entry.playing and not entry.conns:
-            self._due.append(End(vw))  # all hung up as it was settled
-        heapq.heappush(self._checks, (now + again, vw))
+            self._due.append(End(viewing_id))  # all hung up as it was settled
+        heapq.heappush(self._checks, (now + again, viewing_id))
 
     def delivered(self, now: float, conn: int) -> None:
         entry = self._by_conn.pop(conn, None)
@@ -142,7 +154,7 @@
         entry.conns.pop(conn, None)
         if not entry.conns and entry.playing:
             entry.orphan_at = now + ORPHAN
-            heapq.heappush(self._checks, (entry.orphan_at, entry.vw))
+            heapq.heappush(self._checks, (entry.orphan_at, entry.viewing_id))
 
     def hung_up(self, now: float, conn: int) -> None:
         """A connection ended before its answer."""
@@ -156,7 +168,7 @@
         if entry.conns is not None:
             entry.conns.pop(conn, None)
         if not entry.conns:
-            self._due.append(Leave(entry.vw))
+            self._due.append(Leave(entry.viewing_id))
             self._drop(entry)
 
     def deleted(self, now: float, resource: str) -> bool:
@@ -165,13 +177,13 @@
         if entry is None or not entry.playing:
             return False
         entry.playing = False
-        self._due.append(End(entry.vw))
+        self._due.append(End(entry.viewing_id))
         self._drop(entry)
         return True
 
-    def ended(self, now: float, vw: int) -> None:
+    def ended(self, now: float, viewing_id: int) -> None:
         """A viewing that played has ended at its media host."""
-        entry = self.entries.get(vw)
+        entry = self.entries.get(viewing_id)
         if entry is not None and entry.settled is not None:
             entry.playing = False
             self._drop(entry)
@@ -211,7 +223,7 @@
                 continue
             if entry.playing and 0 < entry.orphan_at <= now:
                 entry.playing = False
-                self._due.append(End(entry.vw))
+                self._due.append(End(entry.viewing_id))
                 self._drop(entry)
             elif entry.settled.until <= now:
                 if entry.playing:
@@ -227,7 +239,7 @@
         return self._checks[0][0] if self._checks else None
 
     def _drop(self, entry: Entry) -> None:
-        self.entries.pop(entry.vw, None)
+        self.entries.pop(entry.viewing_id, None)
         self._by_resource.pop(entry.resource, None)
         if self._by_key.get(entry.key) is entry:
             del self._by_key[entry.key]
--- a/ledgehitch/simhost/wire.py
+++ b/ledgehitch/simhost/wire.py
@@ -31,14 +31,14 @@
 def written(decision: Decision) -> str:
     """The line that carries a decision out."""
     match decision:
-        case TuneIn(vw, host, within):
-            return f"forward\t{vw}\t{host}\t{within * 1000:.3f}"
-        case SetRung(vw, rung):
-            return f"step_to\t{vw}\t{rung}"
-        case Block(vw, stay_away):
-            return f"busy\t{vw}\t{stay_away * 1000:.3f}"
-        case Abort(vw):
-            return f"give_up\t{vw}"
+        case TuneIn(viewing_id, host, within):
+            return f"forward\t{viewing_id}\t{host}\t{within * 1000:.3f}"
+        case SetRung(viewing_id, rung):
+            return f"step_to\t{viewing_id}\t{rung}"
+        case Block(viewing_id, stay_away):
+            return f"busy\t{viewing_id}\t{stay_away * 1000:.3f}"
+        case Abort(viewing_id):
+            return f"give_up\t{viewing_id}"
         case Probe(host):
             return f"poll\t{host}"
         case Subscribe():
@@ -177,13 +177,21 @@
             rows = [] if p[0] == "lost" else self.lists[int(p[2])]
             return lambda: gw.listed(now, p[0], rows)
         if name == "query":
-            vw, patience, _key, _marks, spread, _hint, title, first, top, _tenant, package = p
-            asked = (int(vw), package, title, int(_num(first)), int(_num(spread)), int(_num(top)))
+            viewing_id, patience, _key, _marks, spread, _hint, title, first, top, _tenant, package = p
+            asked = (int(viewing_id), package, title, int(_num(first)), int(_num(spread)), int(_num(top)))
             until = _ms(patience)
             return lambda: gw.asked(now, *asked, until)
         if name == "existing":
-            vw, _key, first, package, _hint, spread, title, _tenant, _patience, host, _marks, top = p
-            held = (int(vw), package, title, int(_num(first)), int(_num(spread)), int(_num(top)), host)
+            viewing_id, _key, first, package, _hint, spread, title, _tenant, _patience, host, _marks, top = p
+            held = (
+                int(viewing_id),
+                package,
+                title,
+                int(_num(first)),
+                int(_num(spread)),
+                int(_num(top)),
+                host,
+            )
             return lambda: gw.handed_over(now, *held)
         if name == "opened":
             opened = (int(p[0]), p[1], int(p[2]), _ms(p[3]))
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -21,21 +21,21 @@
 
 
 class Session:
-    __slots__ = ("id", "key", "gateway", "vw", "package", "title", "rung", "factor", "seen")
+    __slots__ = ("id", "key", "gateway", "viewing_id", "package", "title", "rung", "factor", "seen")
 
     def __init__(
         self,
         id: str,
         key: str,
         gateway: str,
-        vw: int,
+        viewing_id: int,
         package: str,
         title: str,
         rung: int,
         factor: float,
         now: float,
     ) -> None:
-        self.id, self.key, self.gateway, self.vw, self.package = id, key, gateway, vw, package
+        self.id, self.key, self.gateway, self.viewing_id, self.package = id, key, gateway, viewing_id, package
         self.title, self.rung, self.factor, self.seen = title, rung, factor, now
 
 
@@ -235,9 +235,9 @@
             request.hung_up(lambda: silent.set())
             silent.wait()
             return None, None
-        vw = int(key.split(".")[2]) if key.count(".") == 3 else 0
+        viewing_id = int(key.split(".")[2]) if key.count(".") == 3 else 0
         factor = self.habits.true_rate(title)
-        session = Session(id, key, gateway, vw, package, title, rung, factor, time.monotonic())
+        session = Session(id, key, gateway, viewing_id, package, title, rung, factor, time.monotonic())
         self.sessions[id], self.by_key[key] = session, id
         answer = self._answer(offer.media, id)
         fields = [
@@ -374,12 +374,12 @@
     def end(self, session: Session, code: int) -> None:
         """It ends by itself; its gateway is told."""
         self._drop(session)
-        self._tell(session.gateway, "ended", session.vw, code)
+        self._tell(session.gateway, "ended", session.viewing_id, code)
 
-    def _tell(self, gateway: str, name: str, vw: int, kind: int, value: float = 0.0) -> None:
+    def _tell(self, gateway: str, name: str, viewing_id: int, kind: int, value: float = 0.0) -> None:
         feed = self.feeds.get(gateway)
         if feed is not None and not self.troubles.silent:
-            data = msgspec.json.encode({"vw": vw, "kind": kind, "value": round(value, 4)}).decode()
+            data = msgspec.json.encode({"vw": viewing_id, "kind": kind, "value": round(value, 4)}).decode()
             feed.tell(event(data, name))
 
     def consented(self, id: str) -> tuple[float, int] | None:
@@ -411,7 +411,7 @@
             if session.gateway not in told:
                 told[session.gateway] = None
                 for kind, value in kinds:
-                    self._tell(session.gateway, "note", session.vw, kind, value)
+                    self._tell(session.gateway, "note", session.viewing_id, kind, value)
 
 
 def hash_of(text: str) -> int:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -51,8 +51,10 @@
     return out
 
 
-def ask(gw: Gateway, now: float, vw: int, package: str = "plain", spread: int = 6, top: int = 3) -> None:
-    gw.asked(now, vw, package, "t1", 0, spread, top, now + 3.0)
+def ask(
+    gw: Gateway, now: float, viewing_id: int, package: str = "plain", spread: int = 6, top: int = 3
+) -> None:
+    gw.asked(now, viewing_id, package, "t1", 0, spread, top, now + 3.0)
 
 
 class Ledger:
@@ -76,35 +78,39 @@
     def step(self, now: float) -> None:
         for decision in pulled(self.gw, now):
             self.check(now, decision)
-        for vw, (_, _, patience, _) in self.open.items():
-            assert vw in self.out or now <= patience + self.terms.answer_slack, "rule 1: answered in time"
+        for viewing_id, (_, _, patience, _) in self.open.items():
+            assert viewing_id in self.out or now <= patience + self.terms.answer_slack, (
+                "rule 1: answered in time"
+            )
 
     def check(self, now: float, decision: Decision) -> None:
         match decision:
-            case say.SetRung(vw, rung):
-                package, _, _, top = self.open[vw] if vw in self.open else self.known[vw]
+            case say.SetRung(viewing_id, rung):
+                package, _, _, top = (
+                    self.open[viewing_id] if viewing_id in self.open else self.known[viewing_id]
+                )
                 assert package.floor <= rung <= top, "rule 5: floor, and the viewer's top"
-            case say.TuneIn(vw, host, within):
-                self.tune_in(now, vw, host, within)
-            case say.Block(vw, stay_away):
-                package = self.open.pop(vw)[0]
-                assert vw not in self.out, "rule 1: no answer while a tune-in is out"
+            case say.TuneIn(viewing_id, host, within):
+                self.tune_in(now, viewing_id, host, within)
+            case say.Block(viewing_id, stay_away):
+                package = self.open.pop(viewing_id)[0]
+                assert viewing_id not in self.out, "rule 1: no answer while a tune-in is out"
                 assert (
-                    vw not in self.ran
+                    viewing_id not in self.ran
                     or package.effect == "repeatable"
                     or (package.effect == "by_key" and package.key_scope == "all")
                 ), "rule 2: refused only if it never ran"
                 assert stay_away <= self.terms.longest_advice
-            case say.Abort(vw):
-                del self.open[vw]
-                assert vw not in self.out
+            case say.Abort(viewing_id):
+                del self.open[viewing_id]
+                assert viewing_id not in self.out
 
-    def tune_in(self, now: float, vw: int, host: str, within: float) -> None:
-        package, title, patience, _ = self.open[vw]
-        assert vw not in self.out and vw not in self.playing, "rule 2: never two out"
+    def tune_in(self, now: float, viewing_id: int, host: str, within: float) -> None:
+        package, title, patience, _ = self.open[viewing_id]
+        assert viewing_id not in self.out and viewing_id not in self.playing, "rule 2: never two out"
         assert 0 < within <= patience - now + 1e-9, "rule 1: ends before patience"
-        if vw in self.ran and package.effect != "repeatable":
-            there, at = self.ran[vw]
+        if viewing_id in self.ran and package.effect != "repeatable":
+            there, at = self.ran[viewing_id]
             same = {
                 "all": True,
                 "zone": self.rows[there].zone == self.rows[host].zone,
@@ -121,7 +127,7 @@
         if package.seats:
             held = [x for x in {**self.out, **self.playing} if self.known[x][:2] == (package, title)]
             assert len(held) < package.seats, "rule 5: seats"
-        number = self.count.get(vw, 0)
+        number = self.count.get(viewing_id, 0)
         assert number < self.terms.tune_ins
         if number and self.terms.extra_free is not None:
             since = now - self.terms.extra_window
@@ -131,5 +137,5 @@
         if number:
             self.extra.append(now)
         self.sent.append((now, host))
-        self.count[vw] = number + 1
-        self.out[vw] = (host, number, now + within)
+        self.count[viewing_id] = number + 1
+        self.out[viewing_id] = (host, number, now + within)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -226,6 +226,8 @@
     return response
 
 
-def notice(host: Host, name: str, vw: int, kind: int, value: float = 0.0) -> None:
+def notice(host: Host, name: str, viewing_id: int, kind: int, value: float = 0.0) -> None:
     assert host.feed is not None
-    host.feed.tell(event(msgspec.json.encode({"vw": vw, "kind": kind, "value": value}).decode(), name))
+    host.feed.tell(
+        event(msgspec.json.encode({"vw": viewing_id, "kind": kind, "value": value}).decode(), name)
+    )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -261,7 +261,7 @@
                 host.how = nothing
             v.set_up(1)
             host = holder(world, 1)
-            viewing = gateway.carrier.viewings[gateway.carrier.desk.by_sid[sid(1)].vw]
+            viewing = gateway.carrier.viewings[gateway.carrier.desk.by_sid[sid(1)].viewing_id]
             assert viewing.line is not None
             way(v, 1)
             # In the same turn, with no look at the sockets between: the tune-in ends, decisions are pulled.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1101,9 +1101,9 @@
     def day(rig: Rig) -> None:
         rig.offer(1)
         admin = Admin(rig.gateway, Life(time.monotonic(), 3.0), "", lambda: None)
-        vw = next(iter(rig.gateway.carrier.viewings))
-        entry = rig.gateway.carrier.desk.entries[vw]
-        for which in (str(vw), entry.resource):
+        viewing_id = next(iter(rig.gateway.carrier.viewings))
+        entry = rig.gateway.carrier.desk.entries[viewing_id]
+        for which in (str(viewing_id), entry.resource):
             lines = json.loads(admin.handle(Request("GET", f"/v1/why/{which}", {}), "look").body)["lines"]
             assert "asked for clip-1 as recorded" in lines[0]
             assert any("-> tune in at" in line for line in lines)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -471,15 +471,15 @@
     def day(rig: Rig) -> None:
         place = str(rig.offer().header("location"))
         host = rig.hosts[rig.set_ups[0][0]]
-        vw = next(iter(rig.gateway.carrier.viewings))
+        viewing_id = next(iter(rig.gateway.carrier.viewings))
         with rig.client.stream(rig.at, place + "/events") as (response, parts):
             assert response.status == 200
             seen = next(parts)
-            notice(host, "note", vw, 1, 0.3)
+            notice(host, "note", viewing_id, 1, 0.3)
             rig.until(lambda: host.rungs, 30.0)  # chance rounds steps to whole ones: it may take some looks
             while b"event: layers" not in seen[seen.index(b"active") :]:
                 seen += next(parts)
-            notice(host, "ended", vw, 60)
+            notice(host, "ended", viewing_id, 60)
             for part in parts:
                 seen += part
             assert seen.startswith(b"event: active") and seen.rstrip().endswith(b"data: {}")
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -15,11 +15,11 @@
 NOW = 200.0  # long after the start, when no media host is cold any more
 
 
-def playing(gw: Gateway, vw: int = 1, rung: int = 1, host: str = "h0") -> Viewing:
-    gw.handed_over(NOW, vw, "plain", "t1", 0, 6, 3, host)
-    gw.told(NOW, vw, host, 2, rung)
-    gw.viewings[vw].hold_until = NOW
-    return gw.viewings[vw]
+def playing(gw: Gateway, viewing_id: int = 1, rung: int = 1, host: str = "h0") -> Viewing:
+    gw.handed_over(NOW, viewing_id, "plain", "t1", 0, 6, 3, host)
+    gw.told(NOW, viewing_id, host, 2, rung)
+    gw.viewings[viewing_id].hold_until = NOW
+    return gw.viewings[viewing_id]
 
 
 def step(gw: Gateway, v: Viewing, link: float, uplink: float = 0.0) -> int:
@@ -112,8 +112,8 @@
     new = say.Row("new", 0, 2.0, "k", "a", "in_service", NOW - 1)
     gw.listed(NOW, "incr", [new])
     gw.hosts["h0"].listed = False
-    for vw in range(9):
-        ask(gw, NOW, vw, spread=1)
+    for viewing_id in range(9):
+        ask(gw, NOW, viewing_id, spread=1)
     sent = [d for d in pulled(gw, NOW) if isinstance(d, say.TuneIn)]
     assert 1 <= len(sent) <= 4, "budget of 6 in two seconds for all gateways, and this is one of two"
 
@@ -135,9 +135,9 @@
     gw = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
     gw.listed(NOW, "incr", [say.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
     limit, sent = terms.fall_multiple * terms.cold_share * 4000 / terms.warm_up * terms.fall_after, 0
-    for vw in range(1200):
-        ask(gw, NOW + vw * 0.001, vw)
-        sent += sum(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + vw * 0.001))
+    for viewing_id in range(1200):
+        ask(gw, NOW + viewing_id * 0.001, viewing_id)
+        sent += sum(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + viewing_id * 0.001))
     assert 512 < sent <= limit < 1000
 
 
@@ -147,24 +147,24 @@
     gw = gateway()
     odd = say.Row("odd", cell, 2.0, "nobody-knows", "nowhere", "in_service", NOW - 1)
     gw.listed(NOW, "incr", [odd])
-    for vw in range(12):
-        ask(gw, NOW, vw)
+    for viewing_id in range(12):
+        ask(gw, NOW, viewing_id)
     sent = [d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn)]
     assert len(sent) == 12 and "odd" not in sent
     if cell == say.UNPLACED:
         assert all("odd" not in [h.row.host for h in rack] for _, rack in gw.racks)
     everywhere = gateway(fleet=replace(FLEET, cells=0))
     everywhere.listed(NOW, "total", [odd])
-    for vw in range(40):
-        ask(everywhere, NOW, vw)
+    for viewing_id in range(40):
+        ask(everywhere, NOW, viewing_id)
     held = sum(isinstance(d, say.TuneIn) for d in pulled(everywhere, NOW))
     assert 1 <= held <= 3, "an unknown kind has the smallest budget: 30 places, 6 in two seconds, one of two"
 
 
 def test_one_host_standing_still_does_not_blame_its_rack() -> None:
     gw = gateway()
-    for vw, host in enumerate(["h0", "h2", "h4"]):
-        playing(gw, vw, host=host)
+    for viewing_id, host in enumerate(["h0", "h2", "h4"]):
+        playing(gw, viewing_id, host=host)
     gw.told(NOW, 0, "h0", 1, 0.1)
     assert gw.use_uplink(NOW, gw.hosts["h2"]) < 0.5 < 1.0 < gw.use_link(NOW, gw.hosts["h0"])
     gw.told(NOW, 1, "h2", 1, 0.6)
@@ -241,10 +241,13 @@
         gw = Gateway(7, start, LADDER, (PLAIN,), FLEET, replace(TERMS, may_probe=True, warm_up=0.0))
         gw.listed(start, "warm_copy", rows())
         said: list[str] = []
-        for vw in range(4):
-            gw.asked(start + vw, vw, "plain", "t1", 0, 6, 3, start + vw + 3.0)
+        for viewing_id in range(4):
+            gw.asked(start + viewing_id, viewing_id, "plain", "t1", 0, 6, 3, start + viewing_id + 3.0)
             for step in range(3):
-                said += [type(d).__name__ + getattr(d, "host", "") for d in pulled(gw, start + vw + step / 8)]
+                said += [
+                    type(d).__name__ + getattr(d, "host", "")
+                    for d in pulled(gw, start + viewing_id + step / 8)
+                ]
         decided.append(said)
     assert "Probe" in str(decided[0]) and all(said == decided[0] for said in decided)
 
@@ -445,26 +448,26 @@
 
 def test_a_set_up_that_no_media_host_can_use_makes_none_look_ill() -> None:
     gw = gateway()
-    for vw in range(1, 9):
-        ask(gw, NOW, vw)
+    for viewing_id in range(1, 9):
+        ask(gw, NOW, viewing_id)
         for number in range(3):
             host = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
-            gw.ended(NOW, vw, False, Outcome.ERROR, host, 0.01, number)
-        assert say.Block(vw, 0.0) in pulled(gw, NOW)
+            gw.ended(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, number)
+        assert say.Block(viewing_id, 0.0) in pulled(gw, NOW)
     assert all(h.aside_until < NOW and not h.bad for h in gw.hosts.values())
 
 
 def test_an_error_counts_when_the_viewing_plays_elsewhere_or_met_one_only() -> None:
     gw = gateway()
-    for vw in (1, 2):
+    for viewing_id in (1, 2):
         for h in gw.hosts.values():
             h.link.read(NOW, NOW, 0.0 if h.row.host == "h3" else 0.5)
-        ask(gw, NOW, vw)
+        ask(gw, NOW, viewing_id)
         host = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
         assert host == "h3"
-        gw.ended(NOW, vw, False, Outcome.ERROR, host, 0.01, 0)
+        gw.ended(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, 0)
         other = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
-        gw.opened(NOW, vw, other, 1, 0.01)
+        gw.opened(NOW, viewing_id, other, 1, 0.01)
     assert gw.hosts["h3"].aside_until > NOW
     lone = gateway(hosts=1)
     ask(lone, NOW, 1)
@@ -500,7 +503,7 @@
         assert terms.fall_multiple * terms.cold_share / terms.warm_up * terms.fall_after < 1
         gw = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
         gw.listed(NOW, "incr", [say.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
-        for vw in range(50):
-            ask(gw, NOW + vw * 0.001, vw)
-            sent += sum(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + vw * 0.001))
+        for viewing_id in range(50):
+            ask(gw, NOW + viewing_id * 0.001, viewing_id)
+            sent += sum(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + viewing_id * 0.001))
     assert sent == 1
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -41,17 +41,17 @@
     asked: set[int] = set()  # viewings without an answer
     playing: set[int] = set()
     given_up: set[int] = set()
-    conn = vw = 0
+    conn = viewing_id = 0
     on_way: list[int] = []
     for _ in range(80):
         now += chance.choice([0.0, 0.01, 0.3, 2.0])
         event = chance.randrange(8)
         if event < 3:
-            conn, vw = conn + 1, vw + 1
+            conn, viewing_id = conn + 1, viewing_id + 1
             key = bytes([chance.randrange(4)])
-            if desk.offered(now, conn, key, vw):
-                asked.add(vw)
-                owed[conn] = vw
+            if desk.offered(now, conn, key, viewing_id):
+                asked.add(viewing_id)
+                owed[conn] = viewing_id
             else:
                 owed[conn] = 0
         elif event == 3 and asked:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -148,16 +148,16 @@
 
 def test_each_set_up_gets_one_answer_and_an_open_id_is_not_taken_twice() -> None:
     desk = Desk()
-    vw = desk.asked(1, SID, "1")
-    assert vw is not None and desk.asked(2, SID, "1") is None
-    assert desk.plays(vw, "d") and not desk.plays(vw, "d")
-    desk.blocked(vw)
-    desk.aborted(vw)
+    viewing_id = desk.asked(1, SID, "1")
+    assert viewing_id is not None and desk.asked(2, SID, "1") is None
+    assert desk.plays(viewing_id, "d") and not desk.plays(viewing_id, "d")
+    desk.blocked(viewing_id)
+    desk.aborted(viewing_id)
     assert owed(desk) == [Answer(1, SID, "1", "plays", "d")]
-    desk.over(vw, 16)
-    desk.over(vw, 16)
+    desk.over(viewing_id, 16)
+    desk.over(viewing_id, 16)
     assert owed(desk) == [Release(1, SID, 16)]
-    assert not (desk.by_vw or desk.by_sid or desk.by_conn or desk.waiting)
+    assert not (desk.by_viewing_id or desk.by_sid or desk.by_conn or desk.waiting)
 
 
 def test_a_connection_that_is_gone_gives_up_what_waits_and_leaves_what_plays() -> None:
@@ -175,13 +175,13 @@
 
 def test_a_release_goes_where_set_ups_come_from_when_its_own_connection_is_gone() -> None:
     desk = Desk()
-    vw = desk.asked(1, SID, "1")
-    assert vw is not None
-    desk.plays(vw, "d")
+    viewing_id = desk.asked(1, SID, "1")
+    assert viewing_id is not None
+    desk.plays(viewing_id, "d")
     desk.asked(2, "2" * 16, "1")
     desk.hung_up(1)
     owed(desk)
-    desk.over(vw, 16)
+    desk.over(viewing_id, 16)
     assert owed(desk) == [Release(2, SID, 16)]
 
 
@@ -189,17 +189,17 @@
     desk = Desk()
     for conn, peer in ((1, "10.0.0.1"), (2, "10.0.0.2"), (3, "10.0.0.1"), (4, "10.0.0.9")):
         desk.opened(conn, peer)
-    vws = [desk.asked(1, "a" * 15 + str(n), "1") for n in range(3)]
+    viewing_ids = [desk.asked(1, "a" * 15 + str(n), "1") for n in range(3)]
     for n, conn in enumerate((2, 2, 3, 4)):
         desk.asked(conn, "b" * 15 + str(n), "1")
-    for vw in vws:
-        assert vw is not None
-        desk.plays(vw, "d")
+    for viewing_id in viewing_ids:
+        assert viewing_id is not None
+        desk.plays(viewing_id, "d")
     desk.hung_up(1)
     owed(desk)
-    for vw, conn in zip(vws, (3, 2, 4), strict=True):
-        assert vw is not None
-        desk.over(vw, 16)
+    for viewing_id, conn in zip(viewing_ids, (3, 2, 4), strict=True):
+        assert viewing_id is not None
+        desk.over(viewing_id, 16)
         assert [d.conn for d in owed(desk)] == [conn]
         desk.hung_up(conn)
     assert set(desk.peers) == set()
@@ -207,12 +207,12 @@
 
 def test_a_release_whose_connection_turned_out_to_be_gone_goes_out_on_another_or_waits() -> None:
     desk = Desk()
-    vw = desk.asked(1, SID, "1")
-    assert vw is not None
-    desk.plays(vw, "d")
+    viewing_id = desk.asked(1, SID, "1")
+    assert viewing_id is not None
+    desk.plays(viewing_id, "d")
     desk.asked(2, "2" * 16, "1")
     owed(desk)
-    desk.over(vw, 16)
+    desk.over(viewing_id, 16)
     (release,) = owed(desk)
     assert release == Release(1, SID, 16)
     desk.undelivered(release)
@@ -226,12 +226,12 @@
 
 def test_what_its_viewer_ended_is_owed_no_release() -> None:
     desk = Desk()
-    vw = desk.asked(1, SID, "1")
-    assert vw is not None
-    desk.plays(vw, "d")
+    viewing_id = desk.asked(1, SID, "1")
+    assert viewing_id is not None
+    desk.plays(viewing_id, "d")
     owed(desk)
-    assert desk.torn(SID) == (vw, True) and desk.torn(SID) is None
-    desk.over(vw, 16)
+    assert desk.torn(SID) == (viewing_id, True) and desk.torn(SID) is None
+    desk.over(viewing_id, 16)
     assert owed(desk) == []
 
 
@@ -527,7 +527,7 @@
     decisions = []
     while (decision := gw.decide(100.0)) is not None:
         decisions.append(decision)
-    assert [f"{d.vw}\t{d.host}" for d in decisions if isinstance(d, say.TuneIn)] == [
+    assert [f"{d.viewing_id}\t{d.host}" for d in decisions if isinstance(d, say.TuneIn)] == [
         line.removeprefix("forward\t").rpartition("\t")[0] for line in lines if line.startswith("forward")
     ]
     assert len(decisions) == len(lines) - 1 > 0
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -36,22 +36,22 @@
     """What rule was broken, or nothing."""
     out: dict[str, str] = {}
     answers: dict[str, int] = {}
-    for what, vw, *more in log:
+    for what, viewing_id, *more in log:
         if what == "start":
-            if vw in out:
-                return f"rule 2: {vw} is out at {out[vw]} and at {more[0]}"
-            if vw not in answers:
-                return f"{vw} was never asked for"
-            out[vw] = more[0]
+            if viewing_id in out:
+                return f"rule 2: {viewing_id} is out at {out[viewing_id]} and at {more[0]}"
+            if viewing_id not in answers:
+                return f"{viewing_id} was never asked for"
+            out[viewing_id] = more[0]
         elif what == "end":
-            out.pop(vw, None)
+            out.pop(viewing_id, None)
         elif what == "asked":
-            answers[vw] = 0
+            answers[viewing_id] = 0
         elif what == "answer":
-            answers[vw] += 1
-            if answers[vw] > 1:
-                return f"rule 1: {vw} was answered twice"
-    missing = [vw for vw, n in answers.items() if n != 1]
+            answers[viewing_id] += 1
+            if answers[viewing_id] > 1:
+                return f"rule 1: {viewing_id} was answered twice"
+    missing = [viewing_id for viewing_id, n in answers.items() if n != 1]
     return f"rule 1: no answer to {missing}" if missing else ""
 
 
@@ -121,9 +121,9 @@
     def out(self) -> dict[str, bool]:
         """Set-ups that have reached this host, and whether the log has no end of them here."""
         state: dict[str, bool] = {}
-        for what, vw, *more in self.world.log:
+        for what, viewing_id, *more in self.world.log:
             if what in ("start", "end") and more[0] == self.name:
-                state[vw] = what == "start"
+                state[viewing_id] = what == "start"
         return state
 
     def say(self, verb: str, tag: str, fields: Any = None, cause: int | None = None) -> None:
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -422,8 +422,8 @@
             title = titles[n % 3]
             plays = rig.offer(n, token=f"t{n}", title=title)
             assert plays.status == 201
-            vw = max(rig.gateway.carrier.viewings)
-            rack = rig.gateway.rack_of(rig.gateway.carrier.viewings[vw].host)
+            viewing_id = max(rig.gateway.carrier.viewings)
+            rack = rig.gateway.rack_of(rig.gateway.carrier.viewings[viewing_id].host)
             faulty = (rack == "1") * 3 + (title == titles[1]) * 3
             # By their order within rack and title: by number alone the share that stalls on a rack swings
             # with where timing places them, and 30 of 114 is one too few for a verdict.
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -51,7 +51,7 @@
 @settings(max_examples=300, deadline=None, derandomize=True, phases=[Phase.generate])
 @given(packages, all_terms, fleets, st.integers(0, 2**32))
 def test_the_rules_hold_at_every_step(package: Package, terms: Terms, fleet: Fleet, seed: int) -> None:
-    now, vw, chance = 50.0, 0, random.Random(seed)
+    now, viewing_id, chance = 50.0, 0, random.Random(seed)
     gw = Gateway(3, now, LADDER, (package,), fleet, terms)
     book = Ledger(gw, terms, (fleet.slots or {}).get("k", 1))
     fresh = [Row(f"h{i}", i, 2.0, "k", "ab"[i % 2], "in_service", 0.0) for i in range(5)]
@@ -83,12 +83,12 @@
                 del book.out[held]
         event = chance.randrange(9)
         if event < 3:
-            vw += 1
+            viewing_id += 1
             top = chance.randrange(-1, 12)
             title, spread = chance.choice("tu"), chance.choice([0, 1, 3, 6])
-            gw.asked(now, vw, "p", title, chance.randrange(6), spread, top, now + 3.0)
+            gw.asked(now, viewing_id, "p", title, chance.randrange(6), spread, top, now + 3.0)
             highest = min(top, package.top, 3)
-            book.open[vw] = book.known[vw] = (package, title, now + 3.0, highest)
+            book.open[viewing_id] = book.known[viewing_id] = (package, title, now + 3.0, highest)
             book.asked.append(now)
         elif event == 3:
             row = chance.choice(fresh)
