--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -101,7 +101,7 @@
     gw = brain.Gateway(
         1, 0.0, ladder, (interface.Package("p", 0.8, 3.0),), fleet, interface.Terms(tune_ins=3, warm_up=1.0)
     )
-    gw.listed(
+    gw.on_host_list(
         0.0, "total", [interface.Row(f"h{i}", i, 1.0, "k", "", "in_service", 0.0) for i in range(hosts)]
     )
     before = memory_of(os.getpid())
@@ -111,12 +111,12 @@
         nonlocal playing
         while (decision := gw.decide(now)) is not None:
             if isinstance(decision, interface.TuneIn):
-                gw.opened(now, decision.viewing_id, decision.host, 0, 0.03)
+                gw.on_tune_in_success(now, decision.viewing_id, decision.host, 0, 0.03)
                 playing += 1
 
     for viewing_id in range(1, size + 1):
         now += 0.002
-        gw.asked(
+        gw.on_viewing_request(
             now,
             viewing_id,
             "p",
@@ -137,8 +137,8 @@
         began, until = cpu(), now + seconds
         while now < until:
             now += 0.5 / hosts
-            gw.told(now, 0, f"h{step % hosts}", 3, 0.3)
-            gw.told(now, 0, f"h{step % hosts}", 4, 0.3)
+            gw.on_report(now, 0, f"h{step % hosts}", 3, 0.3)
+            gw.on_report(now, 0, f"h{step % hosts}", 4, 0.3)
             step += 1
             pull()
         return cpu() - began
@@ -367,7 +367,7 @@
     roll, before = Roll(), cpu()
     for n in range(turns):
         rows = roll.total(msgspec.json.decode(data, type=News)) or ()
-        gw.listed(10.0 + n, "total", [line.row(0.0) for line in rows])
+        gw.on_host_list(10.0 + n, "total", [line.row(0.0) for line in rows])
         while gw.decide(10.0 + n) is not None:
             pass
     return {
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -33,7 +33,7 @@
     )
     gw = module.Gateway(1, 0.0, LADDER, (PACKAGE,), fleet, interface.Terms(tune_ins=3, warm_up=1.0))
     rows = [interface.Row(f"h{i}", i, 1.0, "k", "", "in_service", 0.0) for i in range(hosts)]
-    gw.listed(0.0, "total", rows)
+    gw.on_host_list(0.0, "total", rows)
     load = 0.3 if room else 1.2
     now, viewing_id, spent = 100.0, 0, 0.0
     playing: dict[int, str] = {}
@@ -50,7 +50,7 @@
         now = 100.0 + step / rate
         viewing_id += 1
         start = time.perf_counter()
-        gw.asked(
+        gw.on_viewing_request(
             now,
             viewing_id,
             "p",
@@ -62,17 +62,17 @@
         )
         pull()
         if viewing_id in playing:
-            gw.opened(now, viewing_id, playing[viewing_id], 0, 0.03)
+            gw.on_tune_in_success(now, viewing_id, playing[viewing_id], 0, 0.03)
             pull()
         if viewing_id - rate in playing:
-            gw.ended(
+            gw.on_tune_in_end(
                 now, viewing_id - rate, True, interface.Outcome.OK, playing.pop(viewing_id - rate), 1.0, 0
             )
             pull()
         if step % max(1, rate // hosts) == 0:
             host = f"h{(step // max(1, rate // hosts)) % hosts}"
-            gw.told(now, 0, host, 3, load)
-            gw.told(now, 0, host, 4, load)
+            gw.on_report(now, 0, host, 3, load)
+            gw.on_report(now, 0, host, 4, load)
             pull()
         spent += time.perf_counter() - start
     return spent / viewing_id * 1000
--- a/ledgehitch/brain.py
+++ b/ledgehitch/brain.py
@@ -1,10 +1,10 @@
 """Every decision of a gateway: where a viewing is set up, at which rung it plays, what is blocked or aborted.
 
-How to call it: make a `Gateway(seed, now, ladder, packages, fleet, terms)`. Hand it what happens through
-`listed`, `asked`, `handed_over`, `opened`, `told`, `ended`, `left` and `probed`; these only update what is
-known. Then pull `decide(now)` until it gives None, carrying out each decision as it comes (pulled is done)
-and handing in nothing meanwhile; again after the next events or when the clock reaches `wake_at()`. Types are
-in `ledgehitch/interface.py`; the mechanism's source and each departure from it are in `docs/design.md`.
+How to call it: make a `Gateway(seed, now, ladder, packages, fleet, terms)`. Hand it what happens through the
+methods `on_<event>`, which only update what is known. Then pull `decide(now)` until it gives None, carrying
+out each decision as it comes (pulled is done) and handing in nothing meanwhile; again after the next events
+or when the clock reaches `wake_at()`. Types are in `ledgehitch/interface.py`; the mechanism's source and each
+departure from it are in `docs/design.md`.
 """
 
 import math
@@ -215,7 +215,7 @@
 
     # ---- what is known -------------------------------------------------------------------------------------
 
-    def listed(self, now: float, how: str, rows: Sequence[Row]) -> None:
+    def on_host_list(self, now: float, how: str, rows: Sequence[Row]) -> None:
         self.inputs += 1
         if how == "lost":
             # Guards against asking so late that what the list said meanwhile counts as heard (rule 3).
@@ -253,7 +253,7 @@
             host.rack.remove(host)
             del self.hosts[host.row.host]
 
-    def asked(
+    def on_viewing_request(
         self,
         now: float,
         viewing_id: int,
@@ -269,7 +269,7 @@
         if self.terms.extra_free is not None:
             self.asked_times.append(now)
 
-    def handed_over(
+    def on_viewing_handover(
         self,
         now: float,
         viewing_id: int,
@@ -288,7 +288,9 @@
         self.doubts_until = now  # who is handed viewings was not away, so its list is as good as any
         self._begin(now, v)
 
-    def opened(self, now: float, viewing_id: int, host: str, tune_in: int, latency: float) -> None:
+    def on_tune_in_success(
+        self, now: float, viewing_id: int, host: str, tune_in: int, latency: float
+    ) -> None:
         self.inputs += 1
         v = self.viewings.get(viewing_id)
         if v is None or v.playing or v.host is None:
@@ -301,7 +303,7 @@
         v.out, v.playing = False, True
         self._begin(now, v)
 
-    def told(self, now: float, viewing_id: int, host: str, kind: int, value: float) -> None:
+    def on_report(self, now: float, viewing_id: int, host: str, kind: int, value: float) -> None:
         """News on a viewing: 1 the share delivered, 2 its rung, 3 and 4 the use of link and uplink."""
         self.inputs += 1
         v, h = self.viewings.get(viewing_id), self.hosts.get(host)
@@ -328,7 +330,7 @@
                 at = v.news_at = now  # what comes with a set-up is fresh
             self._read(now, at, h, kind == 3, value)
 
-    def ended(
+    def on_tune_in_end(
         self,
         now: float,
         viewing_id: int,
@@ -364,23 +366,25 @@
         v.looked = False
         self.waiting[viewing_id] = v
 
-    def left(self, now: float, viewing_id: int) -> None:
+    def on_viewer_left(self, now: float, viewing_id: int) -> None:
         v = self.viewings.get(viewing_id)
         if v is not None and self.waiting.pop(viewing_id, None) is not None:
             del self.viewings[viewing_id]
         elif v is not None:
             v.gone = True  # its outcome still comes, and frees its seat and load
 
-    def last_call(self, now: float) -> None:
+    def expire_waiting(self, now: float) -> None:
         """This process is about to end: whatever waits, or comes back to wait, waits no longer."""
         for v in self.viewings.values():
             v.patience = min(v.patience, now)
 
-    def probed(self, now: float, host: str, code: int, latency: float, loads: Sequence[float] = ()) -> None:
+    def on_probe_result(
+        self, now: float, host: str, code: int, latency: float, loads: Sequence[float] = ()
+    ) -> None:
         self.inputs += 1
         self._reported(now, self.hosts.get(host), loads)
 
-    def peer_said(self, now: float, words: bytes) -> None:
+    def on_peer_message(self, now: float, words: bytes) -> None:
         """Changes that another gateway booked; what does not parse or names no media host is passed over."""
         self.inputs += 1
         if len(words) % CHANGE.size == 0:
@@ -711,7 +715,7 @@
         self._load(now, v, rung)
         yield say.TuneIn(v.vw, h.row.host, max(within, 0.001))
 
-    def leaves(self, now: float, viewing_id: int) -> bool:
+    def confirm_delayed_send(self, now: float, viewing_id: int) -> bool:
         """Whether a tune-in that was held up on its way may leave now (else it is moot); books it as of now.
 
         Guards against news that overtook it: its media host drains, or started anew and bears little."""
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -204,7 +204,7 @@
         viewing = self.viewings[viewing_id]
         self.gate.asked(viewing_id, viewing.package, patience)
         name, title = viewing.package.name, viewing.title
-        self.mind.asked(now, viewing_id, name, title, cells[0], cells[1], top, patience)
+        self.mind.on_viewing_request(now, viewing_id, name, title, cells[0], cells[1], top, patience)
 
     def _let_in(self, now: float, doorman: Doorman) -> None:
         """Those whom the door lets in are the module's from here on; the others have their answer."""
@@ -270,7 +270,7 @@
             if self._at_door.pop(viewing_id, None) is not None:
                 self.viewings.pop(viewing_id, None)
                 return
-        self.mind.left(now, viewing_id)
+        self.mind.on_viewer_left(now, viewing_id)
         if v.task is None:
             self._forget(viewing_id)
         else:
@@ -283,7 +283,7 @@
         if v is None:
             return
         self.counts.ended += 1
-        self.mind.ended(now, viewing_id, True, Outcome.OK, v.host, 0.0, v.tune_ins - 1)
+        self.mind.on_tune_in_end(now, viewing_id, True, Outcome.OK, v.host, 0.0, v.tune_ins - 1)
         if v.session:
             self._spawn(self._order, v.at, "DELETE", v.session, name=f"end {viewing_id}")
         self._forget(viewing_id)
@@ -296,7 +296,7 @@
             self.counts.unknown += 1
             return
         self.counts.ended += 1
-        self.mind.ended(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
+        self.mind.on_tune_in_end(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
         self.desk.ended(now, viewing_id)
         self._forget(viewing_id)
         self.stir()
@@ -324,7 +324,7 @@
         except Shut as why:
             self.counts.stopped_at_gate += 1
             log.error("stopped at the gate", vw=viewing_id, host=host, why=str(why))
-            self.mind.ended(now, viewing_id, False, Outcome.MOOT, host, 0.0, number)
+            self.mind.on_tune_in_end(now, viewing_id, False, Outcome.MOOT, host, 0.0, number)
             self.stir()
             return
         assert v is not None
@@ -350,7 +350,7 @@
                 self._opened(now, viewing_id, v, host, number, at, response, now - sent)
                 for kind, value in ((3, loads.get("x0")), (4, loads.get("x1"))):
                     if value is not None:
-                        self.mind.told(now, viewing_id, host, kind, value)
+                        self.mind.on_report(now, viewing_id, host, kind, value)
             else:
                 self._failed(now, viewing_id, host, number, code, now - sent, loads)
         finally:
@@ -359,7 +359,7 @@
                 v.task = None
                 self.gate.came_back(viewing_id, Outcome.CANCELLED)
                 now = time.monotonic()
-                self.mind.ended(now, viewing_id, True, Outcome.CANCELLED, host, now - sent, number)
+                self.mind.on_tune_in_end(now, viewing_id, True, Outcome.CANCELLED, host, now - sent, number)
                 # Guards against a fault of ours leaving a viewer without answer; one who left is owed none.
                 self._settled(now, viewing_id, "aborted")
                 self._forget(viewing_id)
@@ -422,7 +422,7 @@
         self.playing_at.setdefault(host, {})[viewing_id] = None
         self.counts.plays += 1
         self.joins.joined(now, now - v.asked_at)
-        self.mind.opened(now, viewing_id, host, number, latency)
+        self.mind.on_tune_in_success(now, viewing_id, host, number, latency)
         self._settled(now, viewing_id, "plays", response.body.decode("utf-8", "replace"))
 
     def _failed(
@@ -436,7 +436,7 @@
         loads: dict[str, float],
     ) -> None:
         values = [loads.get(name, -1.0) for name in self.load_fields]
-        self.mind.ended(now, viewing_id, False, code, host, latency, number, values)
+        self.mind.on_tune_in_end(now, viewing_id, False, code, host, latency, number, values)
 
     # ---- what else goes to media hosts ---------------------------------------------------------------------
 
@@ -483,7 +483,7 @@
                     for tell in v.events or ():
                         tell("layers", {"encodingId": str(rung)})
                 elif v.wanted is None and viewing_id in self.viewings:
-                    self.mind.told(time.monotonic(), viewing_id, v.host, 2, v.in_force)
+                    self.mind.on_report(time.monotonic(), viewing_id, v.host, 2, v.in_force)
                     self.stir()
         finally:
             v.telling = False
@@ -503,7 +503,7 @@
             pass
         values = [loads.get(name, -1.0) for name in self.load_fields]
         now = time.monotonic()
-        self.mind.probed(now, host, code, now - sent, values)
+        self.mind.on_probe_result(now, host, code, now - sent, values)
         self.stir()
 
     def _follow(self, host: str) -> None:
@@ -552,7 +552,7 @@
         v = self.viewings.get(said.vw)
         mine = v is not None and v.host == host and bool(v.session)
         if name == "note" and (mine or said.kind in (3, 4)):
-            self.mind.told(now, said.vw, host, said.kind, said.value)
+            self.mind.on_report(now, said.vw, host, said.kind, said.value)
         elif name == "ended" and mine:
             self.ended_there(now, said.vw, said.kind)
         else:
@@ -572,7 +572,7 @@
             self.at[line.host] = line.at
             self.gate.listed(now, line.host, line.state == "in_service")
             self.watch.listed(now, line.host, line.state == "terminated")
-        self.mind.listed(now, how, [line.row(ahead) for line in lines])
+        self.mind.on_host_list(now, how, [line.row(ahead) for line in lines])
         self.stir()
 
     def hear_peers(self) -> None:
@@ -584,7 +584,7 @@
                 _, words = self.peers.words(time.time(), data)
             except Refusal:
                 continue
-            self.mind.peer_said(time.monotonic(), words)
+            self.mind.on_peer_message(time.monotonic(), words)
             self.stir()
 
 
--- a/ledgehitch/gateway/listing.py
+++ b/ledgehitch/gateway/listing.py
@@ -34,7 +34,7 @@
                                 break
             except (ConnectFailed, Interrupted, TimedOut, ValueError) as why:
                 log.debug("no list", why=str(why))
-            self.carrier.mind.listed(time.monotonic(), "lost", ())
+            self.carrier.mind.on_host_list(time.monotonic(), "lost", ())
             self.carrier.stir()
             self.loop.sleep(AGAIN[0] + AGAIN[1] * self.chance.random())
 
--- a/ledgehitch/gateway/mind.py
+++ b/ledgehitch/gateway/mind.py
@@ -21,11 +21,11 @@
         if self.recorder is not None:
             self.recorder.entry(self.brain, name, args)
 
-    def listed(self, now: float, how: str, rows: Sequence[Row]) -> None:
+    def on_host_list(self, now: float, how: str, rows: Sequence[Row]) -> None:
         self._note("listed", now, how, rows)
-        self.brain.listed(now, how, rows)
+        self.brain.on_host_list(now, how, rows)
 
-    def asked(
+    def on_viewing_request(
         self,
         now: float,
         viewing_id: int,
@@ -37,17 +37,19 @@
         patience: float,
     ) -> None:
         self._note("asked", now, viewing_id, package, title, first, spread, top, patience)
-        self.brain.asked(now, viewing_id, package, title, first, spread, top, patience)
+        self.brain.on_viewing_request(now, viewing_id, package, title, first, spread, top, patience)
 
-    def opened(self, now: float, viewing_id: int, host: str, tune_in: int, latency: float) -> None:
+    def on_tune_in_success(
+        self, now: float, viewing_id: int, host: str, tune_in: int, latency: float
+    ) -> None:
         self._note("opened", now, viewing_id, host, tune_in, latency)
-        self.brain.opened(now, viewing_id, host, tune_in, latency)
+        self.brain.on_tune_in_success(now, viewing_id, host, tune_in, latency)
 
-    def told(self, now: float, viewing_id: int, host: str, kind: int, value: float) -> None:
+    def on_report(self, now: float, viewing_id: int, host: str, kind: int, value: float) -> None:
         self._note("told", now, viewing_id, host, kind, value)
-        self.brain.told(now, viewing_id, host, kind, value)
+        self.brain.on_report(now, viewing_id, host, kind, value)
 
-    def ended(
+    def on_tune_in_end(
         self,
         now: float,
         viewing_id: int,
@@ -59,19 +61,21 @@
         loads: Sequence[float] = (),
     ) -> None:
         self._note("ended", now, viewing_id, closed, int(code), host, latency, tune_in, list(loads))
-        self.brain.ended(now, viewing_id, closed, code, host, latency, tune_in, loads)
+        self.brain.on_tune_in_end(now, viewing_id, closed, code, host, latency, tune_in, loads)
 
-    def left(self, now: float, viewing_id: int) -> None:
+    def on_viewer_left(self, now: float, viewing_id: int) -> None:
         self._note("left", now, viewing_id)
-        self.brain.left(now, viewing_id)
+        self.brain.on_viewer_left(now, viewing_id)
 
-    def probed(self, now: float, host: str, code: int, latency: float, loads: Sequence[float] = ()) -> None:
+    def on_probe_result(
+        self, now: float, host: str, code: int, latency: float, loads: Sequence[float] = ()
+    ) -> None:
         self._note("probed", now, host, int(code), latency, list(loads))
-        self.brain.probed(now, host, code, latency, loads)
+        self.brain.on_probe_result(now, host, code, latency, loads)
 
-    def peer_said(self, now: float, words: bytes) -> None:
+    def on_peer_message(self, now: float, words: bytes) -> None:
         self._note("peer_said", now, words)
-        self.brain.peer_said(now, words)
+        self.brain.on_peer_message(now, words)
 
     def pulled(self, now: float) -> Iterator[Decision]:
         """One pull. The host must hand in nothing before it is through."""
--- a/ledgehitch/gateway/replay.py
+++ b/ledgehitch/gateway/replay.py
@@ -1,5 +1,6 @@
 """A record fed to the module again: the first difference, or that there is none."""
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -8,7 +9,17 @@
 from ledgehitch.gateway.record import BadRecord, digest_of_module, entries, plain, segments, thawed
 from ledgehitch.interface import Row
 
-INPUTS = {"listed", "asked", "opened", "told", "ended", "left", "probed", "peer_said"}
+# The method of `Gateway` that takes each recorded input, by the name under which records hold it.
+INPUTS: dict[str, Callable[..., None]] = {
+    "listed": Gateway.on_host_list,
+    "asked": Gateway.on_viewing_request,
+    "opened": Gateway.on_tune_in_success,
+    "told": Gateway.on_report,
+    "ended": Gateway.on_tune_in_end,
+    "left": Gateway.on_viewer_left,
+    "probed": Gateway.on_probe_result,
+    "peer_said": Gateway.on_peer_message,
+}
 
 
 @dataclass
@@ -48,7 +59,7 @@
             elif name in INPUTS:
                 if name == "listed":
                     args[2] = [Row(**row) if isinstance(row, dict) else Row(*row) for row in args[2]]
-                getattr(gateway, name)(*args)
+                INPUTS[name](gateway, *args)
             else:
                 raise BadRecord(f"{segment}: entry {number}: {name!r} is no input of the module")
     return verdict
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -108,7 +108,7 @@
             self.gate.listed(now, row.host, row.state == "in_service")
             if row.state == "terminated":
                 gone.append(row.host)
-        self.brain.listed(now, how, rows)
+        self.brain.on_host_list(now, how, rows)
         for host in gone:
             self.lost(host)
 
@@ -141,7 +141,9 @@
     def _admit(self, now: float, viewing_id: int, cells: tuple[int, int], top: int, patience: float) -> None:
         v = self.viewings[viewing_id]
         self.gate.asked(viewing_id, v.package, patience)
-        self.brain.asked(now, viewing_id, v.package.name, v.title, cells[0], cells[1], top, patience)
+        self.brain.on_viewing_request(
+            now, viewing_id, v.package.name, v.title, cells[0], cells[1], top, patience
+        )
 
     def hung_up(self, conn: int) -> None:
         if self.answers.pop(conn, None) is not None:
@@ -156,14 +158,14 @@
         for viewing_id, host, kind, value in notes:
             v = self.viewings.get(viewing_id)
             if kind in (3, 4) or (v is not None and v.host == host and v.session is not None):
-                self.brain.told(now, viewing_id, host, kind, value)
+                self.brain.on_report(now, viewing_id, host, kind, value)
 
     def ended_there(self, viewing_id: int, session: Session, code: int) -> None:
         v = self.viewings.get(viewing_id)
         if v is None or v.session is not session:
             return
         now = self.ground.agenda.now
-        self.brain.ended(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
+        self.brain.on_tune_in_end(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
         self.desk.ended(now, viewing_id)
         self._forget(viewing_id)
 
@@ -174,7 +176,7 @@
                 self.ended_there(viewing_id, v.session, Outcome.RESET)
 
     def peer_said(self, words: bytes) -> None:
-        self.brain.peer_said(self.ground.agenda.now, words)
+        self.brain.on_peer_message(self.ground.agenda.now, words)
 
     # ---- what is decided -----------------------------------------------------------------------------------
 
@@ -281,11 +283,11 @@
             if self._at_door.pop(viewing_id, None) is not None:
                 self.viewings.pop(viewing_id, None)
                 return
-        self.brain.left(now, viewing_id)
+        self.brain.on_viewer_left(now, viewing_id)
         if v.out >= 0:
             number, v.out = v.out, -1
             self.gate.came_back(viewing_id, Outcome.CANCELLED)
-            self.brain.ended(now, viewing_id, True, Outcome.CANCELLED, v.host, now - v.sent, number)
+            self.brain.on_tune_in_end(now, viewing_id, True, Outcome.CANCELLED, v.host, now - v.sent, number)
             self._call_back(viewing_id, v.host, number)
         self._forget(viewing_id)
 
@@ -293,7 +295,7 @@
         v = self.viewings.get(viewing_id)
         if v is None:
             return
-        self.brain.ended(now, viewing_id, True, Outcome.OK, v.host, 0.0, v.tune_ins - 1)
+        self.brain.on_tune_in_end(now, viewing_id, True, Outcome.OK, v.host, 0.0, v.tune_ins - 1)
         if v.session is not None:
             self.ground.agenda.after(self.ground.hop, self.ground.ends, v.session)
         self._forget(viewing_id)
@@ -309,7 +311,7 @@
             self.gate.sending(now, viewing_id, host, within)
         except Shut:
             self.stopped_at_gate += 1
-            self.brain.ended(
+            self.brain.on_tune_in_end(
                 now, viewing_id, False, Outcome.MOOT, host, 0.0, v.tune_ins if v is not None else 0
             )
             g.agenda.at(now, self.take, self._woken, now)
@@ -337,16 +339,16 @@
             self.door.given_up(now)
         if code == Outcome.OK and session is not None:
             v.session, v.in_force = session, v.rung
-            self.brain.opened(now, viewing_id, v.host, number, now - sent)
+            self.brain.on_tune_in_success(now, viewing_id, v.host, number, now - sent)
             self._settled(now, viewing_id, "plays")
             for kind, name in ((3, "x0"), (4, "x1")):
                 if name in loads:
-                    self.brain.told(now, viewing_id, v.host, kind, loads[name])
+                    self.brain.on_report(now, viewing_id, v.host, kind, loads[name])
             if session.id not in session.host.sessions:
                 self.ended_there(viewing_id, session, Outcome.RESET)
             return
         values = [loads.get(name, -1.0) for name in self.load_fields]
-        self.brain.ended(now, viewing_id, False, code, v.host, now - sent, number, values)
+        self.brain.on_tune_in_end(now, viewing_id, False, code, v.host, now - sent, number, values)
         if code not in (Outcome.FULL, Outcome.CONNECT_FAILED):
             self._call_back(viewing_id, v.host, number)
 
@@ -394,7 +396,7 @@
         if told:
             v.in_force = rung
         elif v.wanted is None:
-            self.brain.told(self.ground.agenda.now, viewing_id, v.host, 2, v.in_force)
+            self.brain.on_report(self.ground.agenda.now, viewing_id, v.host, 2, v.in_force)
         if v.wanted is not None:
             self._tell_rung(viewing_id, v)
         else:
@@ -413,4 +415,4 @@
     def _probed(self, name: str, code: Outcome, sent: float, loads: Loads) -> None:
         now = self.ground.agenda.now
         values = [loads.get(field, -1.0) for field in self.load_fields]
-        self.brain.probed(now, name, code, now - sent, values)
+        self.brain.on_probe_result(now, name, code, now - sent, values)
--- a/ledgehitch/model/spoilt.py
+++ b/ledgehitch/model/spoilt.py
@@ -39,8 +39,8 @@
 class _Deaf(Gateway):
     """Rule 3: that a media host drains or is gone is not heard."""
 
-    def listed(self, now: float, how: str, rows: Sequence[Row]) -> None:
-        super().listed(now, how, [replace(row, state="in_service") for row in rows])
+    def on_host_list(self, now: float, how: str, rows: Sequence[Row]) -> None:
+        super().on_host_list(now, how, [replace(row, state="in_service") for row in rows])
 
 
 class _Rash(Gateway):
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -140,7 +140,7 @@
                 self.count("probes")
                 if not self.hosts.probe(host):
                     failed = Outcome.CONNECT_FAILED
-                    self._undone.append(lambda: self.brain.probed(now, host, failed, 0.0))
+                    self._undone.append(lambda: self.brain.on_probe_result(now, host, failed, 0.0))
             case say.Tell(words, to):
                 self.tell(words, to)
             case say.Subscribe():
@@ -192,7 +192,7 @@
             return None
         try:
             self.gate.leaving(now, viewing_id, line.host)
-            if not self.brain.leaves(now, viewing_id):
+            if not self.brain.confirm_delayed_send(now, viewing_id):
                 raise Shut(4, f"{line.host} takes no more of it now")
         except Shut as why:
             log("held-too-long", vw=viewing_id, host=line.host, why=why)
@@ -232,7 +232,7 @@
         self.count("asked")
         self.viewings[viewing_id] = Viewing(sid, package, title, blob)
         self.gate.asked(viewing_id, package, patience)
-        self.brain.asked(now, viewing_id, package.name, title, first, spread, top, patience)
+        self.brain.on_viewing_request(now, viewing_id, package.name, title, first, spread, top, patience)
         self.stir()
         return True
 
@@ -259,7 +259,7 @@
         v.host, v.plays, v.began, v.tune_ins = host, True, now, 1
         self.gate.asked(viewing_id, package, now + package.patience)
         self.watch.stands(now, host)
-        self.brain.handed_over(now, viewing_id, package.name, title, first, spread, top, host)
+        self.brain.on_viewing_handover(now, viewing_id, package.name, title, first, spread, top, host)
         self.stir()
         return True
 
@@ -284,7 +284,7 @@
         for viewing_id, v in list(self.viewings.items()):
             if v.out and v.line is not None:
                 self._timed_out(viewing_id)
-        self.brain.last_call(now)
+        self.brain.expire_waiting(now)
         self.stir()
 
     def hung_up(self, conn: int) -> None:
@@ -299,7 +299,7 @@
         v = self.viewings.get(viewing_id)
         if v is None:
             return
-        self.brain.left(now, viewing_id)
+        self.brain.on_viewer_left(now, viewing_id)
         if v.out and v.line is not None:
             self.hosts.give_up(v.line, v.sid, False)
             self._ended(now, viewing_id, True, Outcome.CANCELLED, v.host, now - v.sent_at, v.tune_ins - 1)
@@ -328,7 +328,7 @@
         v.plays, v.began, v.blob = True, v.sent_at, ""
         self.gate.came_back(viewing_id, Outcome.OK)
         self.watch.stands(now, host)
-        self.brain.opened(now, viewing_id, host, v.tune_ins - 1, now - v.sent_at)
+        self.brain.on_tune_in_success(now, viewing_id, host, v.tune_ins - 1, now - v.sent_at)
         self.desk.plays(viewing_id, blob)
         self.stir()
 
@@ -364,12 +364,12 @@
         found = self._of(sid)
         kind = NOTES.get(note)
         if kind is not None:
-            self.brain.told(now, found[0] if found is not None else 0, host, kind, value)
+            self.brain.on_report(now, found[0] if found is not None else 0, host, kind, value)
             self.stir()
 
     def probed(self, now: float, host: str, passed: bool, took: float, loads: list[float]) -> None:
         code = Outcome.OK if passed else Outcome.RESET
-        self.brain.probed(now, host, code, took, loads)
+        self.brain.on_probe_result(now, host, code, took, loads)
         self.stir()
 
     # ---- what the list and others say ----------------------------------------------------------------------
@@ -386,11 +386,11 @@
             self.gate.listed(now, row.host, row.state == "in_service")
             self.hosts.listed(row.host, address, gone, row.started)
             self.watch.listed(now, row.host, gone, row.started)
-        self.brain.listed(now, how, [row for row, _ in rows])
+        self.brain.on_host_list(now, how, [row for row, _ in rows])
         self.stir()
 
     def peer_said(self, now: float, words: bytes) -> None:
-        self.brain.peer_said(now, words)
+        self.brain.on_peer_message(now, words)
         self.stir()
 
     # ---- ends ----------------------------------------------------------------------------------------------
@@ -419,14 +419,16 @@
             v.line = None
         self.count(code.name.lower())
         self.gate.came_back(viewing_id, code)
-        self.brain.ended(now, viewing_id, closed, code, host, latency, tune_in, loads or ())
+        self.brain.on_tune_in_end(now, viewing_id, closed, code, host, latency, tune_in, loads or ())
         self.stir()
 
     def _over(self, now: float, viewing_id: int, code: Outcome, loads: list[float] | None = None) -> None:
         """A viewing that played has ended."""
         v = self.viewings[viewing_id]
         self.watch.over(v.host)
-        self.brain.ended(now, viewing_id, True, code, v.host, now - v.sent_at, v.tune_ins - 1, loads or ())
+        self.brain.on_tune_in_end(
+            now, viewing_id, True, code, v.host, now - v.sent_at, v.tune_ins - 1, loads or ()
+        )
         self._done(viewing_id)
 
     def _lost(self, now: float, host: str, before: float) -> None:
--- a/ledgehitch/simhost/wire.py
+++ b/ledgehitch/simhost/wire.py
@@ -175,12 +175,12 @@
             return None
         if name == "view":
             rows = [] if p[0] == "lost" else self.lists[int(p[2])]
-            return lambda: gw.listed(now, p[0], rows)
+            return lambda: gw.on_host_list(now, p[0], rows)
         if name == "query":
             viewing_id, patience, _key, _marks, spread, _hint, title, first, top, _tenant, package = p
             asked = (int(viewing_id), package, title, int(_num(first)), int(_num(spread)), int(_num(top)))
             until = _ms(patience)
-            return lambda: gw.asked(now, *asked, until)
+            return lambda: gw.on_viewing_request(now, *asked, until)
         if name == "existing":
             viewing_id, _key, first, package, _hint, spread, title, _tenant, _patience, host, _marks, top = p
             held = (
@@ -192,25 +192,25 @@
                 int(_num(top)),
                 host,
             )
-            return lambda: gw.handed_over(now, *held)
+            return lambda: gw.on_viewing_handover(now, *held)
         if name == "opened":
             opened = (int(p[0]), p[1], int(p[2]), _ms(p[3]))
-            return lambda: gw.opened(now, *opened)
+            return lambda: gw.on_tune_in_success(now, *opened)
         if name == "note":
             note = (int(p[0]), p[2], int(p[3]), _num(p[4]))
-            return lambda: gw.told(now, *note)
+            return lambda: gw.on_report(now, *note)
         if name == "answer":
             answer = (int(p[0]), bool(int(p[1])), int(p[2]), p[3], _ms(p[4]), int(p[5]), _loads(p[6]))
-            return lambda: gw.ended(now, *answer)
+            return lambda: gw.on_tune_in_end(now, *answer)
         if name == "withdrawn":
             gone = int(p[0])
-            return lambda: gw.left(now, gone)
+            return lambda: gw.on_viewer_left(now, gone)
         if name == "probe_done":
             probed = (p[2], int(p[1]), _ms(p[0]), _loads(p[3]))
-            return lambda: gw.probed(now, *probed)
+            return lambda: gw.on_probe_result(now, *probed)
         if name == "from_peer":
             words = bytes.fromhex(p[1]) if p[1] != "-" else b""
-            return lambda: gw.peer_said(now, words)
+            return lambda: gw.on_peer_message(now, words)
         return None
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -39,7 +39,7 @@
 
 def gateway(package: Package = PLAIN, terms: Terms = TERMS, fleet: Fleet = FLEET, hosts: int = 6) -> Gateway:
     gw = Gateway(7, 100.0, LADDER, (package,), fleet, terms)
-    gw.listed(100.0, "warm_copy", rows(hosts))
+    gw.on_host_list(100.0, "warm_copy", rows(hosts))
     return gw
 
 
@@ -54,7 +54,7 @@
 def ask(
     gw: Gateway, now: float, viewing_id: int, package: str = "plain", spread: int = 6, top: int = 3
 ) -> None:
-    gw.asked(now, viewing_id, package, "t1", 0, spread, top, now + 3.0)
+    gw.on_viewing_request(now, viewing_id, package, "t1", 0, spread, top, now + 3.0)
 
 
 class Ledger:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -16,8 +16,8 @@
 
 
 def playing(gw: Gateway, viewing_id: int = 1, rung: int = 1, host: str = "h0") -> Viewing:
-    gw.handed_over(NOW, viewing_id, "plain", "t1", 0, 6, 3, host)
-    gw.told(NOW, viewing_id, host, 2, rung)
+    gw.on_viewing_handover(NOW, viewing_id, "plain", "t1", 0, 6, 3, host)
+    gw.on_report(NOW, viewing_id, host, 2, rung)
     gw.viewings[viewing_id].hold_until = NOW
     return gw.viewings[viewing_id]
 
@@ -68,9 +68,9 @@
     playing(gw, rung=3)
     pulled(gw, NOW)
     gw.hosts["h0"].tick_at = NOW + 9
-    gw.told(NOW, 1, "h0", 1, 0.2)
+    gw.on_report(NOW, 1, "h0", 1, 0.2)
     assert gw.wake_at() == NOW and any(isinstance(d, say.SetRung) for d in pulled(gw, NOW))
-    gw.told(NOW + 1, 1, "h0", 1, 0.2)
+    gw.on_report(NOW + 1, 1, "h0", 1, 0.2)
     assert gw.wake_at() == NOW + brain.TICK
 
 
@@ -110,7 +110,7 @@
 def test_replacement_first_seen_is_cold_from_its_start() -> None:
     gw = gateway()
     new = say.Row("new", 0, 2.0, "k", "a", "in_service", NOW - 1)
-    gw.listed(NOW, "incr", [new])
+    gw.on_host_list(NOW, "incr", [new])
     gw.hosts["h0"].listed = False
     for viewing_id in range(9):
         ask(gw, NOW, viewing_id, spread=1)
@@ -122,7 +122,7 @@
     started, sent = rows(started=NOW), 0
     for ordinal in range(100):
         gw = gateway(terms=replace(TERMS, gateways=100, ordinal=ordinal))
-        gw.listed(NOW, "total", started)
+        gw.on_host_list(NOW, "total", started)
         ask(gw, NOW + ordinal * 0.019, ordinal, spread=1)
         sent += sum(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + ordinal * 0.019))
     assert 1 <= sent <= TERMS.fall_multiple * TERMS.cold_share * 30 / TERMS.warm_up * TERMS.fall_after
@@ -133,7 +133,7 @@
     fleet = replace(FLEET, slots={"k": 4000}, link_unit_kb=1e9, uplink_kb=1e12)
     terms = replace(TERMS, gateways=1)
     gw = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
-    gw.listed(NOW, "incr", [say.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
+    gw.on_host_list(NOW, "incr", [say.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
     limit, sent = terms.fall_multiple * terms.cold_share * 4000 / terms.warm_up * terms.fall_after, 0
     for viewing_id in range(1200):
         ask(gw, NOW + viewing_id * 0.001, viewing_id)
@@ -146,7 +146,7 @@
     """Once it counted as holder of whatever its cell came to, and on the uplink of a rack not its own."""
     gw = gateway()
     odd = say.Row("odd", cell, 2.0, "nobody-knows", "nowhere", "in_service", NOW - 1)
-    gw.listed(NOW, "incr", [odd])
+    gw.on_host_list(NOW, "incr", [odd])
     for viewing_id in range(12):
         ask(gw, NOW, viewing_id)
     sent = [d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn)]
@@ -154,7 +154,7 @@
     if cell == say.UNPLACED:
         assert all("odd" not in [h.row.host for h in rack] for _, rack in gw.racks)
     everywhere = gateway(fleet=replace(FLEET, cells=0))
-    everywhere.listed(NOW, "total", [odd])
+    everywhere.on_host_list(NOW, "total", [odd])
     for viewing_id in range(40):
         ask(everywhere, NOW, viewing_id)
     held = sum(isinstance(d, say.TuneIn) for d in pulled(everywhere, NOW))
@@ -165,10 +165,10 @@
     gw = gateway()
     for viewing_id, host in enumerate(["h0", "h2", "h4"]):
         playing(gw, viewing_id, host=host)
-    gw.told(NOW, 0, "h0", 1, 0.1)
+    gw.on_report(NOW, 0, "h0", 1, 0.1)
     assert gw.use_uplink(NOW, gw.hosts["h2"]) < 0.5 < 1.0 < gw.use_link(NOW, gw.hosts["h0"])
-    gw.told(NOW, 1, "h2", 1, 0.6)
-    gw.told(NOW, 2, "h4", 1, 0.6)
+    gw.on_report(NOW, 1, "h2", 1, 0.6)
+    gw.on_report(NOW, 2, "h4", 1, 0.6)
     assert gw.use_uplink(NOW, gw.hosts["h2"]) > 1.0
 
 
@@ -183,8 +183,8 @@
     gw = gateway()
     playing(gw)
     before = gw.use_uplink(NOW, gw.hosts["h0"])
-    gw.told(NOW, 1, "h0", 1, 0.9)
-    gw.told(NOW, 1, "h0", 1, 1.0)
+    gw.on_report(NOW, 1, "h0", 1, 0.9)
+    gw.on_report(NOW, 1, "h0", 1, 1.0)
     assert gw.hosts["h0"].uplink.value != 0.0 and gw.use_uplink(NOW, gw.hosts["h0"]) >= before
 
 
@@ -192,7 +192,7 @@
     gw = gateway(hosts=2)
     ask(gw, NOW, 1)
     first = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
-    gw.ended(NOW, 1, False, Outcome.FULL, first, 0.01, 0)
+    gw.on_tune_in_end(NOW, 1, False, Outcome.FULL, first, 0.01, 0)
     second = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
     assert {first, second} == {"h0", "h1"}
     for h in gw.hosts.values():
@@ -206,9 +206,9 @@
     gw = gateway()
     for h in gw.hosts.values():
         h.link.read(NOW - 1, NOW - 1, 0.2)
-    gw.peer_said(NOW, brain.CHANGE.pack(gw.hosts["h2"].mark, 400))
+    gw.on_peer_message(NOW, brain.CHANGE.pack(gw.hosts["h2"].mark, 400))
     for odd in (b"\x00\x01\x02", brain.CHANGE.pack(gw.hosts["h2"].mark, 30000), brain.CHANGE.pack(0, 9)):
-        gw.peer_said(NOW, odd)
+        gw.on_peer_message(NOW, odd)
     assert sum(gw.use_link(NOW, h) for h in gw.hosts.values()) == pytest.approx(6 * 0.2 + 0.2)
 
 
@@ -219,7 +219,7 @@
         for i in range(40):
             ask(gw, NOW + i, i)
             told += [(hosts, d.to) for d in pulled(gw, NOW + i) if isinstance(d, say.Tell)]
-            gw.ended(NOW + i, i, True, Outcome.CANCELLED, gw.viewings[i].tried[0], 0.1, 0)
+            gw.on_tune_in_end(NOW + i, i, True, Outcome.CANCELLED, gw.viewings[i].tried[0], 0.1, 0)
     assert all(to != 4 for _, to in told)
     assert sum(hosts == 100 for hosts, _ in told) < 10 < sum(hosts == 2 for hosts, _ in told)
 
@@ -228,7 +228,7 @@
     taken = set()
     for seed in range(20):
         gw = Gateway(seed, 100.0, LADDER, (PLAIN,), replace(FLEET, cells=12), TERMS)
-        gw.listed(100.0, "warm_copy", rows(12))
+        gw.on_host_list(100.0, "warm_copy", rows(12))
         ask(gw, NOW, 1, spread=12)
         taken |= {d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn)}
     assert len(taken) > 4
@@ -239,10 +239,12 @@
     decided = []
     for start in (0.0, 3.0, 100.0, 634345.0):
         gw = Gateway(7, start, LADDER, (PLAIN,), FLEET, replace(TERMS, may_probe=True, warm_up=0.0))
-        gw.listed(start, "warm_copy", rows())
+        gw.on_host_list(start, "warm_copy", rows())
         said: list[str] = []
         for viewing_id in range(4):
-            gw.asked(start + viewing_id, viewing_id, "plain", "t1", 0, 6, 3, start + viewing_id + 3.0)
+            gw.on_viewing_request(
+                start + viewing_id, viewing_id, "plain", "t1", 0, 6, 3, start + viewing_id + 3.0
+            )
             for step in range(3):
                 said += [
                     type(d).__name__ + getattr(d, "host", "")
@@ -254,31 +256,33 @@
 
 def test_gateway_that_stood_still_answers_at_once_what_has_waited_too_long() -> None:
     gw = gateway()
-    gw.asked(NOW, 1, "plain", "t1", 0, 6, 3, NOW - 0.5)  # its patience is over already
-    gw.asked(NOW, 2, "plain", "t1", 0, 0, 3, NOW + 1.9)  # no holder, and the viewer asked 1.1 s ago
+    gw.on_viewing_request(NOW, 1, "plain", "t1", 0, 6, 3, NOW - 0.5)  # its patience is over already
+    gw.on_viewing_request(
+        NOW, 2, "plain", "t1", 0, 0, 3, NOW + 1.9
+    )  # no holder, and the viewer asked 1.1 s ago
     assert pulled(gw, NOW) == [say.Block(1, 0.0), say.Block(2, 0.0)]
-    gw.handed_over(NOW, 3, "plain", "t1", 0, 6, 3, "h0")
+    gw.on_viewing_handover(NOW, 3, "plain", "t1", 0, 6, 3, "h0")
     assert len(pulled(gw, NOW + 30.0)) <= 2, "one look, however late the timer"
 
 
 def test_events_of_viewings_long_ended_and_of_unknown_hosts_are_passed_over() -> None:
     gw = gateway()
-    gw.told(NOW, 77, "nowhere", 1, 0.1)
-    gw.told(NOW, 77, "h0", 2, 3.0)
-    gw.opened(NOW, 77, "h0", 0, 0.1)
-    gw.ended(NOW, 77, True, Outcome.RESET, "nowhere", 0.1, 0, [0.5, 0.5])
-    gw.left(NOW, 77)
-    gw.probed(NOW, "nowhere", Outcome.TIMEOUT, 0.25)
+    gw.on_report(NOW, 77, "nowhere", 1, 0.1)
+    gw.on_report(NOW, 77, "h0", 2, 3.0)
+    gw.on_tune_in_success(NOW, 77, "h0", 0, 0.1)
+    gw.on_tune_in_end(NOW, 77, True, Outcome.RESET, "nowhere", 0.1, 0, [0.5, 0.5])
+    gw.on_viewer_left(NOW, 77)
+    gw.on_probe_result(NOW, "nowhere", Outcome.TIMEOUT, 0.25)
     assert pulled(gw, NOW) == [] and not gw.viewings
 
 
 def test_list_of_hundreds_that_all_leave_and_come_back_is_taken() -> None:
     gw = gateway(hosts=300, fleet=replace(FLEET, uplink_kb=0.0))
     for i in range(4):
-        gw.listed(NOW + i, "incr", rows(300, "terminated"))
+        gw.on_host_list(NOW + i, "incr", rows(300, "terminated"))
         ask(gw, NOW + i, i)
         assert not any(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + i))
-        gw.listed(NOW + i + 0.9, "total", rows(300, started=NOW + i + 0.5))
+        gw.on_host_list(NOW + i + 0.9, "total", rows(300, started=NOW + i + 0.5))
     ask(gw, NOW + 20, 99)
     assert any(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + 20))
 
@@ -293,9 +297,9 @@
 def test_lost_list_is_asked_for_again() -> None:
     gw = gateway(terms=say.Terms(on_request=True, ask_within=10.0))
     assert pulled(gw, 100.0) == [say.Subscribe()]
-    gw.listed(100.1, "lost", [])
+    gw.on_host_list(100.1, "lost", [])
     assert pulled(gw, 100.2) == [] and pulled(gw, 103.0) == [say.Subscribe()]
-    gw.listed(103.1, "incr", rows())
+    gw.on_host_list(103.1, "incr", rows())
     assert pulled(gw, 150.0) == []
 
 
@@ -306,8 +310,8 @@
     for seed in range(50):
         gw = Gateway(seed, NOW, LADDER, (PLAIN,), FLEET, replace(TERMS, on_request=True, ask_within=within))
         assert pulled(gw, NOW) == [say.Subscribe()]
-        gw.listed(NOW, "incr", rows())
-        gw.listed(NOW, "lost", [])
+        gw.on_host_list(NOW, "incr", rows())
+        gw.on_host_list(NOW, "lost", [])
         due = gw.wake_at()
         assert due is not None
         waits.append(due - NOW)
@@ -356,7 +360,7 @@
     probe = pulled(gw, NOW)
     assert [type(d) for d in probe] == [say.Probe]
     assert isinstance(probe[0], say.Probe)
-    gw.probed(NOW + 0.02, probe[0].host, 10, 0.02, [3, 0.1])
+    gw.on_probe_result(NOW + 0.02, probe[0].host, 10, 0.02, [3, 0.1])
     assert [d.host for d in pulled(gw, NOW + 0.02) if isinstance(d, say.TuneIn)] == [probe[0].host]
     ask(gw, NOW + 1, 2)
     assert [type(d) for d in pulled(gw, NOW + 1)] == [say.Probe]
@@ -377,7 +381,7 @@
     ask(gw, now, 1)
     while answer is None and now < 202.9:
         if out is not None and now >= out[1]:
-            gw.ended(now, 1, False, Outcome.TIMEOUT, out[0].host, out[0].within, tried - 1)
+            gw.on_tune_in_end(now, 1, False, Outcome.TIMEOUT, out[0].host, out[0].within, tried - 1)
             out = None
         for decision in pulled(gw, now):
             if isinstance(decision, say.TuneIn):
@@ -417,7 +421,7 @@
     for at, use in ((100.0, 0.0), (100.11, 0.5)):
         (probe,) = pulled(gw, at)
         assert isinstance(probe, say.Probe)
-        gw.probed(at + 0.02, probe.host, 10, 0.02, [9, use])
+        gw.on_probe_result(at + 0.02, probe.host, 10, 0.02, [9, use])
         assert any(isinstance(d, say.TuneIn) for d in pulled(gw, at + 0.02)) == (use > brain.OTHERS)
 
 
@@ -432,10 +436,10 @@
     both = ("x0", "x1")
     fleet = say.Fleet(cells=6, racks=2, link_unit_kb=1000, uplink_kb=4500, load_fields=both, told_every=3.0)
     gw = gateway(fleet=fleet)
-    gw.handed_over(100.0, 1, "plain", "t1", 0, 6, 3, "h0")
-    gw.told(100.0, 1, "h0", 2, 0)
+    gw.on_viewing_handover(100.0, 1, "plain", "t1", 0, 6, 3, "h0")
+    gw.on_report(100.0, 1, "h0", 2, 0)
     assert not any(isinstance(d, say.SetRung) for d in pulled(gw, 103.0))
-    gw.told(103.0, 1, "h0", 3, 0.1)
+    gw.on_report(103.0, 1, "h0", 3, 0.1)
     assert [d for d in pulled(gw, 106.1) if isinstance(d, say.SetRung)] == [say.SetRung(1, 1)]
 
 
@@ -452,7 +456,7 @@
         ask(gw, NOW, viewing_id)
         for number in range(3):
             host = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
-            gw.ended(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, number)
+            gw.on_tune_in_end(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, number)
         assert say.Block(viewing_id, 0.0) in pulled(gw, NOW)
     assert all(h.aside_until < NOW and not h.bad for h in gw.hosts.values())
 
@@ -465,14 +469,14 @@
         ask(gw, NOW, viewing_id)
         host = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
         assert host == "h3"
-        gw.ended(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, 0)
+        gw.on_tune_in_end(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, 0)
         other = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
-        gw.opened(NOW, viewing_id, other, 1, 0.01)
+        gw.on_tune_in_success(NOW, viewing_id, other, 1, 0.01)
     assert gw.hosts["h3"].aside_until > NOW
     lone = gateway(hosts=1)
     ask(lone, NOW, 1)
     assert any(isinstance(d, say.TuneIn) for d in pulled(lone, NOW))
-    lone.ended(NOW, 1, False, Outcome.ERROR, "h0", 0.01, 0)
+    lone.on_tune_in_end(NOW, 1, False, Outcome.ERROR, "h0", 0.01, 0)
     pulled(lone, NOW + 2.98)
     assert not lone.viewings and lone.hosts["h0"].bad == 1
 
@@ -481,15 +485,15 @@
     gw = gateway()
     v = playing(gw, host="h1")
     for h in ("h0", "h1"):
-        gw.listed(NOW, "incr", [replace(r, state="terminated") for r in rows() if r.host == h])
+        gw.on_host_list(NOW, "incr", [replace(r, state="terminated") for r in rows() if r.host == h])
     assert "h0" not in gw.hosts and "h1" in gw.hosts and v.host is gw.hosts["h1"]
-    gw.ended(NOW, 1, True, Outcome.RESET, "h1", 1.0, 0)
+    gw.on_tune_in_end(NOW, 1, True, Outcome.RESET, "h1", 1.0, 0)
     for i in range(10, 60):
-        gw.listed(NOW, "incr", [replace(rows(i + 1)[i], cell=0)])
-        gw.listed(NOW, "incr", [replace(rows(i + 1)[i], cell=0, state="terminated")])
+        gw.on_host_list(NOW, "incr", [replace(rows(i + 1)[i], cell=0)])
+        gw.on_host_list(NOW, "incr", [replace(rows(i + 1)[i], cell=0, state="terminated")])
     assert sorted(gw.hosts) == ["h2", "h3", "h4", "h5"]
     assert sum(len(rack) for _, rack in gw.racks) == 4
-    gw.listed(NOW, "incr", [rows()[0]])
+    gw.on_host_list(NOW, "incr", [rows()[0]])
     assert gw.hosts["h0"].cold_until > NOW, "one that comes back has just started"
     assert len({h.number for h in gw.hosts.values()}) == 5
 
@@ -502,7 +506,7 @@
         terms = replace(TERMS, gateways=3, ordinal=ordinal)
         assert terms.fall_multiple * terms.cold_share / terms.warm_up * terms.fall_after < 1
         gw = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
-        gw.listed(NOW, "incr", [say.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
+        gw.on_host_list(NOW, "incr", [say.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
         for viewing_id in range(50):
             ask(gw, NOW + viewing_id * 0.001, viewing_id)
             sent += sum(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + viewing_id * 0.001))
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -266,10 +266,10 @@
 
     mind = Mind(gateway(), Recorder(tmp_path / "r", segment=20000, keep=3))
     for n in range(300):
-        mind.asked(200 + n / 10, n, "plain", "t1", 0, 6, 3, 203 + n / 10)
+        mind.on_viewing_request(200 + n / 10, n, "plain", "t1", 0, 6, 3, 203 + n / 10)
         list(mind.pulled(200 + n / 10))
-        mind.opened(200.05 + n / 10, n, "h0", 0, 0.05)
-        mind.told(200.05 + n / 10, n, "h0", 3, 0.5)
+        mind.on_tune_in_success(200.05 + n / 10, n, "h0", 0, 0.05)
+        mind.on_report(200.05 + n / 10, n, "h0", 3, 0.5)
         list(mind.pulled(200.05 + n / 10))
     assert mind.recorder is not None
     mind.recorder.close()
@@ -295,7 +295,7 @@
     with pytest.raises(BadRecord):
         thawed(b"\x80\x04N.")
     again = thawed(frozen(gateway()))
-    again.listed(200.0, "total", rows())
+    again.on_host_list(200.0, "total", rows())
     assert len(again.hosts) == 6
     with pytest.raises(BadRecord, match="no record there"):
         replayed(Path("/nonexistent/record"))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -521,8 +521,8 @@
     out = io.BytesIO()
     assert simhost(io.BytesIO("\n".join(wire).encode()), out, io.StringIO()) == 0
     gw = Gateway(7, 100.0, *facts_from(json.loads(json.dumps(SETTINGS))))
-    gw.listed(100.0, "warm_copy", rows)
-    gw.asked(100.0, 1, "clip", "t1", 0, 6, 2, 103.0)
+    gw.on_host_list(100.0, "warm_copy", rows)
+    gw.on_viewing_request(100.0, 1, "clip", "t1", 0, 6, 2, 103.0)
     lines = [line for line in out.getvalue().decode().splitlines() if not line.startswith(("notify", "ack"))]
     decisions = []
     while (decision := gw.decide(100.0)) is not None:
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -346,10 +346,10 @@
 
 
 def test_without_the_news_of_drains_rule_3_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    listed = Gateway.listed
+    listed = Gateway.on_host_list
     monkeypatch.setattr(
         Gateway,
-        "listed",
+        "on_host_list",
         lambda gw, now, how, rows: listed(gw, now, how, [r for r in rows if r.state == "in_service"]),
     )
     monkeypatch.setattr(Gate, "listed", lambda gate, now, host, up: gate.hosts.setdefault(host, None))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -57,7 +57,7 @@
     fresh = [Row(f"h{i}", i, 2.0, "k", "ab"[i % 2], "in_service", 0.0) for i in range(5)]
 
     def take(how: str, rows: list[Row]) -> None:
-        gw.listed(now, how, rows)
+        gw.on_host_list(now, how, rows)
         for row in rows:
             if row.state == "in_service":
                 book.told_gone.pop(row.host, None)
@@ -73,20 +73,20 @@
             if now >= ends or chance.random() < 0.5:
                 code = chance.choice([10, 10, 20, 30, 40, 50, 60, 80]) if now < ends else 40
                 if code == Outcome.OK:
-                    gw.opened(now, held, host, number, 0.1)
+                    gw.on_tune_in_success(now, held, host, number, 0.1)
                     book.playing[held] = host
                     book.open.pop(held, None)
                 else:
                     if code in (20, 40, 60):
                         book.ran.setdefault(held, (host, now))
-                    gw.ended(now, held, False, code, host, 0.1, number, [chance.choice(ODD), 0.5])
+                    gw.on_tune_in_end(now, held, False, code, host, 0.1, number, [chance.choice(ODD), 0.5])
                 del book.out[held]
         event = chance.randrange(9)
         if event < 3:
             viewing_id += 1
             top = chance.randrange(-1, 12)
             title, spread = chance.choice("tu"), chance.choice([0, 1, 3, 6])
-            gw.asked(now, viewing_id, "p", title, chance.randrange(6), spread, top, now + 3.0)
+            gw.on_viewing_request(now, viewing_id, "p", title, chance.randrange(6), spread, top, now + 3.0)
             highest = min(top, package.top, 3)
             book.open[viewing_id] = book.known[viewing_id] = (package, title, now + 3.0, highest)
             book.asked.append(now)
@@ -97,16 +97,18 @@
             take("incr", [Row(row.host, row.cell, 2.0, "k", row.zone, state, began)])
         elif event == 4 and book.playing:
             done = chance.choice(sorted(book.playing))
-            gw.ended(now, done, True, chance.choice([10, 60, 70]), book.playing.pop(done), 9.0, 0, [])
+            gw.on_tune_in_end(
+                now, done, True, chance.choice([10, 60, 70]), book.playing.pop(done), 9.0, 0, []
+            )
         elif event == 5:
             some = chance.choice([*sorted(book.playing), 999999])
-            gw.told(now, some, f"h{chance.randrange(6)}", chance.randrange(6), chance.choice(ODD))
+            gw.on_report(now, some, f"h{chance.randrange(6)}", chance.randrange(6), chance.choice(ODD))
         elif event == 6:
-            gw.listed(now, "lost", [])
+            gw.on_host_list(now, "lost", [])
         elif event == 7:
-            gw.peer_said(now, chance.randbytes(chance.choice([3, 4, 8])))
+            gw.on_peer_message(now, chance.randbytes(chance.choice([3, 4, 8])))
         elif event == 8 and book.open:
             gone = chance.choice(sorted(book.open))
-            gw.left(now, gone)
+            gw.on_viewer_left(now, gone)
             del book.open[gone]
         book.step(now)
