--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -135,9 +135,11 @@
                 case say.Probe(host):
                     self.counts.probes += 1
                     self._spawn(self._probe, host, name=f"probe {host}")
-                case say.Tell(words, to):
-                    if self.peers and self.peer_socket and to in self.peer_at:
-                        self.peer_socket.send(self.peers.frame(time.time(), to, words), self.peer_at[to])
+                case say.Tell(message, recipient):
+                    if self.peers and self.peer_socket and recipient in self.peer_at:
+                        self.peer_socket.send(
+                            self.peers.frame(time.time(), recipient, message), self.peer_at[recipient]
+                        )
                 case say.Subscribe():
                     pass  # the list's stream is always asked for
         while (due := self.watch.decide(now)) is not None:
--- a/ledgehitch/interface.py
+++ b/ledgehitch/interface.py
@@ -149,10 +149,10 @@
 
 @dataclass(frozen=True)
 class Tell:
-    """Words for another gateway, named by its ordinal."""
+    """A message for another gateway, named by its ordinal."""
 
-    words: bytes
-    to: int
+    message: bytes
+    recipient: int
 
 
 Decision = TuneIn | SetRung | Block | Abort | Probe | Subscribe | Tell
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -231,8 +231,8 @@
                     self._forget(viewing_id)
                 case say.Probe(host):
                     g.agenda.after(g.hop, self._probe, host, now)
-                case say.Tell(words, to):
-                    g.network.send(to, words)
+                case say.Tell(message, recipient):
+                    g.network.send(recipient, message)
                 case say.Subscribe():
                     pass
         again = bool(self._at_door) and self.door is not None and self.door.has_room(now)
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -141,8 +141,8 @@
                 if not self.hosts.probe(host):
                     failed = Outcome.CONNECT_FAILED
                     self._undone.append(lambda: self.brain.on_probe_result(now, host, failed, 0.0))
-            case say.Tell(words, to):
-                self.tell(words, to)
+            case say.Tell(message, recipient):
+                self.tell(message, recipient)
             case say.Subscribe():
                 pass  # the journal service is listened to all the time
 
--- a/ledgehitch/simhost/wire.py
+++ b/ledgehitch/simhost/wire.py
@@ -43,8 +43,8 @@
             return f"poll\t{host}"
         case Subscribe():
             return "watch\t1"
-        case Tell(words, to):
-            return f"post\t{to}\t{words.hex()}"
+        case Tell(message, recipient):
+            return f"post\t{recipient}\t{message.hex()}"
 
 
 class Instance:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -218,7 +218,7 @@
         gw = gateway(terms=replace(TERMS, gateways=9, ordinal=4), fleet=fleet, hosts=hosts)
         for i in range(40):
             ask(gw, NOW + i, i)
-            told += [(hosts, d.to) for d in pulled(gw, NOW + i) if isinstance(d, say.Tell)]
+            told += [(hosts, d.recipient) for d in pulled(gw, NOW + i) if isinstance(d, say.Tell)]
             gw.on_tune_in_end(NOW + i, i, True, Outcome.CANCELLED, gw.viewings[i].tried[0], 0.1, 0)
     assert all(to != 4 for _, to in told)
     assert sum(hosts == 100 for hosts, _ in told) < 10 < sum(hosts == 2 for hosts, _ in told)
