--- a/ledgehitch/gate.py
+++ b/ledgehitch/gate.py
@@ -12,7 +12,7 @@
 HURRY = 0.002  # seconds of rounding allowed between two readings of the clock
 
 
-class Shut(Exception):
+class SendForbidden(Exception):
     """A send that would break a rule; `rule` numbers it, 0 for what was never told."""
 
     def __init__(self, rule: int, reason: str) -> None:
@@ -29,14 +29,14 @@
     may_have_run: bool = False
 
 
-class Gate:
+class SendGuard:
     def __init__(self, grace: float) -> None:
         self.grace = grace  # seconds in which a send may still follow the news that a host drains
         self.viewings: dict[int, _Held] = {}
         self.hosts: dict[str, float | None] = {}  # when it was heard that it drains or is gone
-        self.stopped = 0
+        self.refused = 0
 
-    def listed(self, now: float, host: str, in_service: bool) -> None:
+    def on_host_state(self, now: float, host: str, in_service: bool) -> None:
         if in_service:
             self.hosts[host] = None
         elif self.hosts.get(host) is None:
@@ -47,52 +47,52 @@
             for name in over:
                 del self.hosts[name]
 
-    def unlisted(self, now: float, names: set[str]) -> None:
+    def on_complete_list(self, now: float, names: set[str]) -> None:
         """A complete list names these only."""
         for host, gone in self.hosts.items():
             if host not in names and gone is None:
                 self.hosts[host] = now
 
-    def asked(self, viewing_id: int, package: Package, patience: float) -> None:
+    def on_viewing_request(self, viewing_id: int, package: Package, patience: float) -> None:
         self.viewings[viewing_id] = _Held(package, patience)
 
-    def sending(self, now: float, viewing_id: int, host: str, within: float) -> None:
-        """Passes, and books, a tune-in that leaves now; else raises `Shut`."""
+    def check_send(self, now: float, viewing_id: int, host: str, within: float) -> None:
+        """Passes, and books, a tune-in that leaves now; else raises `SendForbidden`."""
         try:
             v = self.viewings.get(viewing_id)
             if v is None:
-                raise Shut(0, f"viewing {viewing_id} was never asked for, or has its answer")
+                raise SendForbidden(0, f"viewing {viewing_id} was never asked for, or has its answer")
             if v.out or v.playing:
-                raise Shut(2, f"viewing {viewing_id} has a tune-in out or plays")
+                raise SendForbidden(2, f"viewing {viewing_id} has a tune-in out or plays")
             if v.may_have_run and v.package.effect == "once":
-                raise Shut(2, f"viewing {viewing_id} may have been set up already, and is paid for")
+                raise SendForbidden(2, f"viewing {viewing_id} may have been set up already, and is paid for")
             if now + within > v.patience + HURRY:
-                raise Shut(1, f"viewing {viewing_id}: {within:.3f} s end after its patience")
-            self._reaches(now, host)
-        except Shut:
-            self.stopped += 1
+                raise SendForbidden(1, f"viewing {viewing_id}: {within:.3f} s end after its patience")
+            self._check_host(now, host)
+        except SendForbidden:
+            self.refused += 1
             raise
         v.out = True
 
-    def _reaches(self, now: float, host: str) -> None:
+    def _check_host(self, now: float, host: str) -> None:
         if host not in self.hosts:
-            raise Shut(0, f"no list named {host}")
+            raise SendForbidden(0, f"no list named {host}")
         gone = self.hosts[host]
         if gone is not None and now > gone + self.grace:
-            raise Shut(3, f"{host} was heard to drain {now - gone:.3f} s ago")
+            raise SendForbidden(3, f"{host} was heard to drain {now - gone:.3f} s ago")
 
-    def leaving(self, now: float, viewing_id: int, host: str) -> None:
-        """One that passed and was held up on its way leaves only now; raises `Shut` where it must not.
+    def check_delayed_send(self, now: float, viewing_id: int, host: str) -> None:
+        """Checks a tune-in again that passed and was delayed; raises `SendForbidden` where it must not leave.
 
-        Guards against what changed meanwhile: its host drains, its time is over."""
+        Its host may have begun to drain meanwhile, or its patience may be over."""
         v = self.viewings.get(viewing_id)
         if v is None or not v.out:
-            raise Shut(0, f"viewing {viewing_id} has no tune-in out")
+            raise SendForbidden(0, f"viewing {viewing_id} has no tune-in out")
         if now > v.patience + HURRY:
-            raise Shut(1, f"viewing {viewing_id}: its patience is over")
-        self._reaches(now, host)
+            raise SendForbidden(1, f"viewing {viewing_id}: its patience is over")
+        self._check_host(now, host)
 
-    def came_back(self, viewing_id: int, code: int) -> None:
+    def on_tune_in_outcome(self, viewing_id: int, code: int) -> None:
         """A tune-in has its outcome."""
         v = self.viewings.get(viewing_id)
         if v is not None and v.out:
@@ -100,6 +100,6 @@
             v.playing = code == Outcome.OK
             v.may_have_run |= code not in NEVER_RAN
 
-    def done(self, viewing_id: int) -> None:
+    def on_viewing_end(self, viewing_id: int) -> None:
         """The viewing was blocked, aborted or has ended."""
         self.viewings.pop(viewing_id, None)
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -16,7 +16,7 @@
 from ledgehitch import interface as say
 from ledgehitch.door.decide import Let
 from ledgehitch.door.names import name_of
-from ledgehitch.gate import Gate, Shut
+from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.gateway.doorman import Doorman
 from ledgehitch.gateway.joins import Joins
 from ledgehitch.gateway.mind import Mind
@@ -86,7 +86,7 @@
         loop: Loop,
         mind: Mind,
         desk: Desk,
-        gate: Gate,
+        gate: SendGuard,
         watch: Watch,
         name: str,
         boot: str,
@@ -204,7 +204,7 @@
 
     def _admit(self, now: float, viewing_id: int, cells: tuple[int, int], top: int, patience: float) -> None:
         viewing = self.viewings[viewing_id]
-        self.gate.asked(viewing_id, viewing.package, patience)
+        self.gate.on_viewing_request(viewing_id, viewing.package, patience)
         name, title = viewing.package.name, viewing.title
         self.mind.on_viewing_request(now, viewing_id, name, title, cells[0], cells[1], top, patience)
 
@@ -255,7 +255,7 @@
 
     def _forget(self, viewing_id: int) -> None:
         v = self.viewings.pop(viewing_id, None)
-        self.gate.done(viewing_id)
+        self.gate.on_viewing_end(viewing_id)
         if v is not None:
             self.playing_at.get(v.host, {}).pop(viewing_id, None)
             for tell in v.events or ():
@@ -322,8 +322,8 @@
         v = self.viewings.get(viewing_id)
         number = v.tune_ins if v is not None else 0
         try:
-            self.gate.sending(now, viewing_id, host, within)
-        except Shut as why:
+            self.gate.check_send(now, viewing_id, host, within)
+        except SendForbidden as why:
             self.counts.stopped_at_gate += 1
             log.error("stopped at the gate", vw=viewing_id, host=host, why=str(why))
             self.mind.on_tune_in_end(now, viewing_id, False, Outcome.MOOT, host, 0.0, number)
@@ -345,7 +345,7 @@
         try:
             code, loads, response = self._asked_there(v, at, key, within - (time.monotonic() - sent))
             now = time.monotonic()
-            self.gate.came_back(viewing_id, code)
+            self.gate.on_tune_in_outcome(viewing_id, code)
             v.task = None
             told = True
             if code == Outcome.OK and response is not None:
@@ -359,7 +359,7 @@
             if not told:
                 # Called back: the closed connection tells the media host, and no tune-in is out any more.
                 v.task = None
-                self.gate.came_back(viewing_id, Outcome.CANCELLED)
+                self.gate.on_tune_in_outcome(viewing_id, Outcome.CANCELLED)
                 now = time.monotonic()
                 self.mind.on_tune_in_end(now, viewing_id, True, Outcome.CANCELLED, host, now - sent, number)
                 # Guards against a fault of ours leaving a viewer without answer; one who left is owed none.
@@ -567,12 +567,12 @@
         now = time.monotonic()
         if how in ("total", "warm_copy"):
             names = {line.host for line in lines}
-            self.gate.unlisted(now, names)
+            self.gate.on_complete_list(now, names)
             for host in [h for h in self.watch.hosts if h not in names]:
                 self.watch.listed(now, host, True)
         for line in lines:
             self.at[line.host] = line.at
-            self.gate.listed(now, line.host, line.state == "in_service")
+            self.gate.on_host_state(now, line.host, line.state == "in_service")
             self.watch.listed(now, line.host, line.state == "terminated")
         self.mind.on_host_list(now, how, [line.row(ahead) for line in lines])
         self.stir()
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -23,7 +23,7 @@
 from ledgehitch.config.site import lends, rack_name, stated
 from ledgehitch.door.decide import Door
 from ledgehitch.door.names import ORDER
-from ledgehitch.gate import Gate
+from ledgehitch.gate import SendGuard
 from ledgehitch.gateway.carry import Carrier
 from ledgehitch.gateway.doorman import Doorman
 from ledgehitch.gateway.front import Front
@@ -99,7 +99,7 @@
             loop,
             Mind(brain, self.recorder),
             Desk(secrets.token_bytes(32)),
-            Gate(terms.drain_grace),
+            SendGuard(terms.drain_grace),
             Watch(random.Random(seed + 1)),
             name,
             self.boot,
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -12,7 +12,7 @@
 from ledgehitch import interface as say
 from ledgehitch.door.decide import Door, Let
 from ledgehitch.door.names import name_of
-from ledgehitch.gate import Gate, Shut
+from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.gateway.carry import PATIENCE_FOR_ORDERS, PROBE_WITHIN
 from ledgehitch.interface import Outcome, Package, Row
 from ledgehitch.model.media import Loads, MediaHost, Session
@@ -58,7 +58,7 @@
         now = ground.agenda.now
         self.brain = ground.module(seed, now, ladder, packages, fleet, terms)
         self.desk = Desk(ground.secret)
-        self.gate = OpenGate(terms.drain_grace) if ground.gates_out else Gate(terms.drain_grace)
+        self.gate = OpenGate(terms.drain_grace) if ground.gates_out else SendGuard(terms.drain_grace)
         self.packages = {p.name: p for p in packages}
         self.load_fields, self.zone = fleet.load_fields, terms.zone
         self.viewings: dict[int, Viewing] = {}
@@ -102,10 +102,10 @@
     def listed(self, how: str, rows: Sequence[Row]) -> None:
         now = self.ground.agenda.now
         if how in ("total", "warm_copy"):
-            self.gate.unlisted(now, {row.host for row in rows})
+            self.gate.on_complete_list(now, {row.host for row in rows})
         gone = []
         for row in rows:
-            self.gate.listed(now, row.host, row.state == "in_service")
+            self.gate.on_host_state(now, row.host, row.state == "in_service")
             if row.state == "terminated":
                 gone.append(row.host)
         self.brain.on_host_list(now, how, rows)
@@ -140,7 +140,7 @@
 
     def _admit(self, now: float, viewing_id: int, cells: tuple[int, int], top: int, patience: float) -> None:
         v = self.viewings[viewing_id]
-        self.gate.asked(viewing_id, v.package, patience)
+        self.gate.on_viewing_request(viewing_id, v.package, patience)
         self.brain.on_viewing_request(
             now, viewing_id, v.package.name, v.title, cells[0], cells[1], top, patience
         )
@@ -272,7 +272,7 @@
 
     def _forget(self, viewing_id: int) -> None:
         self.viewings.pop(viewing_id, None)
-        self.gate.done(viewing_id)
+        self.gate.on_viewing_end(viewing_id)
 
     def _left(self, now: float, viewing_id: int) -> None:
         v = self.viewings.get(viewing_id)
@@ -286,7 +286,7 @@
         self.brain.on_viewer_left(now, viewing_id)
         if v.out >= 0:
             number, v.out = v.out, -1
-            self.gate.came_back(viewing_id, Outcome.CANCELLED)
+            self.gate.on_tune_in_outcome(viewing_id, Outcome.CANCELLED)
             self.brain.on_tune_in_end(now, viewing_id, True, Outcome.CANCELLED, v.host, now - v.sent, number)
             self._call_back(viewing_id, v.host, number)
         self._forget(viewing_id)
@@ -308,8 +308,8 @@
     def _tune_in(self, now: float, viewing_id: int, host: str, within: float) -> None:
         v, g = self.viewings.get(viewing_id), self.ground
         try:
-            self.gate.sending(now, viewing_id, host, within)
-        except Shut:
+            self.gate.check_send(now, viewing_id, host, within)
+        except SendForbidden:
             self.stopped_at_gate += 1
             self.brain.on_tune_in_end(
                 now, viewing_id, False, Outcome.MOOT, host, 0.0, v.tune_ins if v is not None else 0
@@ -334,7 +334,7 @@
         if v is None or v.out != number:
             return  # it was given up before
         v.out = -1
-        self.gate.came_back(viewing_id, code)
+        self.gate.on_tune_in_outcome(viewing_id, code)
         if code == Outcome.TIMEOUT and self.door is not None:
             self.door.given_up(now)
         if code == Outcome.OK and session is not None:
--- a/ledgehitch/model/spoilt.py
+++ b/ledgehitch/model/spoilt.py
@@ -7,14 +7,14 @@
 from dataclasses import replace
 
 from ledgehitch.brain import Gateway, MediaHost, Viewing
-from ledgehitch.gate import Gate
+from ledgehitch.gate import SendGuard
 from ledgehitch.interface import Block, Decision, Row
 
 
-class OpenGate(Gate):
+class OpenGate(SendGuard):
     """Stops nothing."""
 
-    def sending(self, now: float, viewing_id: int, host: str, within: float) -> None:
+    def check_send(self, now: float, viewing_id: int, host: str, within: float) -> None:
         v = self.viewings.get(viewing_id)
         if v is not None:
             v.out = True
--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -9,7 +9,7 @@
 
 from ledgehitch.brain import Gateway
 from ledgehitch.facts import BadFact, facts_from, reach_of
-from ledgehitch.gate import Gate
+from ledgehitch.gate import SendGuard
 from ledgehitch.interface import Row
 from ledgehitch.loop.kernel import Event, Loop
 from ledgehitch.loop.sockets import Listener, endpoint
@@ -54,7 +54,7 @@
         watch, desk = Watch(fleet.told_every), Desk()
         hosts = Hosts(loop, reach, watch, bounds.host_lines, bounds.out_bytes, fleet.load_fields)
         self.peers: Peers | None = None
-        self.carrier = Carrier(loop, brain, desk, Gate(terms.drain_grace), watch, hosts, self._tell)
+        self.carrier = Carrier(loop, brain, desk, SendGuard(terms.drain_grace), watch, hosts, self._tell)
         if told.peer_listen and terms.may_tell:
             self.peers = Peers(loop, told.peer_listen, told.peers, self.carrier.peer_said)
         hosts.carrier = self.carrier
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -11,7 +11,7 @@
 
 from ledgehitch import interface as say
 from ledgehitch.brain import Gateway
-from ledgehitch.gate import Gate, Shut
+from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.interface import Outcome, Package, Row
 from ledgehitch.loop.kernel import Loop
 from ledgehitch.loop.pump import Pump
@@ -71,7 +71,7 @@
         loop: Loop,
         brain: Gateway,
         desk: Desk,
-        gate: Gate,
+        gate: SendGuard,
         watch: Watch,
         hosts: Hosts,
         tell: Callable[[bytes, int], None],
@@ -151,8 +151,8 @@
         number = v.tune_ins
         v.tune_ins += 1
         try:
-            self.gate.sending(now, viewing_id, host, within)
-        except Shut as why:
+            self.gate.check_send(now, viewing_id, host, within)
+        except SendForbidden as why:
             log("stopped", vw=viewing_id, host=host, why=why)
             self._undone.append(lambda: self._ended(now, viewing_id, False, Outcome.MOOT, host, 0.0, number))
             return
@@ -191,10 +191,10 @@
             self._gone(now, viewing_id, line.host, number)
             return None
         try:
-            self.gate.leaving(now, viewing_id, line.host)
+            self.gate.check_delayed_send(now, viewing_id, line.host)
             if not self.brain.confirm_delayed_send(now, viewing_id):
-                raise Shut(4, f"{line.host} takes no more of it now")
-        except Shut as why:
+                raise SendForbidden(4, f"{line.host} takes no more of it now")
+        except SendForbidden as why:
             log("held-too-long", vw=viewing_id, host=line.host, why=why)
             self._ended(now, viewing_id, False, Outcome.MOOT, line.host, now - v.sent_at, number)
             return None
@@ -231,7 +231,7 @@
             return False
         self.count("asked")
         self.viewings[viewing_id] = Viewing(sid, package, title, blob)
-        self.gate.asked(viewing_id, package, patience)
+        self.gate.on_viewing_request(viewing_id, package, patience)
         self.brain.on_viewing_request(now, viewing_id, package.name, title, first, spread, top, patience)
         self.stir()
         return True
@@ -257,7 +257,7 @@
         self.count("handed_over")
         v = self.viewings[viewing_id] = Viewing(sid, package, title, "")
         v.host, v.plays, v.began, v.tune_ins = host, True, now, 1
-        self.gate.asked(viewing_id, package, now + package.patience)
+        self.gate.on_viewing_request(viewing_id, package, now + package.patience)
         self.watch.stands(now, host)
         self.brain.on_viewing_handover(now, viewing_id, package.name, title, first, spread, top, host)
         self.stir()
@@ -326,7 +326,7 @@
             return
         self._in(v)
         v.plays, v.began, v.blob = True, v.sent_at, ""
-        self.gate.came_back(viewing_id, Outcome.OK)
+        self.gate.on_tune_in_outcome(viewing_id, Outcome.OK)
         self.watch.stands(now, host)
         self.brain.on_tune_in_success(now, viewing_id, host, v.tune_ins - 1, now - v.sent_at)
         self.desk.plays(viewing_id, blob)
@@ -380,10 +380,10 @@
             for host in [host for host in self.hosts.at if host not in named]:
                 self.hosts.listed(host, "", True)
                 self.watch.listed(now, host, True, 0.0)
-            self.gate.unlisted(now, named)
+            self.gate.on_complete_list(now, named)
         for row, address in rows:
             gone = row.state == "terminated"
-            self.gate.listed(now, row.host, row.state == "in_service")
+            self.gate.on_host_state(now, row.host, row.state == "in_service")
             self.hosts.listed(row.host, address, gone, row.started)
             self.watch.listed(now, row.host, gone, row.started)
         self.brain.on_host_list(now, how, [row for row, _ in rows])
@@ -418,7 +418,7 @@
             self._in(v)
             v.line = None
         self.count(code.name.lower())
-        self.gate.came_back(viewing_id, code)
+        self.gate.on_tune_in_outcome(viewing_id, code)
         self.brain.on_tune_in_end(now, viewing_id, closed, code, host, latency, tune_in, loads or ())
         self.stir()
 
@@ -449,7 +449,7 @@
 
     def _done(self, viewing_id: int) -> None:
         self.viewings.pop(viewing_id, None)
-        self.gate.done(viewing_id)
+        self.gate.on_viewing_end(viewing_id)
 
     def sweep(self, now: float) -> None:
         self.hosts.sweep(now)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ledgehitch.gate import Shut
+from ledgehitch.gate import SendForbidden
 from ledgehitch.gateway.replay import replayed
 from ledgehitch.http import Limits, NoAnswer, Request, Response
 from ledgehitch.http.parse import ResponseReader
@@ -279,21 +279,21 @@
 def test_the_gate_stops_what_the_module_should_never_send() -> None:
     def day(rig: Rig) -> None:
         gate, now = rig.gateway.carrier.gate, time.monotonic()
-        with pytest.raises(Shut, match="never asked"):
-            gate.sending(now, 99, "h0", 0.1)
+        with pytest.raises(SendForbidden, match="never asked"):
+            gate.check_send(now, 99, "h0", 0.1)
         rig.listed("h0", "terminating")
         rig.until(lambda: gate.hosts["h0"] is not None)
         gate.hosts["h0"] = now - 10
         package = next(iter(rig.gateway.front.packages.values()))
-        gate.asked(5, package, now + 3)
-        with pytest.raises(Shut, match="rule 3"):
-            gate.sending(now, 5, "h0", 0.1)
-        with pytest.raises(Shut, match="rule 1"):
-            gate.sending(now, 5, "h1", 9.0)
-        gate.sending(now, 5, "h1", 0.1)
-        with pytest.raises(Shut, match="rule 2"):
-            gate.sending(now, 5, "h1", 0.1)
-        assert gate.stopped == 4
+        gate.on_viewing_request(5, package, now + 3)
+        with pytest.raises(SendForbidden, match="rule 3"):
+            gate.check_send(now, 5, "h0", 0.1)
+        with pytest.raises(SendForbidden, match="rule 1"):
+            gate.check_send(now, 5, "h1", 9.0)
+        gate.check_send(now, 5, "h1", 0.1)
+        with pytest.raises(SendForbidden, match="rule 2"):
+            gate.check_send(now, 5, "h1", 0.1)
+        assert gate.refused == 4
 
     Rig().run(day)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 from ledgehitch import interface as say
 from ledgehitch.brain import Gateway
 from ledgehitch.facts import BadFact, facts_from, nested, reach_of
-from ledgehitch.gate import Gate, Shut
+from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.interface import UNPLACED, Package, Row
 from ledgehitch.platform import lines
 from ledgehitch.platform.__main__ import main as platform
@@ -314,17 +314,17 @@
 
 
 def test_the_gate_forgets_hosts_that_nothing_may_be_sent_to_any_more() -> None:
-    gate = Gate(1.0)
+    gate = SendGuard(1.0)
     for n in range(50):
-        gate.listed(n, f"h{n}", True)
-        gate.listed(n + 0.5, f"h{n}", False)
+        gate.on_host_state(n, f"h{n}", True)
+        gate.on_host_state(n + 0.5, f"h{n}", False)
     assert list(gate.hosts) == ["h48", "h49"]
-    gate.asked(1, Package("p", 0.8, 3.0), 60.0)
-    gate.sending(50.4, 1, "h49", 1.0)  # within the grace
-    gate.asked(2, Package("p", 0.8, 3.0), 60.0)
+    gate.on_viewing_request(1, Package("p", 0.8, 3.0), 60.0)
+    gate.check_send(50.4, 1, "h49", 1.0)  # within the grace
+    gate.on_viewing_request(2, Package("p", 0.8, 3.0), 60.0)
     for host in ("h49", "h7"):
-        with pytest.raises(Shut):
-            gate.sending(50.6, 2, host, 1.0)
+        with pytest.raises(SendForbidden):
+            gate.check_send(50.6, 2, host, 1.0)
 
 
 class Way:
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ledgehitch.brain import Gateway
-from ledgehitch.gate import Gate
+from ledgehitch.gate import SendGuard
 from ledgehitch.http import NoAnswer, Request, Response
 from ledgehitch.proof.check import Breach, Figures, Sold, figures_of, judged, judged_tape
 from ledgehitch.proof.tape import Line, Tape, lines_of
@@ -309,7 +309,7 @@
 def test_without_the_gates_of_module_and_host_rule_2_breaks(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Gate, "sending", lambda *args: None)
+    monkeypatch.setattr(SendGuard, "check_send", lambda *args: None)
     monkeypatch.setattr(Gateway, "_within_key", lambda *args: True)
     taped = Taped(tmp_path)
 
@@ -352,7 +352,9 @@
         "on_host_list",
         lambda gw, now, how, rows: listed(gw, now, how, [r for r in rows if r.state == "in_service"]),
     )
-    monkeypatch.setattr(Gate, "listed", lambda gate, now, host, up: gate.hosts.setdefault(host, None))
+    monkeypatch.setattr(
+        SendGuard, "on_host_state", lambda gate, now, host, up: gate.hosts.setdefault(host, None)
+    )
     taped = Taped(tmp_path)
     rig = Rig({"*": taped.host(Host.plays)}, terms={"drain_grace": 0.1})
 
