--- a/ledgehitch/brain.py
+++ b/ledgehitch/brain.py
@@ -30,7 +30,7 @@
 CROSS_BIAS = 3.0  # use that a holder in another zone counts as extra, for each unit of the crossing price
 TRIED = 0.5  # use that a holder counts as extra for a viewing that it failed
 SECOND = 0.25  # weight of the emptier of link and uplink when the least used holder is sought
-FULL_ENOUGH = 0.9  # lowest-rung admissions may fill link and uplink up to this: more blocks less, jams more
+LOWEST_RUNG_MAX_USE = 0.9  # lowest-rung admissions may fill up to this: more blocks less, jams more
 WAIT_PART = 0.4  # part of the join target that a viewing may wait for a holder before it is blocked
 WORST = 3.0  # a use read as more counts as this, so that one that stands still is forgotten in time
 HASTE = 1.5  # so many times its part may a gateway step down on short delivery: more drops deeper, sooner
@@ -48,7 +48,7 @@
 BINS = (0.05, 0.1, 0.15, 0.2, 0.3, 0.45, 0.7, 1.1, 2.0)  # seconds a set-up took, coarse
 FORGET = 20.0  # seconds until an uplink told to be short is taken for a usual one again
 LATE = 0.99, 2.0  # a tune-in is given up at this quantile of set-ups, times this: lower wastes slow set-ups
-SHORTEST, UNKNOWN, LONGEST = 0.25, 0.45, 0.6  # time-outs: shortest, at first, longest (in join targets)
+MIN_TIMEOUT_S, UNKNOWN, LONGEST = 0.25, 0.45, 0.6  # time-outs: shortest, at first, longest (in join targets)
 MIN_SEEN, HALVE_AT = 8, 40  # outcomes after which a histogram is believed, and a media host's tally halved
 ILL = 0.25  # a media host whose failures exceed the fleet median by this share is set aside
 FAILURES = Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET
@@ -577,15 +577,15 @@
         alike = v.cells, v.package.name
         in_time = now < v.patience - EDGE and v.tune_ins < self.terms.tune_ins
         until = min(v.asked_at + WAIT_PART * v.package.join_target, v.patience - EDGE)  # waits for a holder
-        may = in_time and self._may_try_again(now, v)
+        may = in_time and self._has_seat_and_budget(now, v)
         if may and (alike not in full or v.tried):
-            held = [h for h in self._holders(v.cells) if self._within_key(v, h)]
+            held = [h for h in self._holders(v.cells) if self._may_set_up_at(v, h)]
             # Guards against a fleet that looks ill as a whole: with every holder set aside, all are used.
             held = [h for h in held if now >= h.aside_until] or held
-            held = [h for h in held if now >= h.cold_until or not self._too_cold(now, h)]
+            held = [h for h in held if now >= h.cold_until or not self._cold_budget_spent(now, h)]
             late = now - 2 * self.stale
             unread = [h for h in held if h.link.at < late]
-            holders = [h for h in held if h.link.at >= late and not self._too_cold(now, h)]
+            holders = [h for h in held if h.link.at >= late and not self._cold_budget_spent(now, h)]
             # Guards against gateways that know little all going to one media host, or to one that is full or
             # stands still or just started: where they may ask, one without a reading is asked first.
             # Guards against a viewing held to patience by holders that answer no probe, or without a reading:
@@ -598,7 +598,7 @@
             if v.asks in unread and now < v.asks_until:
                 return
             if v.asks is None or not holders:
-                unread = [h for h in unread if not self._too_cold(now, h)]
+                unread = [h for h in unread if not self._cold_budget_spent(now, h)]
                 holders += self.chance.sample(unread, min(DRAWN, len(unread)))
             if holders:
                 h = min(holders, key=lambda h: (self._least_used(now, v, h), h.row.host))
@@ -628,7 +628,7 @@
     def _fitting(self, now: float, v: Viewing, h: MediaHost) -> int | None:
         link, up = self._uses(now, h)
         for rung in range(v.top, v.package.floor - 1, -1):
-            mark = v.marks[rung] if rung > v.package.floor else FULL_ENOUGH
+            mark = v.marks[rung] if rung > v.package.floor else LOWEST_RUNG_MAX_USE
             kb = self._rate(v, rung)
             if link + kb / h.link.cap_kb <= mark and up + kb / h.uplink.cap_kb <= mark:
                 return rung
@@ -648,7 +648,7 @@
             ]
         return held
 
-    def _within_key(self, v: Viewing, h: MediaHost) -> bool:
+    def _may_set_up_at(self, v: Viewing, h: MediaHost) -> bool:
         """Rule 2: what may have run is sent again only where its package lets it."""
         p, a = v.package, v.anchor
         if p.effect == "repeatable" or a is None or not v.may_have_run:
@@ -658,7 +658,7 @@
         same = {"all": True, "zone": h.row.zone == a.zone, "cell": h.row.cell == a.cell}
         return same.get(p.key_scope, False)
 
-    def _may_try_again(self, now: float, v: Viewing) -> bool:
+    def _has_seat_and_budget(self, now: float, v: Viewing) -> bool:
         """Rules 5 and 6: a seat is free, and a further tune-in is within the budget."""
         p, t = v.package, self.terms
         if p.seats > 0:
@@ -672,7 +672,7 @@
             return len(self.extra_times) + 1 <= t.extra_free + t.extra_ratio * len(self.asked_times)
         return True
 
-    def _too_cold(self, now: float, h: MediaHost) -> bool:
+    def _cold_budget_spent(self, now: float, h: MediaHost) -> bool:
         """Rule 4: a cold media host gets this gateway's part of its budget, as if all others sent theirs."""
         if now >= h.cold_until and not (h.doubted and now < self.doubts_until):
             return False
@@ -690,8 +690,8 @@
 
     def _send(self, now: float, v: Viewing, h: MediaHost, rung: int) -> Iterator[Decision]:
         """The one gate that every tune-in passes."""
-        holds = h in self._holders(v.cells) and self._within_key(v, h)
-        may = holds and not self._too_cold(now, h) and self._may_try_again(now, v)
+        holds = h in self._holders(v.cells) and self._may_set_up_at(v, h)
+        may = holds and not self._cold_budget_spent(now, h) and self._has_seat_and_budget(now, v)
         if v.out or v.playing or not may:
             return
         if rung != v.rung or v.tune_ins == 0:
@@ -724,7 +724,7 @@
             return False
         if v.sent_at in v.host.sent:
             v.host.sent.remove(v.sent_at)
-        if self._too_cold(now, v.host):
+        if self._cold_budget_spent(now, v.host):
             return False
         v.sent_at = now
         v.host.sent.append(now)
@@ -735,7 +735,7 @@
         seen = zip((*BINS, math.inf), accumulate(self.took), strict=True)
         edge = next(edge for edge, n in seen if n >= LATE[0] * total)
         within = edge * LATE[1] if total >= MIN_SEEN else UNKNOWN
-        return min(max(SHORTEST, within), LONGEST * v.package.join_target)
+        return min(max(MIN_TIMEOUT_S, within), LONGEST * v.package.join_target)
 
     def _step_host(self, now: float, h: MediaHost) -> Iterator[Decision]:
         """The mechanism, one viewing after the other, and by chance no more than this gateway's part.
--- a/ledgehitch/model/spoilt.py
+++ b/ledgehitch/model/spoilt.py
@@ -32,7 +32,7 @@
 class _Twice(Gateway):
     """Rule 2: what is paid for is set up again."""
 
-    def _within_key(self, v: Viewing, h: MediaHost) -> bool:
+    def _may_set_up_at(self, v: Viewing, h: MediaHost) -> bool:
         return True
 
 
@@ -46,18 +46,18 @@
 class _Rash(Gateway):
     """Rule 4: cold media hosts are taken for warm."""
 
-    def _too_cold(self, now: float, h: MediaHost) -> bool:
+    def _cold_budget_spent(self, now: float, h: MediaHost) -> bool:
         return False
 
 
 class _Crowded(Gateway):
     """Rule 5: seats are not counted."""
 
-    def _may_try_again(self, now: float, v: Viewing) -> bool:
+    def _has_seat_and_budget(self, now: float, v: Viewing) -> bool:
         seated = v.package
         v.package = replace(seated, seats=0)
         try:
-            return super()._may_try_again(now, v)
+            return super()._has_seat_and_budget(now, v)
         finally:
             v.package = seated
 
@@ -65,10 +65,10 @@
 class _Lavish(Gateway):
     """Rule 6: further tune-ins are not counted."""
 
-    def _may_try_again(self, now: float, v: Viewing) -> bool:
+    def _has_seat_and_budget(self, now: float, v: Viewing) -> bool:
         tune_ins, v.tune_ins = v.tune_ins, 0
         try:
-            return super()._may_try_again(now, v)
+            return super()._has_seat_and_budget(now, v)
         finally:
             v.tune_ins = tune_ins
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -536,8 +536,8 @@
     cut = rig.directory / "cut"
     cut.write_bytes(whole.read_bytes()[:-7])
     assert replayed(cut).difference == "", "a crash leaves what was whole"
-    monkeypatch.setattr("ledgehitch.brain.FULL_ENOUGH", 0.0)
-    monkeypatch.setattr("ledgehitch.brain.SHORTEST", 0.4)
+    monkeypatch.setattr("ledgehitch.brain.LOWEST_RUNG_MAX_USE", 0.0)
+    monkeypatch.setattr("ledgehitch.brain.MIN_TIMEOUT_S", 0.4)
     assert "was ['TuneIn'" in replayed(rig.record).difference
 
 
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -310,7 +310,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(SendGuard, "check_send", lambda *args: None)
-    monkeypatch.setattr(Gateway, "_within_key", lambda *args: True)
+    monkeypatch.setattr(Gateway, "_may_set_up_at", lambda *args: True)
     taped = Taped(tmp_path)
 
     def act(host: Host, request: Request) -> Response:
@@ -332,7 +332,7 @@
 def test_our_gate_alone_stops_a_second_set_up_of_what_is_paid_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Gateway, "_within_key", lambda *args: True)
+    monkeypatch.setattr(Gateway, "_may_set_up_at", lambda *args: True)
     taped = Taped(tmp_path)
     packages = [{"name": "recorded", "join_target": 0.8, "patience": 3, "effect": "once"}]
     rig = Rig({"*": taped.host(lambda host, request: Response(500))}, packages=packages)
@@ -372,7 +372,7 @@
 def test_without_the_pace_of_cold_hosts_rule_4_breaks(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Gateway, "_too_cold", lambda *args: False)
+    monkeypatch.setattr(Gateway, "_cold_budget_spent", lambda *args: False)
     taped = Taped(tmp_path)
     rig = Rig(
         {"*": taped.host(Host.plays)},
@@ -392,7 +392,7 @@
 
 def test_without_floors_and_seats_rule_5_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     taped = Taped(tmp_path)
-    monkeypatch.setattr(Gateway, "_may_try_again", lambda *args: True)
+    monkeypatch.setattr(Gateway, "_has_seat_and_budget", lambda *args: True)
     monkeypatch.setattr(Gateway, "_fitting", lambda *args: 0)
     package = {"name": "recorded", "join_target": 0.8, "patience": 3, "floor": 1, "seats": 2}
     rig = Rig({"*": taped.host(Host.plays)}, packages=[package])
@@ -408,7 +408,7 @@
 
 
 def test_without_the_budget_rule_6_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Gateway, "_may_try_again", lambda *args: True)
+    monkeypatch.setattr(Gateway, "_has_seat_and_budget", lambda *args: True)
     taped = Taped(tmp_path)
     rig = Rig(
         {"*": taped.host(lambda host, request: Response(500))},
