--- a/ledgehitch/brain.py
+++ b/ledgehitch/brain.py
@@ -1,10 +1,17 @@
 """Every decision of a gateway: where a viewing is set up, at which rung it plays, what is blocked or aborted.
 
-How to call it: make a `Gateway(seed, now, ladder, packages, fleet, terms)`. Hand it what happens through the
-methods `on_<event>`, which only update what is known. Then pull `decide(now)` until it gives None, carrying
-out each decision as it comes (pulled is done) and handing in nothing meanwhile; again after the next events
-or when the clock reaches `wake_at()`. Types are in `ledgehitch/interface.py`; the mechanism's source and each
-departure from it are in `docs/design.md`.
+Create a `Gateway(seed, now, ladder, packages, fleet, terms)` and pass it each event through its methods
+`on_<event>`, which only update its state. Then call `decide(now)` until it returns None, carrying out each
+decision as it comes and passing in no event meanwhile. Do so again after the next events, or when the clock
+reaches `wake_at()`. The types are in `ledgehitch/interface.py`; `docs/design.md` describes the mechanism, its
+source and each departure from it.
+
+Some names recur. The use of a link or uplink is the rate asked of it over the rate that it gives, so 1.0 is
+full. A holder is a media host that holds the title of a viewing. A cold media host is one that started less
+than the warm-up time ago. The target use is how full admission and steps up may make a link or uplink.
+
+Gateways are pickled into the checkpoints of flight records, so classes and instance attributes keep their
+names; a comment explains those that are hard to read.
 """
 
 import math
@@ -17,238 +24,308 @@
 from itertools import accumulate
 from statistics import median
 
-from ledgehitch import interface as say
+from ledgehitch import interface
 from ledgehitch.interface import Decision, Fleet, Ladder, Outcome, Package, Row, Terms
 
-NEW, OLD = 3, 8  # weights of the estimate, as in the paper: a lower NEW climbs slower after pressure
-TICK = 3.0  # seconds between looks at a media host's viewings: shorter reacts faster, on fewer readings
-HOLD = 8.0  # a viewing that stepped keeps its rung so long: shorter follows the room, dearer in changes
-MARK = 0.95  # share of link and uplink that admission and climbs may fill: higher earns more, jams more
-PRESSED = 0.98  # above this the room counts as negative and viewings step down before delivery is short
-GRADE = 0.45  # how much lower it is where a step earns next to nothing a kB: more leaves room to cheap steps
-SHORT = 0.98  # a delivered share under this is short
-CROSS_BIAS = 3.0  # use that a holder in another zone counts as extra, for each unit of the crossing price
-TRIED = 0.5  # use that a holder counts as extra for a viewing that it failed
-SECOND = 0.25  # weight of the emptier of link and uplink when the least used holder is sought
-LOWEST_RUNG_MAX_USE = 0.9  # lowest-rung admissions may fill up to this: more blocks less, jams more
-WAIT_PART = 0.4  # part of the join target that a viewing may wait for a holder before it is blocked
-WORST = 3.0  # a use read as more counts as this, so that one that stands still is forgotten in time
-HASTE = 1.5  # so many times its part may a gateway step down on short delivery: more drops deeper, sooner
-SHORT_FOR = 2.5  # seconds that a short note counts when no further one comes
-NEWS = 0.5  # weight of a use that is reported against the one that was predicted: reports are noisy
-USUAL, USUAL_NEWS = 0.5, 0.1  # use of a link before any report, weight of each report in the usual one
-PRIOR = 0.3  # use by own viewings from which a guess goes by them rather than by the usual use
-ENOUGH, ANSWERS = 6, 0.1  # readings from which on none is asked for; seconds that an answer is waited for
-REMEMBERED = 64  # own changes since a reading that count: more tell more of a crowded second
-DRAWN = 3  # holders without a recent reading that are looked at, drawn by chance: more find an emptier one
-TRUST = 1.5  # a reading older than so many telling intervals fades into what is guessed
-REPORT_AGE, FORGOTTEN = 0.3, 10.0  # seconds that a load report lags; after which it is not averaged any more
-TOGETHER, ALONE = 1.5, 0.5  # hosts short within these seconds blame the uplink, a lone one from this share
-LEAST_UPLINK = 0.3  # part of the stated size that short notes may teach an uplink to have: less jams less
-BINS = (0.05, 0.1, 0.15, 0.2, 0.3, 0.45, 0.7, 1.1, 2.0)  # seconds a set-up took, coarse
-FORGET = 20.0  # seconds until an uplink told to be short is taken for a usual one again
-LATE = 0.99, 2.0  # a tune-in is given up at this quantile of set-ups, times this: lower wastes slow set-ups
-MIN_TIMEOUT_S, UNKNOWN, LONGEST = 0.25, 0.45, 0.6  # time-outs: shortest, at first, longest (in join targets)
-MIN_SEEN, HALVE_AT = 8, 40  # outcomes after which a histogram is believed, and a media host's tally halved
-ILL = 0.25  # a media host whose failures exceed the fleet median by this share is set aside
+# Weights of the newest measure and of the previous estimate, as in the paper. A lower weight of the measure
+# climbs more slowly after an overload.
+MEASURE_WEIGHT, ESTIMATE_WEIGHT = 3, 8
+# Time between two rounds of steps at a media host. Shorter reacts faster, on fewer readings.
+STEP_INTERVAL_S = 3.0
+# Time for which a viewing keeps its rung after a step. Shorter follows the room more closely, at the price of
+# more rung changes.
+HOLD_S = 8.0
+# Use of link and uplink up to which viewings are admitted and step up. Higher earns more and overloads more.
+TARGET_USE = 0.95
+# Above this use viewings step down, before delivery falls short.
+STEP_DOWN_USE = 0.98
+# How much lower the target is for a step that earns next to nothing a kB. More leaves room for cheap steps.
+TARGET_USE_REDUCTION = 0.45
+SHORT_DELIVERY_SHARE = 0.98  # a delivered share below this is short
+CROSS_ZONE_PENALTY = 3.0  # use added to a holder in another zone, for each unit of the crossing price
+TRIED_HOST_PENALTY = 0.5  # use added to a holder that failed the same viewing
+SECONDARY_USE_WEIGHT = 0.25  # weight of the less used of link and uplink when holders are compared
+# Use of link and uplink up to which viewings are admitted at their lowest rung. More blocks fewer viewings
+# and overloads more often.
+LOWEST_RUNG_MAX_USE = 0.9
+HOLDER_WAIT_SHARE = 0.4  # share of the join target that a viewing may wait for a holder before it is blocked
+# Limit of a recorded use, so that a media host that stands still is tried again within useful time.
+MAX_RECORDED_USE = 3.0
+# Factor on the part by which a gateway may step down while delivery is short. More drops deeper and sooner.
+SHORT_DELIVERY_STEP_FACTOR = 1.5
+SHORT_DELIVERY_EXPIRY_S = 2.5  # time for which a report of short delivery counts when none follows
+REPORT_WEIGHT = 0.5  # weight of a reported use against the predicted one, since reports are noisy
+INITIAL_TYPICAL_USE, TYPICAL_USE_WEIGHT = 0.5, 0.1  # use of a link before any report; weight of each report
+# Use added to both sides when own use is compared with the typical one. It is the use by own viewings from
+# which on a guess follows them rather than the typical use.
+TYPICAL_USE_PRIOR = 0.3
+# Number of holders with a recent reading from which on no other is probed, and how long an answer is awaited.
+ENOUGH_READINGS, PROBE_TIMEOUT_S = 6, 0.1
+MAX_RECENT_CHANGES = 64  # own changes kept since the last reading. More account better for a crowded second
+UNREAD_SAMPLE_SIZE = 3  # holders without a recent reading that are considered. More find an emptier one
+FRESH_REPORT_INTERVALS = 1.5  # age in report intervals above which a reading fades into the guess
+LOAD_REPORT_DELAY_S, READING_EXPIRY_S = 0.3, 10.0  # age of a load report on arrival; oldest reading averaged
+# An uplink is blamed when several hosts fall short within this time, or a lone one that still delivers more
+# than this share.
+UPLINK_BLAME_WINDOW_S, LONE_HOST_BLAME_SHARE = 1.5, 0.5
+# Least share of its stated size that an uplink may be estimated to have. Less overloads less often.
+MIN_UPLINK_SHARE = 0.3
+SETUP_TIME_BINS_S = (0.05, 0.1, 0.15, 0.2, 0.3, 0.45, 0.7, 1.1, 2.0)  # upper edges of the set-up histogram
+UPLINK_ESTIMATE_EXPIRY_S = 20.0  # time until a short uplink is assumed to have its stated size again
+# A tune-in times out at this quantile of set-up times, times this factor. Lower wastes slow set-ups.
+TIMEOUT_QUANTILE, TIMEOUT_FACTOR = 0.99, 2.0
+# Shortest time-out, time-out while too few set-ups were seen, and longest time-out in join targets.
+MIN_TIMEOUT_S, INITIAL_TIMEOUT_S, MAX_TIMEOUT_JOIN_TARGETS = 0.25, 0.45, 0.6
+# Set-ups from which on the histogram is used, and outcomes after which the tally of a media host is halved.
+MIN_SETUPS_SEEN, TALLY_HALVING_COUNT = 8, 40
+FAILURE_SHARE_MARGIN = 0.25  # a media host is suspended when its failure share exceeds the median by this
 FAILURES = Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET
-IN_A_ROW = 2  # so many failures in a row set aside too, whatever the share
-ASIDE, ASIDE_MORE = 4.0, 3.0  # a media host set aside stays so for the first, plus up to the second by chance
-COLD_SAFE = 0.8  # part of the budget for cold media hosts that all gateways together plan to use
-LIST_LATE = 7.0  # seconds by which a list may lag: a restarted gateway doubts what it does not know so long
-OTHERS = 0.3  # with so much of a link asked by others, a media host did not just start
-ASK_AGAIN, ASK_MORE = 1.0, 5.0  # seconds until a lost list is asked for again: at least, and more by chance
-LOOK = 0.05  # seconds between looks for a holder while viewings wait
-FEW = 8  # so many that wait are looked for at any news: more find room sooner and cost more when none is
-CHANGE = struct.Struct(">Hh")  # a change told to other gateways: which media host, kB a second
-RECEIVERS = 2  # gateways that a word goes to: more tell more, and cost as many times as much
-EDGE = 0.03  # seconds kept free before patience ends
+MAX_CONSECUTIVE_FAILURES = 2  # this many failures in a row suspend a media host too, whatever the share
+SUSPENSION_S, SUSPENSION_JITTER_S = 4.0, 3.0  # a suspension lasts the first, plus up to the second at random
+COLD_BUDGET_SHARE = 0.8  # share of the budget of a cold media host that all gateways together plan to use
+MAX_LIST_LAG_S = 7.0  # longest lag of a list; for this time a restarted gateway takes unknown hosts for cold
+WARM_HOST_USE = 0.3  # with this much of its link used by other gateways, a media host did not just start
+LIST_RETRY_S, LIST_RETRY_JITTER_S = 1.0, 5.0  # delay of a new request for a lost list, and random part
+PLACEMENT_INTERVAL_S = 0.05  # time between two placement rounds while viewings wait
+# Up to this many waiting viewings are placed at any event. More find room sooner, and cost more when there is
+# none.
+FEW_WAITING = 8
+RATE_CHANGE = struct.Struct(">Hh")  # a change sent to other gateways: key of the media host, kB a second
+PEER_FANOUT = 2  # gateways that each message goes to. More spread it wider and cost as many times as much
+PATIENCE_MARGIN_S = 0.03  # time kept free before patience ends
 
 
 class Use:
-    """What is asked of a link or uplink over what it gives: the last reading, and own changes since."""
+    """The use of a link or uplink: the last reading, and the changes that this gateway made since."""
 
     def __init__(self, cap_kb: float) -> None:
         self.cap_kb = max(cap_kb, 1e-9)
-        self.value: float | None = None
-        self.at = -math.inf  # never: guards against a clock near 0, at which what was never read looks fresh
-        self.changes: deque[tuple[float, float]] = deque()
-        self.changed_kb = 0.0  # their sum
-        self.version = 0  # counts what was read and changed
-
-    def change(self, now: float, kb: float) -> None:
-        if len(self.changes) >= REMEMBERED:
+        self.value: float | None = None  # the last reading
+        # -inf: with a clock near 0, a 0 here would make a use that was never read look fresh.
+        self.at = -math.inf
+        self.changes: deque[tuple[float, float]] = deque()  # own changes since the reading: time, kB a second
+        self.changed_kb = 0.0  # sum of `changes`
+        self.version = 0  # incremented by each reading and each change
+
+    def add_change(self, now: float, kb: float) -> None:
+        """Adds a change of the rate that this gateway asks, in kB a second."""
+        if len(self.changes) >= MAX_RECENT_CHANGES:
             self.changed_kb -= self.changes.popleft()[1]
         self.changes.append((now, kb))
         self.changed_kb += kb
         self.version += 1
 
-    def read(self, now: float, at: float, value: float, weight: float = 1.0) -> None:
+    def record_reading(self, now: float, at: float, value: float, weight: float = 1.0) -> None:
+        """Records a use that was measured at the time `at`; `weight` is its weight against the prediction."""
         if value >= 0.0 and at >= self.at:
-            done = 0.0  # changes that the reading has seen
+            included_kb = 0.0  # changes that the reading already includes
             while self.changes and self.changes[0][0] <= at:
-                done += self.changes.popleft()[1]
-            self.changed_kb = self.changed_kb - done if self.changes else 0.0
-            if self.value is not None and now - self.at < FORGOTTEN:
-                value = weight * value + (1 - weight) * max(0.0, self.value + done / self.cap_kb)
-            self.value, self.at = min(value, WORST), at
+                included_kb += self.changes.popleft()[1]
+            self.changed_kb = self.changed_kb - included_kb if self.changes else 0.0
+            if self.value is not None and now - self.at < READING_EXPIRY_S:
+                value = weight * value + (1 - weight) * max(0.0, self.value + included_kb / self.cap_kb)
+            self.value, self.at = min(value, MAX_RECORDED_USE), at
             self.version += 1
 
-    def predicted(self, now: float, guess: Callable[[], float], stale: float) -> float:
-        """The reading and what this gateway changed since; an old reading fades into the guess."""
+    def predict(self, now: float, guess: Callable[[], float], fresh_s: float) -> float:
+        """Returns the last reading plus own changes since.
+
+        From an age of `fresh_s` on the reading fades into `guess()`, and by twice that age it is ignored.
+        """
         if self.value is None:
             return guess()
         known = max(0.0, self.value + self.changed_kb / self.cap_kb)
-        age = max(0.0, now - self.at - stale)
-        return known + (guess() - known) * min(1.0, age / stale) if age > 0 else known
+        excess_age = max(0.0, now - self.at - fresh_s)
+        return known + (guess() - known) * min(1.0, excess_age / fresh_s) if excess_age > 0 else known
 
 
 class MediaHost:
+    """What a gateway knows of one media host."""
+
     def __init__(
-        self, number: int, row: Row, link_kb: float, most_sent: int, uplink: Use, rack: list["MediaHost"]
+        self,
+        number: int,
+        row: Row,
+        link_kb: float,
+        max_sent: int,
+        uplink: Use,
+        rack: list["MediaHost"],
     ) -> None:
-        self.number = number  # in the order in which hosts were first named
-        self.row, self.uplink, self.rack = row, uplink, rack  # the uplink and the hosts it serves, itself too
-        self.mark = zlib.crc32(row.host.encode()) & 0xFFFF  # the same at every gateway
+        self.number = number  # in the order in which hosts were first listed
+        self.row, self.uplink, self.rack = row, uplink, rack  # `rack`: all hosts on the uplink, with this one
+        self.mark = zlib.crc32(row.host.encode()) & 0xFFFF  # key of the host in messages between gateways
         self.link = Use(link_kb)
-        self.listed = False
-        self.share_at = -1e9  # when delivery was last told to be short
-        self.short = False
-        self.told_link = 0.0  # use of its link as last reported, whatever short notes say
+        self.listed = False  # whether the list has it in service
+        self.share_at = -1e9  # time of the last report of short delivery
+        self.short = False  # whether delivery is short
+        self.told_link = 0.0  # use of its link as last reported, regardless of short delivery
         self.viewings: dict[int, Viewing] = {}
-        self.own_kb = 0.0  # what they count for
-        self.good = self.bad = 0.0
-        self.in_a_row = 0
-        self.aside_until = -1e9
+        self.own_kb = 0.0  # rate of this gateway's viewings there
+        self.good = self.bad = 0.0  # successful and failed set-ups, halved from time to time
+        self.in_a_row = 0  # consecutive failures
+        self.aside_until = -1e9  # end of its suspension
         self.cold_until = -1e9
         self.doubted = False  # whether it may have started while this gateway was away
-        self.sent: deque[float] = deque(maxlen=most_sent)  # when it was last sent set-ups
-        self.tick_at = 0.0
-        self.uses: tuple[float, float] = (0.0, 0.0)  # of link and uplink, as last worked out for `uses_of`
+        self.sent: deque[float] = deque(maxlen=max_sent)  # times of the last set-ups sent to it
+        self.tick_at = 0.0  # time of the next round of steps
+        self.uses: tuple[float, float] = (0.0, 0.0)  # use of link and uplink as computed for `uses_of`
         self.uses_of: tuple[float, int, int, int] | None = None
 
-    def failing(self) -> float:
+    def failure_share(self) -> float:
         return self.bad / (self.good + self.bad + 2.0)
 
 
 class Tables:
-    """What a package's rungs come to: rates in kB a second, what the step up from each earns a kB, and up to
-    where a step to each may fill link and uplink (less where it earns less a kB, to leave room)."""
-
-    def __init__(self, p: Package, rates: Sequence[float], gains: Sequence[float], best: float) -> None:
-        self.rates = [kb * p.scale for kb in rates]
-        self.worths = [p.value * gain / max(1e-9, p.scale) for gain in gains] + [0.0]
-        below = [1e9, *self.worths]
-        self.marks = [MARK - GRADE * max(0.0, 1 - below[i] / max(1e-9, best)) ** 2 for i in range(len(rates))]
+    """Figures of a package for each rung, in the order of the rungs."""
+
+    def __init__(self, package: Package, rates: Sequence[float], gains: Sequence[float], best: float) -> None:
+        self.rates = [kb * package.scale for kb in rates]  # kB a second
+        # What a kB of the step up from each rung earns.
+        self.worths = [package.value * gain / max(1e-9, package.scale) for gain in gains] + [0.0]
+        worth_of_step_to = [1e9, *self.worths]
+        # Target use for each rung. It is lower for steps that earn less a kB, to leave room for others.
+        self.marks = [
+            TARGET_USE - TARGET_USE_REDUCTION * max(0.0, 1 - worth_of_step_to[i] / max(1e-9, best)) ** 2
+            for i in range(len(rates))
+        ]
 
 
 class Viewing:
+    """One viewing: its request, its tune-ins and, once it plays, its rung and estimate."""
+
     def __init__(
-        self, viewing_id: int, package: Package, title: str, cells: tuple[int, int], top: int, tables: Tables
+        self,
+        viewing_id: int,
+        package: Package,
+        title: str,
+        cells: tuple[int, int],
+        top: int,
+        tables: Tables,
     ) -> None:
+        # `cells`: first cell that holds the title, and number of cells. `top`: highest rung that may play.
         self.vw, self.package, self.title, self.cells, self.top = viewing_id, package, title, cells, top
         self.rates, self.worths, self.marks = tables.rates, tables.worths, tables.marks
-        self.patience = self.asked_at = 0.0
+        self.patience = self.asked_at = 0.0  # when its patience ends, when it was requested
         self.host: MediaHost | None = None
         self.rung = package.floor
         self.tune_ins = 0
+        # Whether a tune-in is under way, it plays, its viewer has left, a tune-in may have run.
         self.out = self.playing = self.gone = self.may_have_run = False
-        self.looked = False  # whether a holder was looked for since it began to wait
-        self.first_at, self.news_at = 0.0, -1.0  # its first tune-in, the first report after set-up
-        self.anchor: Row | None = None  # where a tune-in may have run
-        self.tried: list[str] = []
-        self.erred: list[MediaHost] = []  # hosts that answered it with an error, not judged by that yet
-        self.asks: MediaHost | None = None  # the one probed for it
-        self.asks_until = -1e9
-        self.kb = 0.0  # what it counts for on link and uplink
-        self.estimate = self.last = 0.0
-        self.low = self.high = package.floor
-        self.hold_until = 0.0
-        self.sent_at = 0.0  # its last tune-in, as its media host's budget counts it
+        self.looked = False  # whether placement was tried since it began to wait
+        self.first_at, self.news_at = 0.0, -1.0  # time of its first tune-in, of the first report after set-up
+        self.anchor: Row | None = None  # media host of the first tune-in that may have run
+        self.tried: list[str] = []  # names of the media hosts that got a tune-in
+        self.erred: list[MediaHost] = []  # hosts that answered with an error and are not judged for it yet
+        self.asks: MediaHost | None = None  # media host last probed for it
+        self.asks_until = -1e9  # end of the wait for that probe
+        self.kb = 0.0  # rate booked for it on link and uplink
+        self.estimate = self.last = 0.0  # estimate and last measure of the rate that it can play at, in kB/s
+        self.low = self.high = package.floor  # lower and upper bound of its rung
+        self.hold_until = 0.0  # until then it keeps its rung
+        self.sent_at = 0.0  # time of its last tune-in, as counted against the cold host's budget
 
 
 class Gateway:
+    """The state and the decisions of one gateway. All times are seconds on the caller's clock."""
+
     def __init__(
-        self, seed: int, now: float, ladder: Ladder, packages: Sequence[Package], fleet: Fleet, terms: Terms
+        self,
+        seed: int,
+        now: float,
+        ladder: Ladder,
+        packages: Sequence[Package],
+        fleet: Fleet,
+        terms: Terms,
     ) -> None:
         self.chance = random.Random(seed)
         self.started = now
-        self.doubts_until = now + min(terms.warm_up, LIST_LATE)
+        self.doubts_until = now + min(terms.warm_up, MAX_LIST_LAG_S)  # end of the time with doubted hosts
         self.rates = ladder.kb or (1.0,)
         self.earns = ladder.earns or (1.0,)
         self.packages = {p.name: p for p in packages}
         self.fleet, self.terms = fleet, terms
         self.gateways = max(1, terms.gateways)
         self.hosts: dict[str, MediaHost] = {}
-        self.named = 0  # media hosts ever named
-        self.busy: dict[int, MediaHost] = {}  # those with viewings of this gateway, by number
+        self.named = 0  # number of media hosts ever listed
+        self.busy: dict[int, MediaHost] = {}  # hosts with viewings of this gateway, by number
         self.racks: list[tuple[Use, list[MediaHost]]] = [
             (Use(fleet.uplink_kb or 1e12), []) for _ in range(max(1, fleet.racks))
         ]
         self.viewings: dict[int, Viewing] = {}
         self.waiting: dict[int, Viewing] = {}
-        self.took = [0.0] * (len(BINS) + 1)
-        self.asked_times: deque[float] = deque()
-        self.extra_times: deque[float] = deque()
+        self.took = [0.0] * (len(SETUP_TIME_BINS_S) + 1)  # histogram of set-up times
+        self.asked_times: deque[float] = deque()  # times of requests, for the budget of further tune-ins
+        self.extra_times: deque[float] = deque()  # times of further tune-ins
         steps = zip(self.rates, self.rates[1:], self.earns, self.earns[1:], strict=False)
+        # What a kB of each step up earns, and the most that a kB of any step earns.
         self.gains = [(w2 - w1) / max(1e-9, kb2 - kb1) for kb1, kb2, w1, w2 in steps]
         self.best = max((p.value * g / max(1e-9, p.scale) for p in packages for g in self.gains), default=1.0)
-        self.stale = max(1.0, TRUST * (fleet.told_every or 2.0))
+        self.stale = max(
+            1.0, FRESH_REPORT_INTERVALS * (fleet.told_every or 2.0)
+        )  # age from which on a reading is stale
         self.x1 = "x1" in fleet.load_fields  # whether the use of uplinks is reported
         self.must_probe = fleet.reports == "pull" and terms.may_probe
-        # Guards against probes before a set-up, and a wait for each, whose answer tells no use of a link.
+        # Probes before a set-up are sent only where an answer states the use of a link. Elsewhere each
+        # viewing would wait for answers that tell nothing.
         tells = fleet.reports != "silent" and not {"x0", "cpu"}.isdisjoint(fleet.load_fields)
         self.may_ask = terms.may_probe and tells
-        self.usual = USUAL  # use of a link, as reports have it lately
-        self.inputs = 0  # counts what was told
-        self.holders: dict[tuple[int, int], list[MediaHost]] = {}  # by cells, as far as the list says
-        self.look_at = now  # when holders are looked for again, for all that wait
+        self.usual = INITIAL_TYPICAL_USE  # typical use of a link, a moving average of the reports
+        self.inputs = 0  # number of events that may have changed the use of a link or uplink
+        self.holders: dict[tuple[int, int], list[MediaHost]] = {}  # cache of `_holders`, by cells
+        self.look_at = now  # time of the next placement round for all that wait
         self.tables = {p.name: Tables(p, self.rates, self.gains, self.best) for p in packages}
-        self.untold = b""  # changes of own viewings' rates that other gateways have not heard of
-        self.plan: Iterator[Decision] | None = None
-        self.list_due = now if terms.on_request else None
-        budget = COLD_SAFE * terms.fall_multiple * terms.cold_share * terms.fall_after
-        self.cold_budget = budget / max(terms.warm_up, 1e-9)  # of all gateways in a window, for each place
-        # Guards against a part of the budget larger than what is remembered: it would never be used up.
+        self.untold = b""  # changes of own viewings' rates not yet sent to other gateways
+        self.plan: Iterator[Decision] | None = None  # the running sequence of decisions, if any
+        self.list_due = now if terms.on_request else None  # when to request the list of media hosts
+        budget = COLD_BUDGET_SHARE * terms.fall_multiple * terms.cold_share * terms.fall_after
+        self.cold_budget = budget / max(terms.warm_up, 1e-9)  # set-ups of all gateways in a window, per slot
+        # A host's deque of set-up times has to hold the gateway's whole part of the budget. If it were
+        # shorter, the part would never be used up.
         largest = max((fleet.slots or {"": 1}).values(), default=1) if terms.warm_up > 0 else 0
         self.most_sent = int(self.cold_budget * largest) // self.gateways + 1
 
-    # ---- what is known -------------------------------------------------------------------------------------
+    # ---- events --------------------------------------------------------------------------------------------
 
     def on_host_list(self, now: float, how: str, rows: Sequence[Row]) -> None:
+        """Takes a list of media hosts.
+
+        `how` is "total" for a complete list, "warm_copy" for a complete one that was stored earlier, "incr"
+        for changes, and "lost" (without rows) when the source of lists was lost.
+        """
         self.inputs += 1
         if how == "lost":
-            # Guards against asking so late that what the list said meanwhile counts as heard (rule 3).
-            soon = min(1.0, 0.5 * self.terms.ask_within / (ASK_AGAIN + ASK_MORE) or 1.0)
-            self.list_due = now + soon * (ASK_AGAIN + ASK_MORE * self.chance.random())
+            # Asks again early enough to have the answer before what the list said meanwhile counts as heard
+            # (rule 3).
+            scale = min(1.0, 0.5 * self.terms.ask_within / (LIST_RETRY_S + LIST_RETRY_JITTER_S) or 1.0)
+            self.list_due = now + scale * (LIST_RETRY_S + LIST_RETRY_JITTER_S * self.chance.random())
             return
         if how != "warm_copy":
             self.list_due = None
         self.holders = {}
         if how in ("total", "warm_copy"):
-            named = {row.host for row in rows}
+            names = {row.host for row in rows}
             for name, known in self.hosts.items():
-                known.listed = known.listed and name in named
+                known.listed = known.listed and name in names
         for row in rows:
             host = self.hosts.get(row.host)
             if host is None:
                 link_kb = row.weight * self.fleet.link_unit_kb or self.fleet.links_kb / len(rows)
                 self.named += 1
-                # Guards against a host without a place counting on the uplink of a rack that it is not in.
-                apart = Use(self.fleet.uplink_kb or 1e12), list[MediaHost]()
-                rack = self.racks[row.cell % len(self.racks)] if row.cell >= 0 else apart
+                # A host without a cell gets an uplink of its own: it must not count on a rack's.
+                own_uplink = Use(self.fleet.uplink_kb or 1e12), list[MediaHost]()
+                rack = self.racks[row.cell % len(self.racks)] if row.cell >= 0 else own_uplink
                 host = MediaHost(self.named, row, link_kb, self.most_sent, *rack)
                 host.rack.append(host)
                 self.hosts[row.host] = host
-                host.tick_at = now + self.chance.random() * TICK
-                # Guards against a media host that started while this gateway was away or its list was late.
+                host.tick_at = now + self.chance.random() * STEP_INTERVAL_S
+                # It may have started while this gateway was away or while its list lagged.
                 host.doubted = how == "warm_copy"
             if row.started > host.row.started or row.state == "in_service" and not host.listed:
                 began = row.started or (now if how == "incr" else -1e9)
                 host.cold_until = max(host.cold_until, began + self.terms.warm_up)
                 host.in_a_row, host.aside_until = 0, -1e9
             host.row, host.listed = row, row.state == "in_service"
-        # Guards against memory that grows with each media host that was ever there.
+        # Hosts that are gone are dropped, so that memory does not grow with each one that ever existed.
         for host in [h for h in self.hosts.values() if h.row.state == "terminated" and not h.viewings]:
             host.rack.remove(host)
             del self.hosts[host.row.host]
@@ -264,8 +341,14 @@
         top: int,
         patience: float,
     ) -> None:
-        v = self.waiting[viewing_id] = self._viewing(viewing_id, package, title, (first, spread), top)
-        v.patience, v.asked_at = patience, min(now, patience - v.package.patience)
+        """Takes a request, which has to be answered by the time `patience`.
+
+        Its title is held by `spread` cells from `first` on.
+        """
+        viewing = self.waiting[viewing_id] = self._add_viewing(
+            viewing_id, package, title, (first, spread), top
+        )
+        viewing.patience, viewing.asked_at = patience, min(now, patience - viewing.package.patience)
         if self.terms.extra_free is not None:
             self.asked_times.append(now)
 
@@ -278,57 +361,66 @@
         first: int,
         spread: int,
         top: int,
-        host: str,
+        host_name: str,
     ) -> None:
-        v = self._viewing(viewing_id, package, title, (first, spread), top)
-        v.host, v.tune_ins, v.playing = self.hosts.get(host), 1, True
-        if v.host:
-            v.host.viewings[viewing_id] = v
-            self.busy[v.host.number] = v.host
-        self.doubts_until = now  # who is handed viewings was not away, so its list is as good as any
-        self._begin(now, v)
+        """Takes over a viewing that already plays at a media host."""
+        viewing = self._add_viewing(viewing_id, package, title, (first, spread), top)
+        viewing.host, viewing.tune_ins, viewing.playing = self.hosts.get(host_name), 1, True
+        if viewing.host:
+            viewing.host.viewings[viewing_id] = viewing
+            self.busy[viewing.host.number] = viewing.host
+        # A gateway that is handed viewings was not away, so its list is as good as any other's.
+        self.doubts_until = now
+        self._reset_estimate(now, viewing)
 
     def on_tune_in_success(
-        self, now: float, viewing_id: int, host: str, tune_in: int, latency: float
+        self, now: float, viewing_id: int, host_name: str, tune_in: int, latency: float
     ) -> None:
+        """Takes the success of a tune-in: the viewing plays."""
         self.inputs += 1
-        v = self.viewings.get(viewing_id)
-        if v is None or v.playing or v.host is None:
+        viewing = self.viewings.get(viewing_id)
+        if viewing is None or viewing.playing or viewing.host is None:
             return
-        self._tally(v.host, True)
-        self._blame(now, v.erred)
-        self.took[sum(latency > edge for edge in BINS)] += 1
-        if sum(self.took) > 10 * HALVE_AT:
+        self._count_outcome(viewing.host, True)
+        self._judge_errors(now, viewing.erred)
+        self.took[sum(latency > edge for edge in SETUP_TIME_BINS_S)] += 1
+        if sum(self.took) > 10 * TALLY_HALVING_COUNT:
             self.took = [n / 2 for n in self.took]
-        v.out, v.playing = False, True
-        self._begin(now, v)
+        viewing.out, viewing.playing = False, True
+        self._reset_estimate(now, viewing)
+
+    def on_report(self, now: float, viewing_id: int, host_name: str, kind: int, value: float) -> None:
+        """Takes a report on a viewing or its media host.
 
-    def on_report(self, now: float, viewing_id: int, host: str, kind: int, value: float) -> None:
-        """News on a viewing: 1 the share delivered, 2 its rung, 3 and 4 the use of link and uplink."""
+        The kinds are 1 for the delivered share, 2 for the rung in force, and 3 and 4 for the use of the link
+        and of the uplink.
+        """
         self.inputs += 1
-        v, h = self.viewings.get(viewing_id), self.hosts.get(host)
-        if not 0 <= value < math.inf or h is None:
+        viewing, host = self.viewings.get(viewing_id), self.hosts.get(host_name)
+        if not 0 <= value < math.inf or host is None:
             return
-        if kind == 2 and v is not None and v.playing:
-            v.rung = int(min(value, len(self.rates) - 1))
-            self._begin(now, v)
-            v.hold_until = now if self.x1 else v.hold_until  # it did not step: holds until both are reported
+        if kind == 2 and viewing is not None and viewing.playing:
+            viewing.rung = int(min(value, len(self.rates) - 1))
+            self._reset_estimate(now, viewing)
+            # It did not step by itself. Where uplinks are reported it need not hold its rung after this,
+            # since it keeps it until link and uplink are reported.
+            viewing.hold_until = now if self.x1 else viewing.hold_until
         at = now - self.fleet.told_late
         if kind == 1:
-            if value < SHORT:
-                # Guards against seconds of a fresh shortage passing before the next look.
-                h.tick_at = h.tick_at if h.short else now
-                h.short, h.share_at = True, now
-                self._ran_short(now, at, h, max(value, 0.05))
-            elif h.short:
-                h.short = False
-                for use in (h.link, h.uplink):
+            if value < SHORT_DELIVERY_SHARE:
+                # A new shortage gets its round of steps at once instead of seconds later.
+                host.tick_at = host.tick_at if host.short else now
+                host.short, host.share_at = True, now
+                self._record_short_delivery(now, at, host, max(value, 0.05))
+            elif host.short:
+                host.short = False
+                for use in (host.link, host.uplink):
                     if (use.value or 0.0) > 1.0:
-                        use.read(now, at, 1.0)
+                        use.record_reading(now, at, 1.0)
         elif kind in (3, 4):
-            if kind == 3 and v is not None and v.news_at < 0:
-                at = v.news_at = now  # what comes with a set-up is fresh
-            self._read(now, at, h, kind == 3, value)
+            if kind == 3 and viewing is not None and viewing.news_at < 0:
+                at = viewing.news_at = now  # the report that comes with a set-up is fresh
+            self._record_use(now, at, host, kind == 3, value)
 
     def on_tune_in_end(
         self,
@@ -336,64 +428,70 @@
         viewing_id: int,
         closed: bool,
         code: int,
-        host: str,
+        host_name: str,
         latency: float,
         tune_in: int,
         loads: Sequence[float] = (),
     ) -> None:
+        """Takes the end of a tune-in that failed, or of a viewing that played.
+
+        With `closed` the viewing is over; else it waits for another tune-in. `loads` are the values of the
+        fleet's load fields that came with the answer.
+        """
         self.inputs += 1
-        h = self.hosts.get(host)
-        self._reported(now, h, loads)
-        v = self.viewings.get(viewing_id)
-        if v is None:
+        host = self.hosts.get(host_name)
+        self._record_loads(now, host, loads)
+        viewing = self.viewings.get(viewing_id)
+        if viewing is None:
             return
-        was_playing, v.out, v.playing = v.playing, False, False
-        self._load(now, v, None)
-        if h is not None and code == Outcome.ERROR and not was_playing:
-            v.erred.append(h)
-        elif h is not None:
-            self._judge(now, h, code, was_playing)
-        if v.host is not None:
-            v.host.viewings.pop(viewing_id, None)
-            if not v.host.viewings:
-                self.busy.pop(v.host.number, None)
-        if closed or was_playing or v.gone:
+        was_playing, viewing.out, viewing.playing = viewing.playing, False, False
+        self._book_rate(now, viewing, None)
+        if host is not None and code == Outcome.ERROR and not was_playing:
+            viewing.erred.append(host)
+        elif host is not None:
+            self._judge_host(now, host, code, was_playing)
+        if viewing.host is not None:
+            viewing.host.viewings.pop(viewing_id, None)
+            if not viewing.host.viewings:
+                self.busy.pop(viewing.host.number, None)
+        if closed or was_playing or viewing.gone:
             del self.viewings[viewing_id]
             return
-        v.host = None
-        v.may_have_run |= code not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-        v.anchor = v.anchor if v.may_have_run else None
-        v.looked = False
-        self.waiting[viewing_id] = v
+        viewing.host = None
+        viewing.may_have_run |= code not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        viewing.anchor = viewing.anchor if viewing.may_have_run else None
+        viewing.looked = False
+        self.waiting[viewing_id] = viewing
 
     def on_viewer_left(self, now: float, viewing_id: int) -> None:
-        v = self.viewings.get(viewing_id)
-        if v is not None and self.waiting.pop(viewing_id, None) is not None:
+        viewing = self.viewings.get(viewing_id)
+        if viewing is not None and self.waiting.pop(viewing_id, None) is not None:
             del self.viewings[viewing_id]
-        elif v is not None:
-            v.gone = True  # its outcome still comes, and frees its seat and load
+        elif viewing is not None:
+            viewing.gone = True  # its outcome is still to come, and frees its seat and its load
 
     def expire_waiting(self, now: float) -> None:
-        """This process is about to end: whatever waits, or comes back to wait, waits no longer."""
-        for v in self.viewings.values():
-            v.patience = min(v.patience, now)
+        """Ends the patience of all viewings that wait, or come back to wait: this process is about to end."""
+        for viewing in self.viewings.values():
+            viewing.patience = min(viewing.patience, now)
 
     def on_probe_result(
-        self, now: float, host: str, code: int, latency: float, loads: Sequence[float] = ()
+        self, now: float, host_name: str, code: int, latency: float, loads: Sequence[float] = ()
     ) -> None:
         self.inputs += 1
-        self._reported(now, self.hosts.get(host), loads)
+        self._record_loads(now, self.hosts.get(host_name), loads)
 
-    def on_peer_message(self, now: float, words: bytes) -> None:
-        """Changes that another gateway booked; what does not parse or names no media host is passed over."""
+    def on_peer_message(self, now: float, message: bytes) -> None:
+        """Takes rate changes of another gateway; ignores malformed ones and those of unknown media hosts."""
         self.inputs += 1
-        if len(words) % CHANGE.size == 0:
-            for name, kb in CHANGE.iter_unpack(words):
-                for h in self.hosts.values():
-                    if h.mark == name and abs(kb) <= 2 * self.rates[-1]:
-                        self._changed(now, h, kb)
+        if len(message) % RATE_CHANGE.size == 0:
+            for key, kb in RATE_CHANGE.iter_unpack(message):
+                for host in self.hosts.values():
+                    if host.mark == key and abs(kb) <= 2 * self.rates[-1]:
+                        self._add_change(now, host, kb)
 
     def wake_at(self) -> float | None:
+        """Returns when to call `decide` again if no event comes before; None: only after an event."""
         due = [h.tick_at for h in self.busy.values()]
         due += [max(self.look_at, self.now)] if self.waiting else []
         due += [] if self.list_due is None else [self.list_due]
@@ -401,138 +499,166 @@
 
     # ---- bookkeeping ---------------------------------------------------------------------------------------
 
-    def _viewing(
-        self, viewing_id: int, package: str, title: str, cells: tuple[int, int], top: int
+    def _add_viewing(
+        self, viewing_id: int, package_name: str, title: str, cells: tuple[int, int], top: int
     ) -> Viewing:
-        p = self.packages.get(package) or Package(package, 1.0, 3.0)
-        tables = self.tables.get(package) or Tables(p, self.rates, self.gains, self.best)
-        v = self.viewings[viewing_id] = Viewing(
-            viewing_id, p, title, cells, min(top, p.top, len(self.rates) - 1), tables
+        package = self.packages.get(package_name) or Package(package_name, 1.0, 3.0)
+        tables = self.tables.get(package_name) or Tables(package, self.rates, self.gains, self.best)
+        viewing = self.viewings[viewing_id] = Viewing(
+            viewing_id, package, title, cells, min(top, package.top, len(self.rates) - 1), tables
         )
-        return v
+        return viewing
 
-    def _begin(self, now: float, v: Viewing) -> None:
-        v.low = v.high = v.rung
-        v.estimate = v.last = self._rate(v, v.rung)
-        v.hold_until = now + HOLD
-        self._load(now, v, v.rung)
+    def _reset_estimate(self, now: float, viewing: Viewing) -> None:
+        """Restarts the estimate and bounds of a viewing at its rung, and books its rate."""
+        viewing.low = viewing.high = viewing.rung
+        viewing.estimate = viewing.last = self._rate_kb(viewing, viewing.rung)
+        viewing.hold_until = now + HOLD_S
+        self._book_rate(now, viewing, viewing.rung)
 
-    def _rate(self, v: Viewing, rung: int) -> float:
-        return v.rates[min(rung, len(v.rates) - 1)]
+    def _rate_kb(self, viewing: Viewing, rung: int) -> float:
+        return viewing.rates[min(rung, len(viewing.rates) - 1)]
 
-    def _load(self, now: float, v: Viewing, rung: int | None) -> None:
-        """Books what a viewing asks of link and uplink; None: nothing any more."""
-        kb = 0.0 if rung is None else self._rate(v, rung)
+    def _book_rate(self, now: float, viewing: Viewing, rung: int | None) -> None:
+        """Books the rate that a viewing asks of link and uplink at a rung; None: it asks none any more."""
+        kb = 0.0 if rung is None else self._rate_kb(viewing, rung)
         if rung is not None:
-            v.rung = rung
-        if v.host is not None and kb != v.kb:
-            v.host.own_kb += kb - v.kb
-            self._changed(now, v.host, kb - v.kb)
+            viewing.rung = rung
+        if viewing.host is not None and kb != viewing.kb:
+            viewing.host.own_kb += kb - viewing.kb
+            self._add_change(now, viewing.host, kb - viewing.kb)
             if self.terms.may_tell:
-                self.untold += CHANGE.pack(v.host.mark, max(-32767, min(32767, round(kb - v.kb))))
-        v.kb = kb
+                self.untold += RATE_CHANGE.pack(
+                    viewing.host.mark, max(-32767, min(32767, round(kb - viewing.kb)))
+                )
+        viewing.kb = kb
 
-    def _changed(self, now: float, h: MediaHost, kb: float) -> None:
-        h.link.change(now, kb)
-        h.uplink.change(now, kb)
+    def _add_change(self, now: float, host: MediaHost, kb: float) -> None:
+        host.link.add_change(now, kb)
+        host.uplink.add_change(now, kb)
 
-    def _reported(self, now: float, h: MediaHost | None, loads: Sequence[float]) -> None:
+    def _record_loads(self, now: float, host: MediaHost | None, loads: Sequence[float]) -> None:
+        """Records the values of the fleet's load fields that came with an answer of a media host."""
         for field, value in zip(self.fleet.load_fields, loads, strict=False):
-            if h is None or not 0 <= value < math.inf:
+            if host is None or not 0 <= value < math.inf:
                 continue
             if field in ("x0", "x1") or (field == "cpu" and value < 1):
-                self._read(now, now - REPORT_AGE, h, field != "x1", value)
-
-    def _read(self, now: float, at: float, h: MediaHost, link: bool, value: float) -> None:
-        """A report: what is asked of a link (or uplink) over what it gives."""
-        if link:
-            h.told_link = value
-            self.usual += USUAL_NEWS * (min(value, 1.0) - self.usual)
-            if value - h.own_kb / h.link.cap_kb > OTHERS:
-                h.doubted = False  # others play there, so it did not just start
-        (h.link if link else h.uplink).read(now, at, value, NEWS)
-
-    def _ran_short(self, now: float, at: float, h: MediaHost, share: float) -> None:
-        """A short share tells the use of whichever of link and uplink binds.
-
-        Guards against one media host that stands still being taken for a shrunken uplink: that is blamed when
-        reported fuller than the link, or two hosts are short whose links have room (or the only one used).
+                self._record_use(now, now - LOAD_REPORT_DELAY_S, host, field != "x1", value)
+
+    def _record_use(self, now: float, at: float, host: MediaHost, is_link: bool, value: float) -> None:
+        """Records a reported use of a link, or else of an uplink."""
+        if is_link:
+            host.told_link = value
+            self.usual += TYPICAL_USE_WEIGHT * (min(value, 1.0) - self.usual)
+            if value - host.own_kb / host.link.cap_kb > WARM_HOST_USE:
+                host.doubted = False  # viewings of others play there, so it did not just start
+        (host.link if is_link else host.uplink).record_reading(now, at, value, REPORT_WEIGHT)
+
+    def _record_short_delivery(self, now: float, at: float, host: MediaHost, share: float) -> None:
+        """Records a use of 1 / share for whichever of link and uplink is the bottleneck.
+
+        One media host that stands still must not make its uplink look smaller. So the uplink is blamed only
+        when it is reported fuller than the link, when two hosts of the rack are short whose links have room,
+        or when the host is the only one of the rack in use and still delivers a fair share.
         """
-        up = h.uplink
-        rack = [x for x in h.rack if x.viewings and x.told_link < PRESSED]
-        short = sum(now - x.share_at < TOGETHER for x in rack)
-        if (self.x1 and (up.value or 0.0) > max(MARK, h.told_link)) or (
-            h in rack and (short > 1 or len(rack) == 1 and share > ALONE)
+        uplink = host.uplink
+        rack = [x for x in host.rack if x.viewings and x.told_link < STEP_DOWN_USE]
+        short_hosts = sum(now - x.share_at < UPLINK_BLAME_WINDOW_S for x in rack)
+        if (self.x1 and (uplink.value or 0.0) > max(TARGET_USE, host.told_link)) or (
+            host in rack and (short_hosts > 1 or len(rack) == 1 and share > LONE_HOST_BLAME_SHARE)
         ):
             if not self.x1:
-                up.cap_kb = max(LEAST_UPLINK * self.fleet.uplink_kb, self._rack_kb(now, h) * share)
-            up.read(now, at, 1 / share)
+                uplink.cap_kb = max(
+                    MIN_UPLINK_SHARE * self.fleet.uplink_kb, self._rack_rate_kb(now, host) * share
+                )
+            uplink.record_reading(now, at, 1 / share)
         else:
-            h.link.read(now, at, 1 / share)
-
-    def _tally(self, h: MediaHost, good: bool) -> None:
-        h.good, h.bad, h.in_a_row = h.good + good, h.bad + (not good), 0 if good else h.in_a_row + 1
-        if h.good + h.bad > HALVE_AT:
-            h.good, h.bad = h.good / 2, h.bad / 2
-
-    def _blame(self, now: float, erred: list[MediaHost]) -> None:
-        """Guards against set-ups that no media host can use: each would make all that it tries look ill. An
-        error counts when the viewing then plays elsewhere, or met a single one; two in a row are its own."""
-        for h in erred:
-            self._judge(now, h, Outcome.ERROR, False)
+            host.link.record_reading(now, at, 1 / share)
+
+    def _count_outcome(self, host: MediaHost, good: bool) -> None:
+        host.good, host.bad, host.in_a_row = (
+            host.good + good,
+            host.bad + (not good),
+            0 if good else host.in_a_row + 1,
+        )
+        if host.good + host.bad > TALLY_HALVING_COUNT:
+            host.good, host.bad = host.good / 2, host.bad / 2
+
+    def _judge_errors(self, now: float, erred: list[MediaHost]) -> None:
+        """Counts errors against the media hosts that answered with them.
+
+        A set-up that no media host can carry out would make every host that it tries look faulty. So an error
+        counts only when the viewing then plays elsewhere, or when it met a single one. Two errors in a row
+        are taken for a fault of the set-up itself.
+        """
+        for host in erred:
+            self._judge_host(now, host, Outcome.ERROR, False)
         erred.clear()
 
-    def _judge(self, now: float, h: MediaHost, code: int, was_playing: bool) -> None:
+    def _judge_host(self, now: float, host: MediaHost, code: int, was_playing: bool) -> None:
+        """Records what an outcome says of its media host, and suspends a host that fails too often."""
         if code in (Outcome.RESET, Outcome.CONNECT_FAILED):
-            # Guards against pushing over a media host that was lost and comes back before the list says so.
-            h.cold_until = max(h.cold_until, now + self.terms.warm_up)
+            # The host may have been lost and be back before the list says so. It is taken for cold, so that
+            # it is not overloaded as it comes up.
+            host.cold_until = max(host.cold_until, now + self.terms.warm_up)
         if code == Outcome.FULL:
-            # Guards against asking a full media host again and again; holds for links and for places.
-            h.link.read(now, now, max(h.told_link, self.fleet.full_from, 1.0))
-        ill = was_playing and code == Outcome.RESET
+            # Not asked again and again, whether its link is full or its places are.
+            host.link.record_reading(now, now, max(host.told_link, self.fleet.full_from, 1.0))
+        suspend = was_playing and code == Outcome.RESET
         if not was_playing and code in FAILURES:
-            self._tally(h, False)
-            usual = median(x.failing() for x in self.hosts.values())
-            ill = h.in_a_row >= IN_A_ROW or (h.good + h.bad >= 4 and h.failing() > usual + ILL)
-        if ill:
-            h.aside_until = max(h.aside_until, now + ASIDE + ASIDE_MORE * self.chance.random())
-
-    # ---- what link and uplink carry ------------------------------------------------------------------------
-
-    def use_link(self, now: float, h: MediaHost) -> float:
-        """What is asked of a link over what it gives.
-
-        Guards against reports that stay out, and a fleet of which a gateway sees little: an old reading fades
-        into the usual one, the more so the more this gateway has there, never more than the mark.
+            self._count_outcome(host, False)
+            median_share = median(x.failure_share() for x in self.hosts.values())
+            suspend = host.in_a_row >= MAX_CONSECUTIVE_FAILURES or (
+                host.good + host.bad >= 4 and host.failure_share() > median_share + FAILURE_SHARE_MARGIN
+            )
+        if suspend:
+            host.aside_until = max(
+                host.aside_until, now + SUSPENSION_S + SUSPENSION_JITTER_S * self.chance.random()
+            )
+
+    # ---- use of link and uplink ----------------------------------------------------------------------------
+
+    def link_use(self, now: float, host: MediaHost) -> float:
+        """Returns the predicted use of a media host's link.
+
+        When reports stay out, or where a gateway sees little of the fleet, an old reading fades into a guess.
+        The guess is the typical use, raised by what this gateway itself plays there, up to the target use.
         """
-        more = (h.own_kb / h.link.cap_kb + PRIOR) / (self.usual / self.gateways + PRIOR)
-        return h.link.predicted(now, lambda: min(self.usual * more, MARK), self.stale)
+        factor = (host.own_kb / host.link.cap_kb + TYPICAL_USE_PRIOR) / (
+            self.usual / self.gateways + TYPICAL_USE_PRIOR
+        )
+        return host.link.predict(now, lambda: min(self.usual * factor, TARGET_USE), self.stale)
 
-    def _rack_kb(self, now: float, h: MediaHost) -> float:
-        uses = [(self.use_link(now, x), x.link.cap_kb) for x in h.rack if x.listed]
+    def _rack_rate_kb(self, now: float, host: MediaHost) -> float:
+        """Returns the rate that the links of a host's rack together carry, in kB a second."""
+        uses = [(self.link_use(now, x), x.link.cap_kb) for x in host.rack if x.listed]
         return sum(min(use, 1 / max(use, 1.0)) * cap for use, cap in uses)
 
-    def use_uplink(self, now: float, h: MediaHost) -> float:
+    def uplink_use(self, now: float, host: MediaHost) -> float:
+        """Returns the predicted use of a media host's uplink; 0 where uplinks have no stated size."""
         if not self.fleet.uplink_kb:
             return 0.0
-        up = h.uplink
-        taught = max(0.0, 1 - max(0.0, now - up.at) / FORGET)  # of its size, by short notes
-        size = self.fleet.uplink_kb + (up.cap_kb - self.fleet.uplink_kb) * taught
-        return up.predicted(now, lambda: self._rack_kb(now, h) / size, self.stale if self.x1 else 1.0)
-
-    def _uses(self, now: float, h: MediaHost) -> tuple[float, float]:
-        """Use of link and uplink, worked out once for all that ask between two pieces of news on the rack."""
-        known = now, self.inputs, h.link.version, h.uplink.version
-        if h.uses_of != known:
-            h.uses, h.uses_of = (self.use_link(now, h), self.use_uplink(now, h)), known
-        return h.uses
+        uplink = host.uplink
+        # Weight of the size estimated from short delivery against the stated size.
+        weight = max(0.0, 1 - max(0.0, now - uplink.at) / UPLINK_ESTIMATE_EXPIRY_S)
+        size_kb = self.fleet.uplink_kb + (uplink.cap_kb - self.fleet.uplink_kb) * weight
+        return uplink.predict(
+            now, lambda: self._rack_rate_kb(now, host) / size_kb, self.stale if self.x1 else 1.0
+        )
+
+    def _current_use(self, now: float, host: MediaHost) -> tuple[float, float]:
+        """Returns the use of link and uplink, cached until the next event or change on either."""
+        key = now, self.inputs, host.link.version, host.uplink.version
+        if host.uses_of != key:
+            host.uses, host.uses_of = (self.link_use(now, host), self.uplink_use(now, host)), key
+        return host.uses
 
     # ---- decisions -----------------------------------------------------------------------------------------
 
     now = 0.0
 
     def decide(self, now: float) -> Decision | None:
-        """The next decision, already booked, or None when there is nothing to do now."""
+        """Returns the next decision, already booked, or None when there is nothing to do now."""
         self.now = now
         if self.plan is None:
             self.plan = self._decisions(now)
@@ -543,103 +669,130 @@
 
     def _decisions(self, now: float) -> Iterator[Decision]:
         if self.list_due is not None and now >= self.list_due:
-            self.list_due = now + (0.5 * self.terms.ask_within or ASK_AGAIN)
-            yield say.Subscribe()
-        # Guards against a cost that grows with all that wait: who was looked for is so again with all others,
-        # every LOOK, and what fits no rung now is found out once for all who want the same.
-        again = now >= self.look_at or len(self.waiting) <= FEW
-        due = [v for v in self.waiting.values() if again or not v.looked or now >= v.patience - EDGE]
-        self.look_at = now + LOOK if again else self.look_at
+            self.list_due = now + (0.5 * self.terms.ask_within or LIST_RETRY_S)
+            yield interface.Subscribe()
+        # The cost must not grow with the number of waiting viewings at each event. So a viewing that was
+        # tried waits for the next round every PLACEMENT_INTERVAL_S, and `full` lets a round find out only
+        # once that nothing fits viewings with the same wants.
+        full_round = now >= self.look_at or len(self.waiting) <= FEW_WAITING
+        due = [
+            v
+            for v in self.waiting.values()
+            if full_round or not v.looked or now >= v.patience - PATIENCE_MARGIN_S
+        ]
+        self.look_at = now + PLACEMENT_INTERVAL_S if full_round else self.look_at
         full: set[tuple[tuple[int, int], str]] = set()
-        for v in sorted(due, key=lambda v: (-v.package.value, v.asked_at)):
-            yield from self._place(now, v, full)
-            v.looked = now >= v.asks_until  # one that waits for a probe's answer is looked for at any news
-        # Guards against a cost that grows with the fleet: only hosts with viewings of ours are gone through.
+        for viewing in sorted(due, key=lambda v: (-v.package.value, v.asked_at)):
+            yield from self._place(now, viewing, full)
+            # A viewing that waits for the answer to a probe is placed again at any event.
+            viewing.looked = now >= viewing.asks_until
+        # Only hosts with viewings of this gateway are visited: the cost must not grow with the fleet.
         for number in sorted(self.busy):
-            h = self.busy[number]
-            if now >= h.tick_at:
-                h.tick_at = now + TICK
-                if self.must_probe and h.listed and now - h.link.at > self.stale:
-                    yield say.Probe(h.row.host)  # where load is told to those who ask only
-                yield from self._step_host(now, h)
+            host = self.busy[number]
+            if now >= host.tick_at:
+                host.tick_at = now + STEP_INTERVAL_S
+                if self.must_probe and host.listed and now - host.link.at > self.stale:
+                    yield interface.Probe(host.row.host)  # load is reported on request only
+                yield from self._step_viewings(now, host)
         if self.untold:
-            words, self.untold = self.untold[: CHANGE.size * 60], b""
-            # Guards against a price without use: the chance that others play there too is taken from its own.
+            message, self.untold = self.untold[: RATE_CHANGE.size * 60], b""
+            # A message is of use only to gateways that play on the same hosts. Its chance of being sent is
+            # the share of hosts on which this gateway itself plays.
             if self.chance.random() * len(self.hosts) < len(self.busy):
                 others = [i for i in range(self.gateways) if i != self.terms.ordinal]
-                for to in self.chance.sample(others, min(RECEIVERS, len(others))):
-                    yield say.Tell(words, to)
-
-    def _place(self, now: float, v: Viewing, full: set[tuple[tuple[int, int], str]]) -> Iterator[Decision]:
-        """Admission: the least used holder, at the highest rung under the mark, the lowest, or waiting.
-
-        `full` holds what was found to fit nowhere in this pull, where no chance or probe had a part."""
-        alike = v.cells, v.package.name
-        in_time = now < v.patience - EDGE and v.tune_ins < self.terms.tune_ins
-        until = min(v.asked_at + WAIT_PART * v.package.join_target, v.patience - EDGE)  # waits for a holder
-        may = in_time and self._has_seat_and_budget(now, v)
-        if may and (alike not in full or v.tried):
-            held = [h for h in self._holders(v.cells) if self._may_set_up_at(v, h)]
-            # Guards against a fleet that looks ill as a whole: with every holder set aside, all are used.
-            held = [h for h in held if now >= h.aside_until] or held
-            held = [h for h in held if now >= h.cold_until or not self._cold_budget_spent(now, h)]
-            late = now - 2 * self.stale
-            unread = [h for h in held if h.link.at < late]
-            holders = [h for h in held if h.link.at >= late and not self._cold_budget_spent(now, h)]
-            # Guards against gateways that know little all going to one media host, or to one that is full or
-            # stands still or just started: where they may ask, one without a reading is asked first.
-            # Guards against a viewing held to patience by holders that answer no probe, or without a reading:
-            # it asks again up to its join target, well before patience, then some are tried unread by chance.
-            latest = v.asked_at + min(v.package.join_target, WAIT_PART * v.package.patience)
-            ask = v.asks is None or not holders and v.asks_until <= now < latest
-            if self.may_ask and unread and ask and len(holders) < ENOUGH:
-                v.asks, v.asks_until = self.chance.choice(unread), now + ANSWERS
-                yield say.Probe(v.asks.row.host)
-            if v.asks in unread and now < v.asks_until:
+                for recipient in self.chance.sample(others, min(PEER_FANOUT, len(others))):
+                    yield interface.Tell(message, recipient)
+
+    def _place(
+        self, now: float, viewing: Viewing, full: set[tuple[tuple[int, int], str]]
+    ) -> Iterator[Decision]:
+        """Admits a viewing at its least used holder, leaves it waiting, or blocks or aborts it.
+
+        It gets the highest rung that fits under the rung's target use, or else its lowest. `full` collects
+        the wants (cells and package) that fit nowhere in this round, where no chance or probe had a part.
+        """
+        wants = viewing.cells, viewing.package.name
+        in_time = now < viewing.patience - PATIENCE_MARGIN_S and viewing.tune_ins < self.terms.tune_ins
+        wait_until = min(
+            viewing.asked_at + HOLDER_WAIT_SHARE * viewing.package.join_target,
+            viewing.patience - PATIENCE_MARGIN_S,
+        )
+        may_tune_in = in_time and self._has_seat_and_budget(now, viewing)
+        if may_tune_in and (wants not in full or viewing.tried):
+            candidates = [h for h in self._holders(viewing.cells) if self._may_set_up_at(viewing, h)]
+            # With every holder suspended, the fleet as a whole looks faulty and all holders are used.
+            candidates = [h for h in candidates if now >= h.aside_until] or candidates
+            candidates = [h for h in candidates if now >= h.cold_until or not self._cold_budget_spent(now, h)]
+            read_since = now - 2 * self.stale
+            unread = [h for h in candidates if h.link.at < read_since]
+            holders = [
+                h for h in candidates if h.link.at >= read_since and not self._cold_budget_spent(now, h)
+            ]
+            # Gateways that know little would otherwise all choose the same media host, or one that is full,
+            # stands still or just started. So where probes are allowed, a holder without a reading is probed
+            # first. Where no holder answers or has a reading, the viewing must not spend its patience on
+            # probes: it probes up to its join target, well before patience ends, and then some holders are
+            # tried unread, at random.
+            probe_until = viewing.asked_at + min(
+                viewing.package.join_target, HOLDER_WAIT_SHARE * viewing.package.patience
+            )
+            probe_more = viewing.asks is None or not holders and viewing.asks_until <= now < probe_until
+            if self.may_ask and unread and probe_more and len(holders) < ENOUGH_READINGS:
+                viewing.asks, viewing.asks_until = self.chance.choice(unread), now + PROBE_TIMEOUT_S
+                yield interface.Probe(viewing.asks.row.host)
+            if viewing.asks in unread and now < viewing.asks_until:
                 return
-            if v.asks is None or not holders:
+            if viewing.asks is None or not holders:
                 unread = [h for h in unread if not self._cold_budget_spent(now, h)]
-                holders += self.chance.sample(unread, min(DRAWN, len(unread)))
+                holders += self.chance.sample(unread, min(UNREAD_SAMPLE_SIZE, len(unread)))
             if holders:
-                h = min(holders, key=lambda h: (self._least_used(now, v, h), h.row.host))
-                rung = self._fitting(now, v, h)
+                host = min(holders, key=lambda h: (self._placement_cost(now, viewing, h), h.row.host))
+                rung = self._highest_fitting_rung(now, viewing, host)
                 if rung is not None:
-                    yield from self._send(now, v, h, rung)
+                    yield from self._tune_in(now, viewing, host, rung)
                     return
-            if not unread and not v.tried and v.top >= v.package.floor:
-                full.add(alike)
-        if may and now < until:
+            if not unread and not viewing.tried and viewing.top >= viewing.package.floor:
+                full.add(wants)
+        if may_tune_in and now < wait_until:
             return
-        del self.waiting[v.vw]
-        del self.viewings[v.vw]
-        if len(v.erred) == 1:
-            self._blame(now, v.erred)
-        effect, scope = v.package.effect, v.package.key_scope
-        if v.may_have_run and effect != "repeatable" and (effect, scope) != ("by_key", "all"):
-            yield say.Abort(v.vw)
+        del self.waiting[viewing.vw]
+        del self.viewings[viewing.vw]
+        if len(viewing.erred) == 1:
+            self._judge_errors(now, viewing.erred)
+        effect, scope = viewing.package.effect, viewing.package.key_scope
+        if viewing.may_have_run and effect != "repeatable" and (effect, scope) != ("by_key", "all"):
+            yield interface.Abort(viewing.vw)
         else:
-            yield say.Block(v.vw, min(1.0, self.terms.longest_advice) if self.terms.may_advise else 0.0)
-
-    def _least_used(self, now: float, v: Viewing, h: MediaHost) -> float:
-        link, up = self._uses(now, h)
-        crossing = CROSS_BIAS * self.terms.cross_price * (h.row.zone != self.terms.zone)
-        return max(link, up) + SECOND * min(link, up) + crossing + TRIED * (h.row.host in v.tried)
-
-    def _fitting(self, now: float, v: Viewing, h: MediaHost) -> int | None:
-        link, up = self._uses(now, h)
-        for rung in range(v.top, v.package.floor - 1, -1):
-            mark = v.marks[rung] if rung > v.package.floor else LOWEST_RUNG_MAX_USE
-            kb = self._rate(v, rung)
-            if link + kb / h.link.cap_kb <= mark and up + kb / h.uplink.cap_kb <= mark:
+            yield interface.Block(
+                viewing.vw, min(1.0, self.terms.longest_advice) if self.terms.may_advise else 0.0
+            )
+
+    def _placement_cost(self, now: float, viewing: Viewing, host: MediaHost) -> float:
+        """Returns the use of a holder, with penalties for crossing zones and for a previous try."""
+        link, uplink = self._current_use(now, host)
+        crossing = CROSS_ZONE_PENALTY * self.terms.cross_price * (host.row.zone != self.terms.zone)
+        return (
+            max(link, uplink)
+            + SECONDARY_USE_WEIGHT * min(link, uplink)
+            + crossing
+            + TRIED_HOST_PENALTY * (host.row.host in viewing.tried)
+        )
+
+    def _highest_fitting_rung(self, now: float, viewing: Viewing, host: MediaHost) -> int | None:
+        link, uplink = self._current_use(now, host)
+        for rung in range(viewing.top, viewing.package.floor - 1, -1):
+            limit = viewing.marks[rung] if rung > viewing.package.floor else LOWEST_RUNG_MAX_USE
+            kb = self._rate_kb(viewing, rung)
+            if link + kb / host.link.cap_kb <= limit and uplink + kb / host.uplink.cap_kb <= limit:
                 return rung
         return None
 
     def _holders(self, cells: tuple[int, int]) -> list[MediaHost]:
-        """The media hosts in service that hold what lies in these cells; kept until the list changes."""
+        """Returns the media hosts in service that hold titles of these cells, cached up to the next list."""
         held = self.holders.get(cells)
         if held is None:
             (first, spread), places = cells, self.fleet.cells
-            # A cell beyond the places holds nothing: no title's cells reach it.
+            # A cell beyond the fleet's number of cells holds nothing: the cells of no title reach it.
             held = self.holders[cells] = [
                 h
                 for h in self.hosts.values()
@@ -648,146 +801,181 @@
             ]
         return held
 
-    def _may_set_up_at(self, v: Viewing, h: MediaHost) -> bool:
-        """Rule 2: what may have run is sent again only where its package lets it."""
-        p, a = v.package, v.anchor
-        if p.effect == "repeatable" or a is None or not v.may_have_run:
+    def _may_set_up_at(self, viewing: Viewing, host: MediaHost) -> bool:
+        """Returns whether a viewing that may have run can be set up at a host (rule 2).
+
+        The effect of its package decides: repeatable, within the scope and window of its key, or once.
+        """
+        package, anchor = viewing.package, viewing.anchor
+        if package.effect == "repeatable" or anchor is None or not viewing.may_have_run:
             return True
-        if p.effect != "by_key" or self.now > v.first_at + p.key_window - EDGE:
+        if package.effect != "by_key" or self.now > viewing.first_at + package.key_window - PATIENCE_MARGIN_S:
             return False
-        same = {"all": True, "zone": h.row.zone == a.zone, "cell": h.row.cell == a.cell}
-        return same.get(p.key_scope, False)
-
-    def _has_seat_and_budget(self, now: float, v: Viewing) -> bool:
-        """Rules 5 and 6: a seat is free, and a further tune-in is within the budget."""
-        p, t = v.package, self.terms
-        if p.seats > 0:
-            held = [x for x in self.viewings.values() if x.out or x.playing]
-            if sum((x.title, x.package) == (v.title, p) for x in held) >= p.seats:
+        same = {"all": True, "zone": host.row.zone == anchor.zone, "cell": host.row.cell == anchor.cell}
+        return same.get(package.key_scope, False)
+
+    def _has_seat_and_budget(self, now: float, viewing: Viewing) -> bool:
+        """Returns whether a seat is free and a further tune-in is within the budget (rules 5 and 6)."""
+        package, terms = viewing.package, self.terms
+        if package.seats > 0:
+            seated = [x for x in self.viewings.values() if x.out or x.playing]
+            if sum((x.title, x.package) == (viewing.title, package) for x in seated) >= package.seats:
                 return False
-        if v.tune_ins and t.extra_free is not None:
+        if viewing.tune_ins and terms.extra_free is not None:
             for times in (self.asked_times, self.extra_times):
-                while times and times[0] <= now - t.extra_window:
+                while times and times[0] <= now - terms.extra_window:
                     times.popleft()
-            return len(self.extra_times) + 1 <= t.extra_free + t.extra_ratio * len(self.asked_times)
+            return len(self.extra_times) + 1 <= terms.extra_free + terms.extra_ratio * len(self.asked_times)
         return True
 
-    def _cold_budget_spent(self, now: float, h: MediaHost) -> bool:
-        """Rule 4: a cold media host gets this gateway's part of its budget, as if all others sent theirs."""
-        if now >= h.cold_until and not (h.doubted and now < self.doubts_until):
+    def _cold_budget_spent(self, now: float, host: MediaHost) -> bool:
+        """Returns whether a host is cold and got this gateway's part of its budget (rule 4).
+
+        The parts are such that the budget holds even when all gateways use theirs in full.
+        """
+        if now >= host.cold_until and not (host.doubted and now < self.doubts_until):
             return False
-        former = h.cold_until - self.terms.warm_up < self.started and self.doubts_until > now
-        if former and now < min(h.cold_until, self.started + self.terms.fall_after):
-            # Guards against sending twice what a former life of this gateway sent there a moment ago.
+        before_restart = host.cold_until - self.terms.warm_up < self.started and self.doubts_until > now
+        if before_restart and now < min(host.cold_until, self.started + self.terms.fall_after):
+            # This gateway may have sent its part there a moment ago, just before it restarted.
             return True
-        slots = (self.fleet.slots or {}).get(h.row.kind) or min((self.fleet.slots or {"": 1}).values())
-        # Guards against a site whose part comes to less than a set-up: one in a window is within chance.
+        slots = (self.fleet.slots or {}).get(host.row.kind) or min((self.fleet.slots or {"": 1}).values())
+        # On small sites the budget comes to less than one set-up. One in a window is allowed all the same.
         budget, n = max(1, int(self.cold_budget * slots)), self.gateways
-        mine = budget // n + ((self.terms.ordinal - h.mark) % n < budget % n)
-        while h.sent and h.sent[0] < now - self.terms.fall_after - 0.1:
-            h.sent.popleft()
-        return len(h.sent) >= mine
-
-    def _send(self, now: float, v: Viewing, h: MediaHost, rung: int) -> Iterator[Decision]:
-        """The one gate that every tune-in passes."""
-        holds = h in self._holders(v.cells) and self._may_set_up_at(v, h)
-        may = holds and not self._cold_budget_spent(now, h) and self._has_seat_and_budget(now, v)
-        if v.out or v.playing or not may:
+        own_part = budget // n + ((self.terms.ordinal - host.mark) % n < budget % n)
+        while host.sent and host.sent[0] < now - self.terms.fall_after - 0.1:
+            host.sent.popleft()
+        return len(host.sent) >= own_part
+
+    def _tune_in(self, now: float, viewing: Viewing, host: MediaHost, rung: int) -> Iterator[Decision]:
+        """Sends a viewing to a media host. Every tune-in passes here, and rules 2 to 6 are checked again."""
+        holds = host in self._holders(viewing.cells) and self._may_set_up_at(viewing, host)
+        allowed = holds and not self._cold_budget_spent(now, host) and self._has_seat_and_budget(now, viewing)
+        if viewing.out or viewing.playing or not allowed:
             return
-        if rung != v.rung or v.tune_ins == 0:
-            v.rung = rung
-            yield say.SetRung(v.vw, rung)
-        if not v.tune_ins:
-            v.first_at = now
+        if rung != viewing.rung or viewing.tune_ins == 0:
+            viewing.rung = rung
+            yield interface.SetRung(viewing.vw, rung)
+        if not viewing.tune_ins:
+            viewing.first_at = now
         elif self.terms.extra_free is not None:
             self.extra_times.append(now)
-        left = v.patience - EDGE - now
-        within = left if v.package.effect == "once" else min(self._time_out(v), left)
-        self.waiting.pop(v.vw, None)
-        v.out, v.host = True, h
-        v.tune_ins += 1
-        v.tried.append(h.row.host)
-        v.anchor = v.anchor or h.row
-        h.viewings[v.vw] = v
-        self.busy[h.number] = h
-        h.sent.append(now)
-        v.sent_at = now
-        self._load(now, v, rung)
-        yield say.TuneIn(v.vw, h.row.host, max(within, 0.001))
+        left = viewing.patience - PATIENCE_MARGIN_S - now
+        within = left if viewing.package.effect == "once" else min(self._tune_in_timeout(viewing), left)
+        self.waiting.pop(viewing.vw, None)
+        viewing.out, viewing.host = True, host
+        viewing.tune_ins += 1
+        viewing.tried.append(host.row.host)
+        viewing.anchor = viewing.anchor or host.row
+        host.viewings[viewing.vw] = viewing
+        self.busy[host.number] = host
+        host.sent.append(now)
+        viewing.sent_at = now
+        self._book_rate(now, viewing, rung)
+        yield interface.TuneIn(viewing.vw, host.row.host, max(within, 0.001))
 
     def confirm_delayed_send(self, now: float, viewing_id: int) -> bool:
-        """Whether a tune-in that was held up on its way may leave now (else it is moot); books it as of now.
+        """Returns whether a tune-in that was delayed on its way may still be sent, and books it as of now.
 
-        Guards against news that overtook it: its media host drains, or started anew and bears little."""
-        v = self.viewings.get(viewing_id)
-        if v is None or v.host is None or not v.out or v.gone or not v.host.listed:
+        Meanwhile its media host may have begun to drain, or have restarted and be cold.
+        """
+        viewing = self.viewings.get(viewing_id)
+        if (
+            viewing is None
+            or viewing.host is None
+            or not viewing.out
+            or viewing.gone
+            or not viewing.host.listed
+        ):
             return False
-        if v.sent_at in v.host.sent:
-            v.host.sent.remove(v.sent_at)
-        if self._cold_budget_spent(now, v.host):
+        if viewing.sent_at in viewing.host.sent:
+            viewing.host.sent.remove(viewing.sent_at)
+        if self._cold_budget_spent(now, viewing.host):
             return False
-        v.sent_at = now
-        v.host.sent.append(now)
+        viewing.sent_at = now
+        viewing.host.sent.append(now)
         return True
 
-    def _time_out(self, v: Viewing) -> float:
+    def _tune_in_timeout(self, viewing: Viewing) -> float:
+        """Returns the time-out of a tune-in, in seconds, from the histogram of set-up times."""
         total = sum(self.took)
-        seen = zip((*BINS, math.inf), accumulate(self.took), strict=True)
-        edge = next(edge for edge, n in seen if n >= LATE[0] * total)
-        within = edge * LATE[1] if total >= MIN_SEEN else UNKNOWN
-        return min(max(MIN_TIMEOUT_S, within), LONGEST * v.package.join_target)
+        cumulative = zip((*SETUP_TIME_BINS_S, math.inf), accumulate(self.took), strict=True)
+        edge = next(edge for edge, count in cumulative if count >= TIMEOUT_QUANTILE * total)
+        timeout = edge * TIMEOUT_FACTOR if total >= MIN_SETUPS_SEEN else INITIAL_TIMEOUT_S
+        return min(max(MIN_TIMEOUT_S, timeout), MAX_TIMEOUT_JOIN_TARGETS * viewing.package.join_target)
 
-    def _step_host(self, now: float, h: MediaHost) -> Iterator[Decision]:
-        """The mechanism, one viewing after the other, and by chance no more than this gateway's part.
+    def _step_viewings(self, now: float, host: MediaHost) -> Iterator[Decision]:
+        """Steps the viewings at a media host one after the other, up to this gateway's part of the change.
 
-        Guards against all gateways stepping at once on the same news: each changes rates by its part of what
-        brings link and uplink to the mark, which chance rounds to whole steps.
+        All gateways see the same reports, so together they would step too far. Each therefore changes its
+        rates by its own part of what brings link and uplink to the target use. A random draw rounds the part
+        to whole steps.
         """
-        playing = [v for v in h.viewings.values() if v.playing and not v.gone]
-        use = max(*self._uses(now, h), 1e-9)
-        part, dice = h.own_kb * abs(MARK / use - 1), self.chance.random()
-        if h.short and now - h.share_at < SHORT_FOR:
-            part *= HASTE
-        sign, down = (1, 1) if use > MARK else (-1, 0)  # the cheapest give way first
-        worths = [(sign * (v.worths[v.rung - down] if v.rung >= down else 1e9), v.vw, v) for v in playing]
-        for _, _, v in sorted(worths):
-            rung = self._step(now, v, h)
-            if rung == v.rung:
+        playing = [v for v in host.viewings.values() if v.playing and not v.gone]
+        use = max(*self._current_use(now, host), 1e-9)
+        part, draw = host.own_kb * abs(TARGET_USE / use - 1), self.chance.random()
+        if host.short and now - host.share_at < SHORT_DELIVERY_EXPIRY_S:
+            part *= SHORT_DELIVERY_STEP_FACTOR
+        # Above the target the steps that earn least a kB are given up first, below it those that earn most
+        # are taken first.
+        sign, down = (1, 1) if use > TARGET_USE else (-1, 0)
+        by_worth = [(sign * (v.worths[v.rung - down] if v.rung >= down else 1e9), v.vw, v) for v in playing]
+        for _, _, viewing in sorted(by_worth):
+            rung = self._next_rung(now, viewing, host)
+            if rung == viewing.rung:
                 continue
-            change = abs(self._rate(v, rung) - self._rate(v, v.rung))
-            if change and dice * change <= part:
+            change = abs(self._rate_kb(viewing, rung) - self._rate_kb(viewing, viewing.rung))
+            if change and draw * change <= part:
                 part -= change
-                self._load(now, v, rung)
-                v.hold_until = now + HOLD
-                yield say.SetRung(v.vw, rung)
-
-    def _step(self, now: float, v: Viewing, h: MediaHost) -> int:
-        """EDRA for one viewing: measure, estimate, bounds, then a rung at most (to the measure if short)."""
-        link, up = self._uses(now, h)
-        rate = self._rate(v, v.rung)
-        share = 1 / max(link, up, 1e-9) if h.short and now - h.share_at < SHORT_FOR else 1.0
-        if share < SHORT:
+                self._book_rate(now, viewing, rung)
+                viewing.hold_until = now + HOLD_S
+                yield interface.SetRung(viewing.vw, rung)
+
+    def _next_rung(self, now: float, viewing: Viewing, host: MediaHost) -> int:
+        """Returns the rung of a viewing by the EDRA mechanism: measure, estimate, bounds, then a step.
+
+        A step is one rung at most, but for short delivery: then it goes down to what the measure carries.
+        """
+        link, uplink = self._current_use(now, host)
+        rate = self._rate_kb(viewing, viewing.rung)
+        share = (
+            1 / max(link, uplink, 1e-9)
+            if host.short and now - host.share_at < SHORT_DELIVERY_EXPIRY_S
+            else 1.0
+        )
+        if share < SHORT_DELIVERY_SHARE:
             measure = rate * share
         else:
-            mark = v.marks[min(v.rung + 1, v.top)]
-            on_link = (mark - link if link < mark else min(0.0, PRESSED - link)) * h.link.cap_kb
-            on_uplink = (mark - up if up < mark else min(0.0, PRESSED - up)) * h.uplink.cap_kb
-            measure = max(0.0, rate + min(on_link, on_uplink))
-        v.estimate = (NEW * measure + OLD * v.estimate) / (NEW + OLD)
-        below = self._below(v, measure)
-        if measure > v.last:
-            if measure >= self._rate(v, v.high):
-                v.high, v.low = below, min(v.low + 1, below)
-        elif measure < self._rate(v, v.low):
-            v.high, v.low = below, max(below - 2, v.package.floor)
-        v.last = measure
-        if share < SHORT:
-            return min(v.rung, below)
-        if now < v.hold_until or h.link.value is None and now < self.started + self.stale:
-            return v.rung
-        aim = max(v.low, min(v.high, self._below(v, v.estimate)))
-        step = v.rung + (aim > v.rung) - (aim < v.rung)
-        return max(v.package.floor, min(v.top, step)) if v.package.floor <= v.top else v.rung
-
-    def _below(self, v: Viewing, kb: float) -> int:
-        return max(v.package.floor, min(v.top, bisect_right(v.rates, kb) - 1))
+            target = viewing.marks[min(viewing.rung + 1, viewing.top)]
+            link_room = (
+                target - link if link < target else min(0.0, STEP_DOWN_USE - link)
+            ) * host.link.cap_kb
+            uplink_room = (
+                target - uplink if uplink < target else min(0.0, STEP_DOWN_USE - uplink)
+            ) * host.uplink.cap_kb
+            measure = max(0.0, rate + min(link_room, uplink_room))
+        viewing.estimate = (MEASURE_WEIGHT * measure + ESTIMATE_WEIGHT * viewing.estimate) / (
+            MEASURE_WEIGHT + ESTIMATE_WEIGHT
+        )
+        carried = self._rung_within(viewing, measure)
+        if measure > viewing.last:
+            if measure >= self._rate_kb(viewing, viewing.high):
+                viewing.high, viewing.low = carried, min(viewing.low + 1, carried)
+        elif measure < self._rate_kb(viewing, viewing.low):
+            viewing.high, viewing.low = carried, max(carried - 2, viewing.package.floor)
+        viewing.last = measure
+        if share < SHORT_DELIVERY_SHARE:
+            return min(viewing.rung, carried)
+        if now < viewing.hold_until or host.link.value is None and now < self.started + self.stale:
+            return viewing.rung
+        aim = max(viewing.low, min(viewing.high, self._rung_within(viewing, viewing.estimate)))
+        step = viewing.rung + (aim > viewing.rung) - (aim < viewing.rung)
+        return (
+            max(viewing.package.floor, min(viewing.top, step))
+            if viewing.package.floor <= viewing.top
+            else viewing.rung
+        )
+
+    def _rung_within(self, viewing: Viewing, kb: float) -> int:
+        """Returns the highest rung whose rate is within `kb` a second, between the floor and the top."""
+        return max(viewing.package.floor, min(viewing.top, bisect_right(viewing.rates, kb) - 1))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,6 @@
 """A host in miniature that carries out decisions and checks the six rules at every step."""
 
-from ledgehitch import interface as say
+from ledgehitch import interface
 from ledgehitch.brain import Gateway
 from ledgehitch.interface import Decision, Fleet, Ladder, Package, Row, Terms
 
@@ -85,14 +85,14 @@
 
     def check(self, now: float, decision: Decision) -> None:
         match decision:
-            case say.SetRung(viewing_id, rung):
+            case interface.SetRung(viewing_id, rung):
                 package, _, _, top = (
                     self.open[viewing_id] if viewing_id in self.open else self.known[viewing_id]
                 )
                 assert package.floor <= rung <= top, "rule 5: floor, and the viewer's top"
-            case say.TuneIn(viewing_id, host, within):
+            case interface.TuneIn(viewing_id, host, within):
                 self.tune_in(now, viewing_id, host, within)
-            case say.Block(viewing_id, stay_away):
+            case interface.Block(viewing_id, stay_away):
                 package = self.open.pop(viewing_id)[0]
                 assert viewing_id not in self.out, "rule 1: no answer while a tune-in is out"
                 assert (
@@ -101,7 +101,7 @@
                     or (package.effect == "by_key" and package.key_scope == "all")
                 ), "rule 2: refused only if it never ran"
                 assert stay_away <= self.terms.longest_advice
-            case say.Abort(viewing_id):
+            case interface.Abort(viewing_id):
                 del self.open[viewing_id]
                 assert viewing_id not in self.out
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -5,8 +5,7 @@
 
 import pytest
 
-from ledgehitch import brain
-from ledgehitch import interface as say
+from ledgehitch import brain, interface
 from ledgehitch.brain import Gateway, Viewing
 from ledgehitch.interface import Outcome
 from ledgehitch.simhost.wire import main
@@ -24,18 +23,18 @@
 
 def step(gw: Gateway, v: Viewing, link: float, uplink: float = 0.0) -> int:
     assert v.host is not None
-    v.host.link.read(NOW, NOW, link)
-    v.host.uplink.read(NOW, NOW, uplink)
-    return gw._step(NOW, v, v.host)
+    v.host.link.record_reading(NOW, NOW, link)
+    v.host.uplink.record_reading(NOW, NOW, uplink)
+    return gw._next_rung(NOW, v, v.host)
 
 
 def test_estimate_is_three_parts_measure_and_eight_parts_old() -> None:
     gw = gateway()
     v = playing(gw)
-    step(gw, v, brain.MARK)
+    step(gw, v, brain.TARGET_USE)
     assert v.estimate == pytest.approx(200.0)
     v.estimate = 90.0
-    step(gw, v, brain.MARK)
+    step(gw, v, brain.TARGET_USE)
     assert v.estimate == pytest.approx((3 * 200 + 8 * 90) / 11)
 
 
@@ -69,9 +68,9 @@
     pulled(gw, NOW)
     gw.hosts["h0"].tick_at = NOW + 9
     gw.on_report(NOW, 1, "h0", 1, 0.2)
-    assert gw.wake_at() == NOW and any(isinstance(d, say.SetRung) for d in pulled(gw, NOW))
+    assert gw.wake_at() == NOW and any(isinstance(d, interface.SetRung) for d in pulled(gw, NOW))
     gw.on_report(NOW + 1, 1, "h0", 1, 0.2)
-    assert gw.wake_at() == NOW + brain.TICK
+    assert gw.wake_at() == NOW + brain.STEP_INTERVAL_S
 
 
 def test_hold_keeps_the_rung() -> None:
@@ -86,35 +85,35 @@
     gw = gateway()
     ask(gw, NOW, 1)
     h = gw.hosts["h0"]
-    h.link.read(NOW, NOW, link)
+    h.link.record_reading(NOW, NOW, link)
     h.link.cap_kb = 1000.0
-    assert gw._fitting(NOW, gw.viewings[1], h) == rung
+    assert gw._highest_fitting_rung(NOW, gw.viewings[1], h) == rung
 
 
 def test_least_used_holder_takes_it_and_the_set_up_counts_at_once() -> None:
     gw = gateway()
     for name, h in gw.hosts.items():
-        h.link.read(NOW, NOW, 0.1 if name == "h4" else 0.5)
+        h.link.record_reading(NOW, NOW, 0.1 if name == "h4" else 0.5)
     ask(gw, NOW, 1)
-    assert [d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn)] == ["h4"]
-    assert gw.use_link(NOW, gw.hosts["h4"]) == pytest.approx(0.5)
+    assert [d.host for d in pulled(gw, NOW) if isinstance(d, interface.TuneIn)] == ["h4"]
+    assert gw.link_use(NOW, gw.hosts["h4"]) == pytest.approx(0.5)
 
 
 def test_nothing_fits_waits_briefly_then_blocks() -> None:
     gw = gateway()
     ask(gw, NOW, 1, spread=0)
     assert pulled(gw, NOW) == []
-    assert pulled(gw, NOW + 0.4) == [say.Block(1, 0.0)]
+    assert pulled(gw, NOW + 0.4) == [interface.Block(1, 0.0)]
 
 
 def test_replacement_first_seen_is_cold_from_its_start() -> None:
     gw = gateway()
-    new = say.Row("new", 0, 2.0, "k", "a", "in_service", NOW - 1)
+    new = interface.Row("new", 0, 2.0, "k", "a", "in_service", NOW - 1)
     gw.on_host_list(NOW, "incr", [new])
     gw.hosts["h0"].listed = False
     for viewing_id in range(9):
         ask(gw, NOW, viewing_id, spread=1)
-    sent = [d for d in pulled(gw, NOW) if isinstance(d, say.TuneIn)]
+    sent = [d for d in pulled(gw, NOW) if isinstance(d, interface.TuneIn)]
     assert 1 <= len(sent) <= 4, "budget of 6 in two seconds for all gateways, and this is one of two"
 
 
@@ -124,7 +123,7 @@
         gw = gateway(terms=replace(TERMS, gateways=100, ordinal=ordinal))
         gw.on_host_list(NOW, "total", started)
         ask(gw, NOW + ordinal * 0.019, ordinal, spread=1)
-        sent += sum(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + ordinal * 0.019))
+        sent += sum(isinstance(d, interface.TuneIn) for d in pulled(gw, NOW + ordinal * 0.019))
     assert 1 <= sent <= TERMS.fall_multiple * TERMS.cold_share * 30 / TERMS.warm_up * TERMS.fall_after
 
 
@@ -133,31 +132,31 @@
     fleet = replace(FLEET, slots={"k": 4000}, link_unit_kb=1e9, uplink_kb=1e12)
     terms = replace(TERMS, gateways=1)
     gw = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
-    gw.on_host_list(NOW, "incr", [say.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
+    gw.on_host_list(NOW, "incr", [interface.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
     limit, sent = terms.fall_multiple * terms.cold_share * 4000 / terms.warm_up * terms.fall_after, 0
     for viewing_id in range(1200):
         ask(gw, NOW + viewing_id * 0.001, viewing_id)
-        sent += sum(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + viewing_id * 0.001))
+        sent += sum(isinstance(d, interface.TuneIn) for d in pulled(gw, NOW + viewing_id * 0.001))
     assert 512 < sent <= limit < 1000
 
 
-@pytest.mark.parametrize("cell", [say.UNPLACED, 99])
+@pytest.mark.parametrize("cell", [interface.UNPLACED, 99])
 def test_a_row_of_unknown_place_kind_and_zone_harms_no_other_host(cell: int) -> None:
     """Once it counted as holder of whatever its cell came to, and on the uplink of a rack not its own."""
     gw = gateway()
-    odd = say.Row("odd", cell, 2.0, "nobody-knows", "nowhere", "in_service", NOW - 1)
+    odd = interface.Row("odd", cell, 2.0, "nobody-knows", "nowhere", "in_service", NOW - 1)
     gw.on_host_list(NOW, "incr", [odd])
     for viewing_id in range(12):
         ask(gw, NOW, viewing_id)
-    sent = [d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn)]
+    sent = [d.host for d in pulled(gw, NOW) if isinstance(d, interface.TuneIn)]
     assert len(sent) == 12 and "odd" not in sent
-    if cell == say.UNPLACED:
+    if cell == interface.UNPLACED:
         assert all("odd" not in [h.row.host for h in rack] for _, rack in gw.racks)
     everywhere = gateway(fleet=replace(FLEET, cells=0))
     everywhere.on_host_list(NOW, "total", [odd])
     for viewing_id in range(40):
         ask(everywhere, NOW, viewing_id)
-    held = sum(isinstance(d, say.TuneIn) for d in pulled(everywhere, NOW))
+    held = sum(isinstance(d, interface.TuneIn) for d in pulled(everywhere, NOW))
     assert 1 <= held <= 3, "an unknown kind has the smallest budget: 30 places, 6 in two seconds, one of two"
 
 
@@ -166,50 +165,54 @@
     for viewing_id, host in enumerate(["h0", "h2", "h4"]):
         playing(gw, viewing_id, host=host)
     gw.on_report(NOW, 0, "h0", 1, 0.1)
-    assert gw.use_uplink(NOW, gw.hosts["h2"]) < 0.5 < 1.0 < gw.use_link(NOW, gw.hosts["h0"])
+    assert gw.uplink_use(NOW, gw.hosts["h2"]) < 0.5 < 1.0 < gw.link_use(NOW, gw.hosts["h0"])
     gw.on_report(NOW, 1, "h2", 1, 0.6)
     gw.on_report(NOW, 2, "h4", 1, 0.6)
-    assert gw.use_uplink(NOW, gw.hosts["h2"]) > 1.0
+    assert gw.uplink_use(NOW, gw.hosts["h2"]) > 1.0
 
 
 def test_old_reading_fades_so_that_a_full_host_is_tried_again() -> None:
     gw = gateway()
     h = gw.hosts["h0"]
-    h.link.read(NOW, NOW, 3.0)
-    assert gw.use_link(NOW + 1, h) > 2 and gw.use_link(NOW + 60, h) <= brain.MARK
+    h.link.record_reading(NOW, NOW, 3.0)
+    assert gw.link_use(NOW + 1, h) > 2 and gw.link_use(NOW + 60, h) <= brain.TARGET_USE
 
 
 def test_end_of_a_short_spell_does_not_make_an_unknown_uplink_look_empty() -> None:
     gw = gateway()
     playing(gw)
-    before = gw.use_uplink(NOW, gw.hosts["h0"])
+    before = gw.uplink_use(NOW, gw.hosts["h0"])
     gw.on_report(NOW, 1, "h0", 1, 0.9)
     gw.on_report(NOW, 1, "h0", 1, 1.0)
-    assert gw.hosts["h0"].uplink.value != 0.0 and gw.use_uplink(NOW, gw.hosts["h0"]) >= before
+    assert gw.hosts["h0"].uplink.value != 0.0 and gw.uplink_use(NOW, gw.hosts["h0"]) >= before
 
 
 def test_full_host_is_passed_over_and_all_holders_set_aside_are_used() -> None:
     gw = gateway(hosts=2)
     ask(gw, NOW, 1)
-    first = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
+    first = next(d.host for d in pulled(gw, NOW) if isinstance(d, interface.TuneIn))
     gw.on_tune_in_end(NOW, 1, False, Outcome.FULL, first, 0.01, 0)
-    second = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
+    second = next(d.host for d in pulled(gw, NOW) if isinstance(d, interface.TuneIn))
     assert {first, second} == {"h0", "h1"}
     for h in gw.hosts.values():
         h.aside_until = NOW + 50
-        h.link.read(NOW, NOW, 0.1)
+        h.link.record_reading(NOW, NOW, 0.1)
     ask(gw, NOW, 2)
-    assert any(isinstance(d, say.TuneIn) for d in pulled(gw, NOW))
+    assert any(isinstance(d, interface.TuneIn) for d in pulled(gw, NOW))
 
 
 def test_peer_words_count_on_link_and_odd_ones_are_passed_over() -> None:
     gw = gateway()
     for h in gw.hosts.values():
-        h.link.read(NOW - 1, NOW - 1, 0.2)
-    gw.on_peer_message(NOW, brain.CHANGE.pack(gw.hosts["h2"].mark, 400))
-    for odd in (b"\x00\x01\x02", brain.CHANGE.pack(gw.hosts["h2"].mark, 30000), brain.CHANGE.pack(0, 9)):
+        h.link.record_reading(NOW - 1, NOW - 1, 0.2)
+    gw.on_peer_message(NOW, brain.RATE_CHANGE.pack(gw.hosts["h2"].mark, 400))
+    for odd in (
+        b"\x00\x01\x02",
+        brain.RATE_CHANGE.pack(gw.hosts["h2"].mark, 30000),
+        brain.RATE_CHANGE.pack(0, 9),
+    ):
         gw.on_peer_message(NOW, odd)
-    assert sum(gw.use_link(NOW, h) for h in gw.hosts.values()) == pytest.approx(6 * 0.2 + 0.2)
+    assert sum(gw.link_use(NOW, h) for h in gw.hosts.values()) == pytest.approx(6 * 0.2 + 0.2)
 
 
 def test_few_words_go_out_where_others_hardly_play_on_the_same_media_hosts() -> None:
@@ -218,7 +221,7 @@
         gw = gateway(terms=replace(TERMS, gateways=9, ordinal=4), fleet=fleet, hosts=hosts)
         for i in range(40):
             ask(gw, NOW + i, i)
-            told += [(hosts, d.recipient) for d in pulled(gw, NOW + i) if isinstance(d, say.Tell)]
+            told += [(hosts, d.recipient) for d in pulled(gw, NOW + i) if isinstance(d, interface.Tell)]
             gw.on_tune_in_end(NOW + i, i, True, Outcome.CANCELLED, gw.viewings[i].tried[0], 0.1, 0)
     assert all(to != 4 for _, to in told)
     assert sum(hosts == 100 for hosts, _ in told) < 10 < sum(hosts == 2 for hosts, _ in told)
@@ -230,7 +233,7 @@
         gw = Gateway(seed, 100.0, LADDER, (PLAIN,), replace(FLEET, cells=12), TERMS)
         gw.on_host_list(100.0, "warm_copy", rows(12))
         ask(gw, NOW, 1, spread=12)
-        taken |= {d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn)}
+        taken |= {d.host for d in pulled(gw, NOW) if isinstance(d, interface.TuneIn)}
     assert len(taken) > 4
 
 
@@ -260,7 +263,7 @@
     gw.on_viewing_request(
         NOW, 2, "plain", "t1", 0, 0, 3, NOW + 1.9
     )  # no holder, and the viewer asked 1.1 s ago
-    assert pulled(gw, NOW) == [say.Block(1, 0.0), say.Block(2, 0.0)]
+    assert pulled(gw, NOW) == [interface.Block(1, 0.0), interface.Block(2, 0.0)]
     gw.on_viewing_handover(NOW, 3, "plain", "t1", 0, 6, 3, "h0")
     assert len(pulled(gw, NOW + 30.0)) <= 2, "one look, however late the timer"
 
@@ -281,24 +284,24 @@
     for i in range(4):
         gw.on_host_list(NOW + i, "incr", rows(300, "terminated"))
         ask(gw, NOW + i, i)
-        assert not any(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + i))
+        assert not any(isinstance(d, interface.TuneIn) for d in pulled(gw, NOW + i))
         gw.on_host_list(NOW + i + 0.9, "total", rows(300, started=NOW + i + 0.5))
     ask(gw, NOW + 20, 99)
-    assert any(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + 20))
+    assert any(isinstance(d, interface.TuneIn) for d in pulled(gw, NOW + 20))
 
 
 def test_no_gateways_told_counts_as_one_and_without_a_budget_no_times_are_kept() -> None:
     gw = gateway(terms=replace(TERMS, gateways=0))
     ask(gw, NOW, 1)
-    assert any(isinstance(d, say.TuneIn) for d in pulled(gw, NOW))
+    assert any(isinstance(d, interface.TuneIn) for d in pulled(gw, NOW))
     assert not gw.asked_times
 
 
 def test_lost_list_is_asked_for_again() -> None:
-    gw = gateway(terms=say.Terms(on_request=True, ask_within=10.0))
-    assert pulled(gw, 100.0) == [say.Subscribe()]
+    gw = gateway(terms=interface.Terms(on_request=True, ask_within=10.0))
+    assert pulled(gw, 100.0) == [interface.Subscribe()]
     gw.on_host_list(100.1, "lost", [])
-    assert pulled(gw, 100.2) == [] and pulled(gw, 103.0) == [say.Subscribe()]
+    assert pulled(gw, 100.2) == [] and pulled(gw, 103.0) == [interface.Subscribe()]
     gw.on_host_list(103.1, "incr", rows())
     assert pulled(gw, 150.0) == []
 
@@ -309,7 +312,7 @@
     waits = []
     for seed in range(50):
         gw = Gateway(seed, NOW, LADDER, (PLAIN,), FLEET, replace(TERMS, on_request=True, ask_within=within))
-        assert pulled(gw, NOW) == [say.Subscribe()]
+        assert pulled(gw, NOW) == [interface.Subscribe()]
         gw.on_host_list(NOW, "incr", rows())
         gw.on_host_list(NOW, "lost", [])
         due = gw.wake_at()
@@ -358,19 +361,19 @@
     gw = gateway(terms=replace(TERMS, may_probe=True))
     ask(gw, NOW, 1)
     probe = pulled(gw, NOW)
-    assert [type(d) for d in probe] == [say.Probe]
-    assert isinstance(probe[0], say.Probe)
+    assert [type(d) for d in probe] == [interface.Probe]
+    assert isinstance(probe[0], interface.Probe)
     gw.on_probe_result(NOW + 0.02, probe[0].host, 10, 0.02, [3, 0.1])
-    assert [d.host for d in pulled(gw, NOW + 0.02) if isinstance(d, say.TuneIn)] == [probe[0].host]
+    assert [d.host for d in pulled(gw, NOW + 0.02) if isinstance(d, interface.TuneIn)] == [probe[0].host]
     ask(gw, NOW + 1, 2)
-    assert [type(d) for d in pulled(gw, NOW + 1)] == [say.Probe]
-    assert any(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + 1.2))
+    assert [type(d) for d in pulled(gw, NOW + 1)] == [interface.Probe]
+    assert any(isinstance(d, interface.TuneIn) for d in pulled(gw, NOW + 1.2))
 
 
 def test_a_join_target_as_long_as_patience_lets_nobody_ask_until_patience_ends() -> None:
     gw = gateway(replace(PLAIN, join_target=3.0), replace(TERMS, may_probe=True, may_tell=False))
     ask(gw, 200.0, 1)
-    first = next(t for t in range(300) for d in pulled(gw, 200 + t / 100) if isinstance(d, say.TuneIn))
+    first = next(t for t in range(300) for d in pulled(gw, 200 + t / 100) if isinstance(d, interface.TuneIn))
     assert 20 < first <= 0.4 * 300 + 11, "asks again, and then tries one with time left to come to play"
 
 
@@ -384,13 +387,15 @@
             gw.on_tune_in_end(now, 1, False, Outcome.TIMEOUT, out[0].host, out[0].within, tried - 1)
             out = None
         for decision in pulled(gw, now):
-            if isinstance(decision, say.TuneIn):
+            if isinstance(decision, interface.TuneIn):
                 out, tried = (decision, now + decision.within), tried + 1
                 assert tried > 1 or now <= 200.0 + PLAIN.join_target + 0.11, "nobody is asked for longer"
-            asks += isinstance(decision, say.Probe)
-            answer = decision if isinstance(decision, say.Block) else answer
+            asks += isinstance(decision, interface.Probe)
+            answer = decision if isinstance(decision, interface.Block) else answer
         now += 0.01
-    assert answer == say.Block(1, 0.5) and now < 202.5, "blocked at once after the last try, with advice"
+    assert answer == interface.Block(1, 0.5) and now < 202.5, (
+        "blocked at once after the last try, with advice"
+    )
     assert tried == TERMS.tune_ins and 1 <= asks <= 9
 
 
@@ -411,8 +416,8 @@
     gw = gateway(terms=replace(TERMS, may_probe=True, may_tell=False), fleet=fleet)
     ask(gw, 200.0, 1)
     decisions = pulled(gw, 200.0)
-    assert sum(isinstance(d, say.Probe) for d in decisions) == asks
-    assert sum(isinstance(d, say.TuneIn) for d in decisions) == 1 - asks
+    assert sum(isinstance(d, interface.Probe) for d in decisions) == asks
+    assert sum(isinstance(d, interface.TuneIn) for d in decisions) == 1 - asks
 
 
 def test_restarted_gateway_asks_a_doubted_host_and_uses_it_once_others_are_seen_to_play_there() -> None:
@@ -420,34 +425,38 @@
     ask(gw, 100.0, 1)
     for at, use in ((100.0, 0.0), (100.11, 0.5)):
         (probe,) = pulled(gw, at)
-        assert isinstance(probe, say.Probe)
+        assert isinstance(probe, interface.Probe)
         gw.on_probe_result(at + 0.02, probe.host, 10, 0.02, [9, use])
-        assert any(isinstance(d, say.TuneIn) for d in pulled(gw, at + 0.02)) == (use > brain.OTHERS)
+        assert any(isinstance(d, interface.TuneIn) for d in pulled(gw, at + 0.02)) == (
+            use > brain.WARM_HOST_USE
+        )
 
 
 def test_pull_only_sites_are_probed_where_viewings_play() -> None:
-    fleet = say.Fleet(cells=6, racks=2, link_unit_kb=1000, reports="pull", told_every=1.0)
-    gw = gateway(terms=say.Terms(may_probe=True), fleet=fleet)
+    fleet = interface.Fleet(cells=6, racks=2, link_unit_kb=1000, reports="pull", told_every=1.0)
+    gw = gateway(terms=interface.Terms(may_probe=True), fleet=fleet)
     playing(gw)
-    assert [d for d in pulled(gw, NOW) if isinstance(d, say.Probe)] == [say.Probe("h0")]
+    assert [d for d in pulled(gw, NOW) if isinstance(d, interface.Probe)] == [interface.Probe("h0")]
 
 
 def test_handed_over_viewing_climbs_once_its_host_has_reported() -> None:
     both = ("x0", "x1")
-    fleet = say.Fleet(cells=6, racks=2, link_unit_kb=1000, uplink_kb=4500, load_fields=both, told_every=3.0)
+    fleet = interface.Fleet(
+        cells=6, racks=2, link_unit_kb=1000, uplink_kb=4500, load_fields=both, told_every=3.0
+    )
     gw = gateway(fleet=fleet)
     gw.on_viewing_handover(100.0, 1, "plain", "t1", 0, 6, 3, "h0")
     gw.on_report(100.0, 1, "h0", 2, 0)
-    assert not any(isinstance(d, say.SetRung) for d in pulled(gw, 103.0))
+    assert not any(isinstance(d, interface.SetRung) for d in pulled(gw, 103.0))
     gw.on_report(103.0, 1, "h0", 3, 0.1)
-    assert [d for d in pulled(gw, 106.1) if isinstance(d, say.SetRung)] == [say.SetRung(1, 1)]
+    assert [d for d in pulled(gw, 106.1) if isinstance(d, interface.SetRung)] == [interface.SetRung(1, 1)]
 
 
 def test_marks_are_lower_for_steps_that_earn_less_for_each_kb() -> None:
     gw = gateway()
     ask(gw, NOW, 1)
     marks = gw.viewings[1].marks[1:4]
-    assert marks[0] == brain.MARK > marks[1] > marks[2] >= brain.MARK - brain.GRADE
+    assert marks[0] == brain.TARGET_USE > marks[1] > marks[2] >= brain.TARGET_USE - brain.TARGET_USE_REDUCTION
 
 
 def test_a_set_up_that_no_media_host_can_use_makes_none_look_ill() -> None:
@@ -455,9 +464,9 @@
     for viewing_id in range(1, 9):
         ask(gw, NOW, viewing_id)
         for number in range(3):
-            host = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
+            host = next(d.host for d in pulled(gw, NOW) if isinstance(d, interface.TuneIn))
             gw.on_tune_in_end(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, number)
-        assert say.Block(viewing_id, 0.0) in pulled(gw, NOW)
+        assert interface.Block(viewing_id, 0.0) in pulled(gw, NOW)
     assert all(h.aside_until < NOW and not h.bad for h in gw.hosts.values())
 
 
@@ -465,17 +474,17 @@
     gw = gateway()
     for viewing_id in (1, 2):
         for h in gw.hosts.values():
-            h.link.read(NOW, NOW, 0.0 if h.row.host == "h3" else 0.5)
+            h.link.record_reading(NOW, NOW, 0.0 if h.row.host == "h3" else 0.5)
         ask(gw, NOW, viewing_id)
-        host = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
+        host = next(d.host for d in pulled(gw, NOW) if isinstance(d, interface.TuneIn))
         assert host == "h3"
         gw.on_tune_in_end(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, 0)
-        other = next(d.host for d in pulled(gw, NOW) if isinstance(d, say.TuneIn))
+        other = next(d.host for d in pulled(gw, NOW) if isinstance(d, interface.TuneIn))
         gw.on_tune_in_success(NOW, viewing_id, other, 1, 0.01)
     assert gw.hosts["h3"].aside_until > NOW
     lone = gateway(hosts=1)
     ask(lone, NOW, 1)
-    assert any(isinstance(d, say.TuneIn) for d in pulled(lone, NOW))
+    assert any(isinstance(d, interface.TuneIn) for d in pulled(lone, NOW))
     lone.on_tune_in_end(NOW, 1, False, Outcome.ERROR, "h0", 0.01, 0)
     pulled(lone, NOW + 2.98)
     assert not lone.viewings and lone.hosts["h0"].bad == 1
@@ -506,8 +515,8 @@
         terms = replace(TERMS, gateways=3, ordinal=ordinal)
         assert terms.fall_multiple * terms.cold_share / terms.warm_up * terms.fall_after < 1
         gw = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
-        gw.on_host_list(NOW, "incr", [say.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
+        gw.on_host_list(NOW, "incr", [interface.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
         for viewing_id in range(50):
             ask(gw, NOW + viewing_id * 0.001, viewing_id)
-            sent += sum(isinstance(d, say.TuneIn) for d in pulled(gw, NOW + viewing_id * 0.001))
+            sent += sum(isinstance(d, interface.TuneIn) for d in pulled(gw, NOW + viewing_id * 0.001))
     assert sent == 1
