--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -43,7 +43,7 @@
     return gw
 
 
-def pulled(gw: Gateway, now: float) -> list[Decision]:
+def decisions(gw: Gateway, now: float) -> list[Decision]:
     out = []
     while (decision := gw.decide(now)) is not None:
         out.append(decision)
@@ -51,7 +51,7 @@
     return out
 
 
-def ask(
+def request(
     gw: Gateway, now: float, viewing_id: int, package: str = "plain", spread: int = 6, top: int = 3
 ) -> None:
     gw.on_viewing_request(now, viewing_id, package, "t1", 0, spread, top, now + 3.0)
@@ -76,7 +76,7 @@
         self.rows: dict[str, Row] = {}
 
     def step(self, now: float) -> None:
-        for decision in pulled(self.gw, now):
+        for decision in decisions(self.gw, now):
             self.check(now, decision)
         for viewing_id, (_, _, patience, _) in self.open.items():
             assert viewing_id in self.out or now <= patience + self.terms.answer_slack, (
