--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -128,7 +128,7 @@
 
 
 def test_large_cold_host_keeps_its_budget_at_a_single_gateway() -> None:
-    """A host remembers enough set-ups for its budget: with the last 512 only, a larger one was never spent."""
+    """Enough set-ups are remembered for the budget: with only the last 512, a larger one was never spent."""
     fleet = replace(FLEET, slots={"k": 4000}, link_unit_kb=1e9, uplink_kb=1e12)
     terms = replace(TERMS, gateways=1)
     gw = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
