--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -393,7 +393,7 @@
 def test_without_floors_and_seats_rule_5_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     taped = Taped(tmp_path)
     monkeypatch.setattr(Gateway, "_has_seat_and_budget", lambda *args: True)
-    monkeypatch.setattr(Gateway, "_fitting", lambda *args: 0)
+    monkeypatch.setattr(Gateway, "_highest_fitting_rung", lambda *args: 0)
     package = {"name": "recorded", "join_target": 0.8, "patience": 3, "floor": 1, "seats": 2}
     rig = Rig({"*": taped.host(Host.plays)}, packages=[package])
 
