--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -32,7 +32,7 @@
 from ledgehitch.budgets.lender import Lender
 from ledgehitch.budgets.units import may_be_lent, own_parts
 from ledgehitch.budgets.words import FIRST, Words, read, written
-from ledgehitch.door.decide import ROOM
+from ledgehitch.door.decide import DEMAND_HEADROOM
 from ledgehitch.door.limits import Asked
 from ledgehitch.door.part import Part
 from ledgehitch.door.rates import SET_UPS, PackageRates, budget_of
@@ -79,7 +79,7 @@
         self.let: list[tuple[float, int]] = []
         self.best: list[float] = []  # when one that sees all would have let in
         self.single, self.all_of_it = PackageRates(), Part(1.0)
-        self.single.changed({PACKAGE: a_second})
+        self.single.set_limits({PACKAGE: a_second})
         self.largest = 0
         self.seconds = 0.0  # of this machine's CPU, in lenders
         self.over = 0.0  # the most that parts came to
@@ -98,7 +98,7 @@
             if not self.static:
                 self._tell(n)
             self.rates_of[n], self.asked[n] = PackageRates(), Asked()
-            self.rates_of[n].changed({PACKAGE: self.a_second})
+            self.rates_of[n].set_limits({PACKAGE: self.a_second})
 
     def stop(self, n: int) -> None:
         super().stop(n)
@@ -113,10 +113,10 @@
         while self.spent > 0.0 and live:
             self.spent -= self.chance.expovariate(1.0)
             n = self.chance.choices(live, weights)[0]
-            self.asked[n].asked(self.now)
-            if not self.single.wait(self.now, PACKAGE, self.all_of_it):
+            self.asked[n].on_request(self.now)
+            if not self.single.acquire(self.now, PACKAGE, self.all_of_it):
                 self.best.append(self.now)
-            if not self.rates_of[n].wait(self.now, PACKAGE, self.parts[n]) and self._set_up(n):
+            if not self.rates_of[n].acquire(self.now, PACKAGE, self.parts[n]) and self._set_up(n):
                 self.let.append((self.now, n))
         if self.static:
             return
@@ -132,7 +132,7 @@
             return True
         out = self.out[n] = [end for end in self.out.get(n, []) if end > self.now]
         self.most[n] = max(self.most[n], len(out) + 1)
-        if len(out) >= self.parts[n].things(self.now, SET_UPS, self.set_ups):
+        if len(out) >= self.parts[n].whole_units(self.now, SET_UPS, self.set_ups):
             return False
         out.append(self.now + TAKES)
         return True
@@ -141,7 +141,7 @@
         b = self.borrowers[n]
         lent = {x.name: b.loans[i] / WHOLE for i, x in enumerate(self.budgets)}
         own = {x.name: b.own[i] / WHOLE for i, x in enumerate(self.budgets)}
-        self.parts[n].told(0.0, lent, b.until, own)
+        self.parts[n].update(0.0, lent, b.until, own)
 
     def _asks(self, n: int) -> None:
         one, b = self.all[n], self.borrowers[n]
@@ -154,10 +154,10 @@
             )
         if owner == NOBODY:
             return
-        wanted = {UNIT.name: min(WHOLE, int(self.asked[n].at(self.now) / self.a_second * WHOLE))}
+        wanted = {UNIT.name: min(WHOLE, int(self.asked[n].rate_at(self.now) / self.a_second * WHOLE))}
         used = dict[str, int]()
         if self.set_ups:
-            most = self.most[n] * ROOM + 1.0 if self.most[n] else 0.0
+            most = self.most[n] * DEMAND_HEADROOM + 1.0 if self.most[n] else 0.0
             wanted[SET_UPS] = parts_wanted(self.budgets[1], min(1.0, most / self.set_ups))
             out = sum(end > self.now for end in self.out.get(n, []))
             used[SET_UPS] = parts_used(self.budgets[1], out / self.set_ups)
@@ -189,7 +189,7 @@
     def _taken(self, n: int, words: Words | None) -> None:
         b = self.borrowers[n]
         if words is not None and b.lent(self.now, words):
-            self.rates_of[n].gather(self.now, self.parts[n])
+            self.rates_of[n].refill(self.now, self.parts[n])
             self._tell(n)
 
     def _hears(self, to: int, sender: int, data: bytes) -> None:
@@ -302,7 +302,7 @@
             "by them": round(few, 4),
             "by the rest": round(some.in_use(some.now - seconds, some.now) - few, 4),
             "own units: theirs, the rest's": [
-                sum(some.parts[n].things(1e9, SET_UPS, set_ups) for n in ns)
+                sum(some.parts[n].whole_units(1e9, SET_UPS, set_ups) for n in ns)
                 for ns in (cut, set(range(members)) - cut)
             ],
             "most_parts": round(some.over, 6),
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -200,8 +200,8 @@
         self.capacity, self.taken = capacity, dict[int, float]()
         self.pairs: list[tuple[float, float, float]] = []  # when told, advised, earliest that could have been
 
-    def booked(self, now: float, pace: float, least: float, most: float) -> float | None:
-        told = super().booked(now, pace, least, most)
+    def book(self, now: float, pace: float, least: float, most: float) -> float | None:
+        told = super().book(now, pace, least, most)
         if told is not None:
             second = int(now + least)
             while self.taken.get(second, 0.0) >= max(0.2, SHARE * self.capacity(second + 0.5)):
@@ -214,7 +214,7 @@
 def returns(capacity: Callable[[float], float], seed: int = 1) -> dict[str, Any]:
     """Whether who comes when told is let in, and how much later that is than could have been promised."""
     some = door(seed)
-    beside = some.places = Beside(capacity)
+    beside = some.return_slots = Beside(capacity)
     fleet = Fleet(some, capacity, seed)
     fleet.returns, fleet.only_told = 1.0, True
     chance, t, n = random.Random(seed), 0.0, 0
@@ -255,7 +255,7 @@
     figure, axes = pyplot.subplots(1, 3, figsize=(11, 3.8), sharey=True, layout="constrained")
     for ax, (name, capacity) in zip(axes, WAYS.items(), strict=True):
         some = door(1)
-        beside = some.places = Beside(capacity)
+        beside = some.return_slots = Beside(capacity)
         fleet = Fleet(some, capacity, 1)
         fleet.returns, fleet.only_told = 1.0, True
         chance, t, n = random.Random(1), 0.0, 0
--- a/ledgehitch/door/__init__.py
+++ b/ledgehitch/door/__init__.py
@@ -1,5 +1,5 @@
-"""Who is let in to the decision module, in which order, and what the others are told.
+"""Admission control: which viewers are admitted, in which order, and what the rest are told.
 
-Never touches a socket or a clock, and never holds more than its fixed number of cells and places, whatever
-comes. Start reading at `decide.py`, where the parts are put together.
+Uses no socket and no clock, and holds a fixed number of cells and queue places whatever the load. Start
+reading at `decide.py`, which puts the parts together.
 """
--- a/ledgehitch/door/baselines.py
+++ b/ledgehitch/door/baselines.py
@@ -1,4 +1,4 @@
-"""Doors to be measured against: none, one line, a bucket for each client. Not used by any gateway."""
+"""Baselines for benchmarks: no admission control, one FIFO queue, token buckets. No gateway uses them."""
 
 from collections import deque
 from typing import Any
@@ -6,11 +6,11 @@
 from ledgehitch.door.decide import Decision, Let, Turn
 from ledgehitch.door.limits import Fixed
 
-RATE, BURST = 20.0, 20.0  # of each client's bucket
+RATE, BURST = 20.0, 20.0  # requests per second and at once of each client's token bucket
 
 
 class NoDoor:
-    """Everybody is let in at once."""
+    """Admits every request at once."""
 
     def __init__(self) -> None:
         self._due: deque[Decision] = deque()
@@ -23,15 +23,15 @@
         package: str,
         patience: float,
         ticket: str = "",
-        ahead: float = 0.0,
+        wall_clock_offset: float = 0.0,
     ) -> None:
         self._due.append(Let(conn))
 
     def gone(self, now: float, conn: int) -> None:
-        """Nothing is known of it."""
+        """Ignored: no state is held."""
 
     def settled(self, now: float, conn: int, failed: bool) -> None:
-        """Nothing is learnt from it."""
+        """Ignored: the baseline does not adapt."""
 
     def decide(self, now: float) -> Decision | None:
         return self._due.popleft() if self._due else None
@@ -44,14 +44,14 @@
 
 
 class Fifo(NoDoor):
-    """One line for all, with a fixed number let in at once."""
+    """One queue for all clients, with a fixed number of set-ups at once."""
 
     def __init__(self, limit: float = 64.0) -> None:
         super().__init__()
         self.limit = Fixed(limit)
-        self.out: set[int] = set()
-        self.line: deque[tuple[int, float]] = deque()
-        self.left: set[int] = set()
+        self.in_progress: set[int] = set()
+        self.queue: deque[tuple[int, float]] = deque()
+        self.disconnected: set[int] = set()
 
     def asked(
         self,
@@ -61,36 +61,36 @@
         package: str,
         patience: float,
         ticket: str = "",
-        ahead: float = 0.0,
+        wall_clock_offset: float = 0.0,
     ) -> None:
-        self.line.append((conn, patience))
+        self.queue.append((conn, patience))
 
     def gone(self, now: float, conn: int) -> None:
-        self.left.add(conn)
-        self.out.discard(conn)
+        self.disconnected.add(conn)
+        self.in_progress.discard(conn)
 
     def settled(self, now: float, conn: int, failed: bool) -> None:
-        self.out.discard(conn)
+        self.in_progress.discard(conn)
 
     def decide(self, now: float) -> Decision | None:
-        while self.line and (self.line[0][0] in self.left or self.line[0][1] <= now):
-            conn, _ = self.line.popleft()
-            if conn in self.left:
-                self.left.discard(conn)
+        while self.queue and (self.queue[0][0] in self.disconnected or self.queue[0][1] <= now):
+            conn, _ = self.queue.popleft()
+            if conn in self.disconnected:
+                self.disconnected.discard(conn)
             else:
-                return Turn(conn, "no turn in time")
-        if self.line and self.limit.room(len(self.out)) > 0:
-            conn, _ = self.line.popleft()
-            self.out.add(conn)
+                return Turn(conn, "not admitted in time")
+        if self.queue and self.limit.free_slots(len(self.in_progress)) > 0:
+            conn, _ = self.queue.popleft()
+            self.in_progress.add(conn)
             return Let(conn)
         return None
 
     def wake_at(self) -> float | None:
-        return self.line[0][1] if self.line else None
+        return self.queue[0][1] if self.queue else None
 
 
 class Buckets(NoDoor):
-    """A bucket for each client, as many as there are clients: who is over its rate is turned away."""
+    """A token bucket for each client, without a bound on their number; rejects clients over their rate."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -104,13 +104,13 @@
         package: str,
         patience: float,
         ticket: str = "",
-        ahead: float = 0.0,
+        wall_clock_offset: float = 0.0,
     ) -> None:
-        left, at = self.buckets.get(name, (BURST, now))
-        left = min(BURST, left + (now - at) * RATE)
-        if left >= 1.0:
-            left -= 1.0
+        tokens, updated_at = self.buckets.get(name, (BURST, now))
+        tokens = min(BURST, tokens + (now - updated_at) * RATE)
+        if tokens >= 1.0:
+            tokens -= 1.0
             self._due.append(Let(conn))
         else:
-            self._due.append(Turn(conn, "over its rate"))
-        self.buckets[name] = left, now
+            self._due.append(Turn(conn, "client rate limit exceeded"))
+        self.buckets[name] = tokens, now
--- a/ledgehitch/door/decide.py
+++ b/ledgehitch/door/decide.py
@@ -1,8 +1,9 @@
-"""The door: who is let in now, who waits, who is turned away and when it should come again. Free of I/O.
+"""Admission control: which requests are admitted now, queued or rejected, and when to retry. Free of I/O.
 
-Inputs update what is known, `decide` is pulled. Every client that asks is let in or turned away once. What
-waits here is not in the module: a viewing's patience counts from its asking, and who could not be set up any
-more is turned away at once. While nothing is scarce the door lets everybody in as they come.
+Inputs update the state; the caller then calls `decide` until it returns None. Every request is admitted or
+rejected exactly once. Queued requests are not known to the decision module yet: the patience of a viewing
+counts from its request, and a request that could no longer be set up in time is rejected at once. While
+nothing is scarce, requests are admitted in the order in which they arrive.
 """
 
 import random
@@ -12,39 +13,43 @@
 from typing import Any, Protocol
 
 from ledgehitch.door.heavy import Heavy
-from ledgehitch.door.limits import LEAST, NEW, OLD, Adapted, Asked, Pace
+from ledgehitch.door.limits import MIN_LIMIT, NEW_WEIGHT, OLD_WEIGHT, Adapted, Asked, Pace
 from ledgehitch.door.part import Part
 from ledgehitch.door.queue import FairQueue, Waiting
 from ledgehitch.door.rates import SET_UPS, ClientRates, PackageRates, budget_of
 from ledgehitch.door.returns import Places, Tickets
 
-NEEDED = 0.35  # seconds before its patience's end by which a viewing must be let in
-SURELY = 1.3  # times as long as set-ups take of late: nearly all are through by then
-WAITS = 0.6  # part of the join target that one waits here at most: who joins later is worth little
-STEP = 1.0  # seconds between two looks at whether the least valuable are turned away at once
-CALM = 5  # looks in which nobody was pressed until they are let in again
-ROOM = 1.25  # times the set-ups at once of lately that are wanted of the fleet's limit: they swing
-PRESSED = 3  # of a value that found no turn in such a time, from which those worth less make room
+MIN_SETUP_TIME_S = 0.35  # a viewing must be admitted this long before its patience ends
+SETUP_TIME_FACTOR = 1.3  # times the recent set-up time, within which nearly all set-ups finish
+MAX_WAIT_SHARE = 0.6  # share of the join target that a request may queue: a later join is worth little
+BROWNOUT_PERIOD_S = 1.0  # between two decisions on rejecting the least valuable packages at once
+CALM_PERIODS = 5  # periods without queue time-outs until a rejected level is admitted again
+DEMAND_HEADROOM = 1.25  # times the recent concurrent set-ups, which fluctuate, to ask of the fleet's limit
+BROWNOUT_TIMEOUTS = 3  # queue time-outs of one value per period, from which less valuable ones are rejected
 
 
 class Limit(Protocol):
+    """A limit on concurrent set-ups that learns from their results."""
+
     limit: float
 
-    def ended(self, now: float, out: int, took: float, join_target: float, failed: bool) -> None: ...
-    def pressed(self, now: float) -> None: ...
-    def room(self, out: int) -> int: ...
+    def on_setup_end(
+        self, now: float, in_progress: int, took: float, join_target: float, failed: bool
+    ) -> None: ...
+    def on_overload(self, now: float) -> None: ...
+    def free_slots(self, in_progress: int) -> int: ...
 
 
 @dataclass(frozen=True)
 class Let:
-    """Hand this one to the module now."""
+    """Pass this request to the decision module now."""
 
     conn: int
 
 
 @dataclass(frozen=True)
 class Turn:
-    """Turn this one away: come again after `advice` seconds (0: none is given) with `ticket`."""
+    """Reject this request; it may retry after `advice` seconds (0: no advice) with `ticket`."""
 
     conn: int
     why: str
@@ -56,10 +61,12 @@
 
 
 class Door:
+    """Admission control of one gateway."""
+
     def __init__(
         self,
         now: float,
-        chance: random.Random,
+        rng: random.Random,
         values: Mapping[str, float],
         targets: Mapping[str, float],
         may_advise: bool,
@@ -67,37 +74,47 @@
         limit: Limit | None = None,
         gateways: int = 1,
     ) -> None:
-        """`values`, `targets`: of each package, its value and its join target in seconds. `gateways`: how
-        many share the fleet's limits, as the site states it; each has an equal part until `shared` says
-        else."""
-        self.chance, self.values, self.targets = chance, values, targets
+        """Starts with an empty queue.
+
+        `values` and `targets` hold the value and the join target in seconds of each package. `gateways` is
+        the number of gateways that share the fleet's limits according to the site; each has an equal share
+        until `shared` sets another one.
+        """
+        self.rng, self.values, self.targets = rng, values, targets
         self.may_advise, self.longest_advice = may_advise, longest_advice
         self.limit: Limit = limit if limit is not None else Adapted()
-        self.queue = FairQueue(chance.randbytes(32))
-        self.heavy, self.pace, self.places = Heavy(), Pace(), Places()
-        self.tickets = Tickets(chance.randrange(1 << 16), chance.randbytes(32))
-        self.part, self.by_client, self.by_package = Part(1.0 / gateways), ClientRates(), PackageRates()
-        self.takes = 0.0  # seconds of a set-up, lately
-        self.set_ups = 0.0  # of the fleet at once; 0: only the adapted limit counts
-        self.out: dict[int, tuple[float, str]] = {}  # let in and not settled: since when, package
+        self.queue = FairQueue(rng.randbytes(32))
+        self.heavy_hitters, self.admission_rate, self.return_slots = Heavy(), Pace(), Places()
+        self.tickets = Tickets(rng.randrange(1 << 16), rng.randbytes(32))
+        self.share, self.client_rates, self.package_rates = (
+            Part(1.0 / gateways),
+            ClientRates(),
+            PackageRates(),
+        )
+        self.setup_time = 0.0  # moving average of the set-up time in seconds
+        self.set_ups = 0.0  # concurrent set-ups of the whole fleet; 0: only the adaptive limit applies
+        self.in_progress: dict[int, tuple[float, str]] = {}  # set-ups: time of admission and package
         self.levels = sorted(set(values.values())) or [1.0]
-        self.ahead = 0.0
-        self.level = 0  # packages worth less than `levels[level]` are turned away at once
-        self._asked: dict[str, Asked] = {}  # how often a package with a rate is asked for
-        self._most = 0  # that were in or waiting at once since they were told
+        self.wall_clock_offset = 0.0
+        self.level = 0  # packages of less value than `levels[level]` are rejected at once
+        self._request_rates: dict[str, Asked] = {}  # request rate of each package that has a limit
+        self._peak_load = 0  # highest number in progress or queued since the demand was last reported
         self.counts = {"let_in": 0, "turned_away": 0, "over_rate": 0, "returned": 0}
         self._due: deque[Decision] = deque()
-        self._looked_at, self._calm = now, 0
-        self._pressed: dict[float, int] = {}  # found no turn since the last look, by value
+        self._period_start, self._calm_periods = now, 0
+        self._queue_timeouts: dict[float, int] = {}  # queue time-outs in this period, by package value
 
     def limited(
         self, client_rate: float, client_burst: float, package_rates: Mapping[str, float], set_ups: float
     ) -> None:
-        """The site's limits, at start and at a reload. Who is in or waits already stays: a lower limit is
-        reached by letting nobody in until they are under it."""
-        self.by_client.changed(client_rate, client_burst)
-        self.by_package.changed(package_rates)
-        self._asked = {p: self._asked.get(p, Asked()) for p in package_rates}
+        """Sets the site's limits, at start and at a reload.
+
+        Requests in progress or queued are not affected: a lower limit takes effect by admitting nothing until
+        their number has fallen below it.
+        """
+        self.client_rates.set_limit(client_rate, client_burst)
+        self.package_rates.set_limits(package_rates)
+        self._request_rates = {p: self._request_rates.get(p, Asked()) for p in package_rates}
         self.set_ups = set_ups
 
     def shared(
@@ -108,24 +125,28 @@
         until: float,
         by_budget: Mapping[str, float] | None = None,
     ) -> None:
-        """This gateway's part of the fleet's limits: what it has of its own, what is lent up to `until`.
-        `by_budget`: its own part of limits of which that is another."""
-        self.by_package.gather(now, self.part)
-        self.part.told(own, lent, until, by_budget)
+        """Sets this gateway's own share of the fleet's limits and what is lent to it up to `until`.
+
+        `by_budget` holds its own share of the limits for which it differs from `own`.
+        """
+        self.package_rates.refill(now, self.share)
+        self.share.update(own, lent, until, by_budget)
 
     def needs(self, now: float) -> tuple[dict[str, float], dict[str, float]]:
-        """Of the whole of each of the fleet's limits, what is in use here and what could be: the most set-ups
-        at once since `needs_told`, and none where there was none: a set-up that may be begun here can not be
-        begun elsewhere."""
+        """Returns the shares of the fleet's limits that are in use here and that are wanted here.
+
+        For set-ups the wanted share follows the highest concurrency since `needs_told`. It is 0 where there
+        was none, since a set-up that may be started here cannot be started elsewhere.
+        """
         used, wanted = self.uses(), dict[str, float]()
-        for package, a_second in self.by_package.a_second.items():
-            wanted[budget_of(package)] = self._asked[package].at(now) / a_second
+        for package, per_second in self.package_rates.per_second.items():
+            wanted[budget_of(package)] = self._request_rates[package].rate_at(now) / per_second
         if self.set_ups:
-            most = min(ROOM * self._most + 1.0, self.limit.limit) if self._most else 0.0
-            wanted[SET_UPS] = most / self.set_ups
+            peak = min(DEMAND_HEADROOM * self._peak_load + 1.0, self.limit.limit) if self._peak_load else 0.0
+            wanted[SET_UPS] = peak / self.set_ups
         return used, wanted
 
-    # ---- what happens --------------------------------------------------------------------------------------
+    # ---- inputs --------------------------------------------------------------------------------------------
 
     def asked(
         self,
@@ -135,169 +156,186 @@
         package: str,
         patience: float,
         ticket: str = "",
-        ahead: float = 0.0,
+        wall_clock_offset: float = 0.0,
     ) -> None:
-        """A client asks for a viewing that must be answered by `patience`. `ahead`: what the wall clock, by
-        which tickets go, is ahead of `now`; nothing else goes by it, so it may step."""
-        self.heavy.asked(now, name)
-        self.ahead = ahead
-        if package in self._asked:
-            self._asked[package].asked(now)
+        """A client requests a viewing that must be answered by `patience`.
+
+        `wall_clock_offset` is the lead of the wall clock over `now` in seconds. Only tickets use the wall
+        clock, so a step of it affects nothing else.
+        """
+        self.heavy_hitters.on_request(now, name)
+        self.wall_clock_offset = wall_clock_offset
+        if package in self._request_rates:
+            self._request_rates[package].on_request(now)
         value = self.values.get(package, self.levels[0])
-        until = patience - min(max(NEEDED, SURELY * self.takes), 0.5 * max(0.0, patience - now))
-        returns = bool(ticket) and self.tickets.good(now + ahead, ticket, name)
-        if not returns:  # a promise is kept up to patience: who returns has missed the join target already
-            until = min(until, now + WAITS * self.targets.get(package, 1.0))
-        one = Waiting(conn, name, package, self.levels[0] / value, now, until)
+        until = patience - min(
+            max(MIN_SETUP_TIME_S, SETUP_TIME_FACTOR * self.setup_time), 0.5 * max(0.0, patience - now)
+        )
+        returns = bool(ticket) and self.tickets.redeem(now + wall_clock_offset, ticket, name)
+        # A returning viewer has missed its join target already, so its promise holds up to its patience.
+        if not returns:
+            until = min(until, now + MAX_WAIT_SHARE * self.targets.get(package, 1.0))
+        request = Waiting(conn, name, package, self.levels[0] / value, now, until)
         self.counts["returned"] += returns
-        if self.by_client.a_second and (wait := self.by_client.wait(now, name)) > 0:
-            self._over(one, "over its rate", wait)
+        if self.client_rates.per_second and (wait := self.client_rates.acquire(now, name)) > 0:
+            self._reject_over_rate(request, "client rate limit exceeded", wait)
             return
-        if self.by_package.a_second and not returns:
-            wait = self.by_package.wait(now, package, self.part)
+        if self.package_rates.per_second and not returns:
+            wait = self.package_rates.acquire(now, package, self.share)
             if wait > 0:
-                self._over(one, f"over the fleet's budget {budget_of(package)}", wait)
+                self._reject_over_rate(request, f"fleet budget {budget_of(package)} exceeded", wait)
                 return
         if value < self.levels[self.level] and not returns:
-            self._turn(now, one, "brown-out")
+            self._reject(now, request, "brown-out")
             return
-        out = self.queue.put(now, one, first=returns)
-        self._most = max(self._most, len(self.out) + len(self.queue))
-        if out is not None:
-            self._turn(now, out, "the queue is full")
+        dropped = self.queue.put(now, request, first=returns)
+        self._peak_load = max(self._peak_load, len(self.in_progress) + len(self.queue))
+        if dropped is not None:
+            self._reject(now, dropped, "the admission queue is full")
 
     def gone(self, now: float, conn: int) -> None:
-        """It hung up while it waited, or after it was let in."""
-        self.queue.drop(conn)
-        self.out.pop(conn, None)
+        """The client disconnected while it was queued or after it was admitted."""
+        self.queue.remove(conn)
+        self.in_progress.pop(conn, None)
 
     def settled(self, now: float, conn: int, failed: bool) -> None:
-        """The module has answered: it plays, or it was blocked or aborted (`failed`)."""
-        held = self.out.pop(conn, None)
-        if held is not None:
-            since, package = held
-            self.takes = (NEW * (now - since) + OLD * self.takes) / (NEW + OLD)
-            self.limit.ended(now, len(self.out) + 1, now - since, self.targets.get(package, 1.0), failed)
+        """The decision module has answered: the viewing plays, or it was blocked or aborted (`failed`)."""
+        set_up = self.in_progress.pop(conn, None)
+        if set_up is not None:
+            since, package = set_up
+            self.setup_time = (NEW_WEIGHT * (now - since) + OLD_WEIGHT * self.setup_time) / (
+                NEW_WEIGHT + OLD_WEIGHT
+            )
+            self.limit.on_setup_end(
+                now, len(self.in_progress) + 1, now - since, self.targets.get(package, 1.0), failed
+            )
 
     def given_up(self, now: float) -> None:
-        """A tune-in of one that was let in was not answered in its time."""
-        self.limit.pressed(now)
+        """A tune-in of an admitted viewing timed out."""
+        self.limit.on_overload(now)
 
     def needs_told(self) -> None:
-        """What is needed here was asked for."""
-        self._most = len(self.out) + len(self.queue)
+        """The demand was reported: starts measuring the highest concurrency anew."""
+        self._peak_load = len(self.in_progress) + len(self.queue)
 
     def uses(self) -> dict[str, float]:
-        """Of the whole of each limit on what is held, what is held here now."""
-        return {SET_UPS: len(self.out) / self.set_ups} if self.set_ups else {}
+        """Returns the share of the limit on concurrent set-ups that is in use here."""
+        return {SET_UPS: len(self.in_progress) / self.set_ups} if self.set_ups else {}
 
-    # ---- what is decided -----------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
     def decide(self, now: float) -> Decision | None:
-        ends = self.queue.wake_at()
-        if ends is not None and ends <= now:
-            for one in self.queue.overdue(now):
-                self._turn(now, one, "no turn in time")
-        if not 0 <= now - self._looked_at < STEP:
-            self._brown_out(now)
+        """Returns the next decision, or None when there is nothing to do at `now`."""
+        expiry = self.queue.wake_at()
+        if expiry is not None and expiry <= now:
+            for request in self.queue.pop_expired(now):
+                self._reject(now, request, "not admitted in time")
+        if not 0 <= now - self._period_start < BROWNOUT_PERIOD_S:
+            self._update_brownout(now)
         if self._due:
             return self._due.popleft()
-        if self._room(now) <= 0:
+        if self._free_slots(now) <= 0:
             return None
-        first = self.queue.next(now)
+        first = self.queue.pop_next(now)
         if first is None:
             return None
-        self.out[first.conn] = now, first.package
-        self.pace.let_in(now)
+        self.in_progress[first.conn] = now, first.package
+        self.admission_rate.on_admission(now)
         self.counts["let_in"] += 1
         return Let(first.conn)
 
     def has_room(self, now: float) -> bool:
-        """Whether one that waits could be let in now."""
-        return len(self.queue) > 0 and self._room(now) > 0
+        """Returns whether a queued request could be admitted now."""
+        return len(self.queue) > 0 and self._free_slots(now) > 0
 
-    def _room(self, now: float) -> int:
-        """Of all limits on set-ups at once, the one place where they meet."""
-        room = self.limit.room(len(self.out))
+    def _free_slots(self, now: float) -> int:
+        """Returns how many more set-ups all limits on concurrency together allow."""
+        free = self.limit.free_slots(len(self.in_progress))
         if self.set_ups:
-            room = min(room, self.part.things(now, SET_UPS, int(self.set_ups)) - len(self.out))
-        return room
+            free = min(free, self.share.whole_units(now, SET_UPS, int(self.set_ups)) - len(self.in_progress))
+        return free
 
-    def _over(self, one: Waiting, why: str, wait: float) -> None:
-        """A rate turns it away: the wait is what the rate says, and no ticket lets it go before others."""
+    def _reject_over_rate(self, request: Waiting, why: str, wait: float) -> None:
+        """Rejects a request over a rate limit, with the wait that the limit gives and without a ticket."""
         self.counts["over_rate"] += 1
         advice = min(wait, self.longest_advice) if self.may_advise else 0.0
-        self._due.append(Turn(one.conn, why, advice))
+        self._due.append(Turn(request.conn, why, advice))
 
-    def _turn(self, now: float, one: Waiting, why: str) -> None:
+    def _reject(self, now: float, request: Waiting, why: str) -> None:
         self.counts["turned_away"] += 1
         if why != "brown-out":
-            value = self.values.get(one.package, self.levels[0])
-            self._pressed[value] = self._pressed.get(value, 0) + 1
+            value = self.values.get(request.package, self.levels[0])
+            self._queue_timeouts[value] = self._queue_timeouts.get(value, 0) + 1
         advice, ticket = 0.0, ""
         if self.may_advise and self.longest_advice > 0:
-            pace = self.pace.at(now)
-            waits = len(self.queue) / pace if pace > 0 else 1.0
-            least = min(max(0.5, waits), self.longest_advice)
-            found = self.places.booked(now, pace, least, self.longest_advice)
-            if found is None:  # all places are taken: as late as is allowed, and no promise
-                advice = self.longest_advice * self.chance.uniform(0.7, 1.0)
+            rate = self.admission_rate.rate_at(now)
+            queue_time = len(self.queue) / rate if rate > 0 else 1.0
+            least = min(max(0.5, queue_time), self.longest_advice)
+            delay = self.return_slots.book(now, rate, least, self.longest_advice)
+            if delay is None:  # all return slots are booked: the longest advice, without a promise
+                advice = self.longest_advice * self.rng.uniform(0.7, 1.0)
             else:
-                advice = min(found + self.chance.random(), self.longest_advice)
-                ticket = self.tickets.issue(now + self.ahead + advice, one.name)
-        self._due.append(Turn(one.conn, why, advice, ticket))
-
-    def _brown_out(self, now: float) -> None:
-        """Where more valuable ones found no turn, those worth less are turned away at once, a step at a time,
-        until nobody above them is pressed any more."""
-        pressed = [value for value, n in self._pressed.items() if n >= PRESSED]
-        self._looked_at, self._pressed = now, {}
+                advice = min(delay + self.rng.random(), self.longest_advice)
+                ticket = self.tickets.issue(now + self.wall_clock_offset + advice, request.name)
+        self._due.append(Turn(request.conn, why, advice, ticket))
+
+    def _update_brownout(self, now: float) -> None:
+        """Raises or lowers the level of package value below which requests are rejected at once.
+
+        It rises by one level a period while more valuable requests time out in the queue.
+        """
+        pressed = [value for value, n in self._queue_timeouts.items() if n >= BROWNOUT_TIMEOUTS]
+        self._period_start, self._queue_timeouts = now, {}
         lowest = self.levels[self.level]
         if any(value > lowest for value in pressed) and self.level < len(self.levels) - 1:
             self.level += 1
-        self._calm = 0 if pressed else self._calm + 1
-        if self.level and self._calm >= CALM:
-            self.level, self._calm = self.level - 1, 0
+        self._calm_periods = 0 if pressed else self._calm_periods + 1
+        if self.level and self._calm_periods >= CALM_PERIODS:
+            self.level, self._calm_periods = self.level - 1, 0
 
     def wake_at(self) -> float | None:
-        """When there is something to decide without news; in the past where there is now."""
+        """Returns when to call `decide` again; 0 if a decision is due, None if only input can make one."""
         if self._due:
             return 0.0
-        ends = self.queue.wake_at()
-        look = self._looked_at + STEP if self.level else None
-        return min((t for t in (ends, look) if t is not None), default=None)
+        expiry = self.queue.wake_at()
+        next_period = self._period_start + BROWNOUT_PERIOD_S if self.level else None
+        return min((t for t in (expiry, next_period) if t is not None), default=None)
 
-    # ---- for people and the next start ---------------------------------------------------------------------
+    # ---- status and snapshot -------------------------------------------------------------------------------
 
     def state(self, now: float) -> dict[str, Any]:
+        """Returns the figures for operators."""
         return {
             "limit": round(self.limit.limit, 1),
             "share": {
-                b: round(self.part.share(now, b), 4)
-                for b in [*map(budget_of, self.by_package.a_second), *([SET_UPS] if self.set_ups else [])]
+                budget: round(self.share.share(now, budget), 4)
+                for budget in [
+                    *map(budget_of, self.package_rates.per_second),
+                    *([SET_UPS] if self.set_ups else []),
+                ]
             },
-            "out": len(self.out),
+            "out": len(self.in_progress),
             "waiting": len(self.queue),
             "level": self.level,
-            "let_in_a_second": round(self.pace.at(now), 1),
+            "let_in_a_second": round(self.admission_rate.rate_at(now), 1),
             **self.counts,
             "tickets_refused": dict(self.tickets.refused),
-            "heaviest": self.heavy.heaviest(5),
-            "heaviest_error": round(self.heavy.error(), 1),
+            "heaviest": self.heavy_hitters.heaviest(5),
+            "heaviest_error": round(self.heavy_hitters.error(), 1),
         }
 
     def frozen(self) -> dict[str, Any]:
-        """What the next life takes up: who is heavy, what was used, how much was let in at once."""
+        """Returns what the next process restores: heavy clients, used tickets, limits."""
         return {
-            "heavy": self.heavy.frozen(),
-            "tickets": self.tickets.frozen(),
+            "heavy": self.heavy_hitters.snapshot(),
+            "tickets": self.tickets.snapshot(),
             "limit": self.limit.limit,
             "level": self.level,
         }
 
-    def thawed(self, now: float, held: Mapping[str, Any]) -> None:
-        """Goes on from what was kept. The limit begins at half of it: a wave may come with the start."""
-        self.heavy.thawed(now, list(held["heavy"]))
-        self.tickets.thawed(held["tickets"])
-        self.limit.limit = max(LEAST, 0.5 * float(held["limit"]))
-        self.level = min(int(held["level"]), len(self.levels) - 1)
+    def thawed(self, now: float, snapshot: Mapping[str, Any]) -> None:
+        """Restores a snapshot, with half the limit, since a wave of requests may follow a restart."""
+        self.heavy_hitters.restore(now, list(snapshot["heavy"]))
+        self.tickets.restore(snapshot["tickets"])
+        self.limit.limit = max(MIN_LIMIT, 0.5 * float(snapshot["limit"]))
+        self.level = min(int(snapshot["level"]), len(self.levels) - 1)
--- a/ledgehitch/door/limits.py
+++ b/ledgehitch/door/limits.py
@@ -1,137 +1,162 @@
-"""How many set-ups may be under way at once: adapted to what media hosts answer. Free of I/O and clock."""
+"""Adaptive limit on concurrent set-ups, and rate estimators. Free of I/O and clock."""
 
 from dataclasses import dataclass
 
-FIRST, LEAST, MOST = 16.0, 8.0, 2000.0
-DOWN = 0.85  # of the limit is left when set-ups take too long or are turned away
-SLOW = 0.5  # part of the join target within which a set-up is taken for quick
-QUEUED, CLOSE = 2.5, 0.02  # times what a set-up takes at its best, and seconds: from there on some wait there
-NEW, OLD = 3.0, 8.0  # weights of one more set-up and of those before
-FORGETS = 0.0005
-APART = 0.2  # seconds between two steps down: what was out before a step says nothing of it
+INITIAL_LIMIT, MIN_LIMIT, MAX_LIMIT = 16.0, 8.0, 2000.0  # concurrent set-ups
+DECREASE_FACTOR = 0.85  # applied to the limit when set-ups are slow or fail
+SLOW_SHARE = 0.5  # share of the join target above which a set-up is slow
+# Set-ups queue at the media hosts if their average time is above QUEUEING_FACTOR * best time + margin.
+QUEUEING_FACTOR, QUEUEING_MARGIN_S = 2.5, 0.02
+NEW_WEIGHT, OLD_WEIGHT = 3.0, 8.0  # of a new set-up time and of the average so far
+BEST_TIME_DRIFT = 0.0005  # share of the gap to the current average by which the best time rises per set-up
+DECREASE_INTERVAL_S = 0.2  # between two decreases: set-ups started before one do not show its effect
 
 
 @dataclass
 class Adapted:
-    """Doubles for each limit's worth of quick set-ups up to the first press, from then on up by one for each;
-    stays where set-ups take several times what they take with nothing in their way; down by a part when they
-    are slow, fail, or a tune-in was given up. It rises only while it is used."""
-
-    limit: float = FIRST
-    down_at: float = -1e9
-    doubles: bool = True
-    took: float = 0.0  # seconds of a set-up, lately
-    least: float = 0.0  # the same at its best; forgets in some thousand set-ups
-
-    def ended(self, now: float, out: int, took: float, join_target: float, failed: bool) -> None:
-        """A set-up came back; `out`: how many were under way with it."""
-        if failed or took > SLOW * join_target:
-            self.pressed(now)
+    """Additive increase and multiplicative decrease with a slow start.
+
+    The limit doubles with each limit's worth of quick set-ups until the first overload signal, then grows by
+    one for each. It stays where set-ups take several times their unloaded time, and decreases when they are
+    slow or fail or a tune-in times out. It grows only while it is used.
+    """
+
+    limit: float = INITIAL_LIMIT
+    decreased_at: float = -1e9
+    slow_start: bool = True
+    average_time: float = 0.0  # moving average of the set-up time in seconds
+    best_time: float = 0.0  # the lowest average, forgotten over some thousand set-ups
+
+    def on_setup_end(
+        self, now: float, in_progress: int, took: float, join_target: float, failed: bool
+    ) -> None:
+        """A set-up finished; `in_progress` counts it and the others."""
+        if failed or took > SLOW_SHARE * join_target:
+            self.on_overload(now)
             return
-        self.took = (NEW * took + OLD * self.took) / (NEW + OLD) if self.took else took
-        self.least = min(self.took, self.least + FORGETS * (self.took - self.least)) if self.least else took
-        if self.took > QUEUED * self.least + CLOSE:
-            # Guards against a limit that has risen far over what media hosts keep up with before the first
-            # set-up is slow: what waits there is seen while it still is short.
-            self.doubles = False
-        elif out >= 0.7 * self.limit:
-            self.limit = min(MOST, self.limit + (1.0 if self.doubles else 1.0 / self.limit))
-
-    def pressed(self, now: float) -> None:
-        """Media hosts do not keep up. Guards against the fleet working on tune-ins that were given up: that
-        one was is known well before its viewing has its answer."""
-        self.doubles = False
-        if now - self.down_at >= APART or now < self.down_at:
-            self.limit, self.down_at = max(LEAST, self.limit * DOWN), now
-
-    def room(self, out: int) -> int:
-        return int(self.limit) - out
+        self.average_time = (
+            (NEW_WEIGHT * took + OLD_WEIGHT * self.average_time) / (NEW_WEIGHT + OLD_WEIGHT)
+            if self.average_time
+            else took
+        )
+        self.best_time = (
+            min(self.average_time, self.best_time + BEST_TIME_DRIFT * (self.average_time - self.best_time))
+            if self.best_time
+            else took
+        )
+        if self.average_time > QUEUEING_FACTOR * self.best_time + QUEUEING_MARGIN_S:
+            # Queueing at the media hosts shows while it is still short. Without this check the limit would
+            # have grown far beyond their capacity before the first set-up is slow.
+            self.slow_start = False
+        elif in_progress >= 0.7 * self.limit:
+            self.limit = min(MAX_LIMIT, self.limit + (1.0 if self.slow_start else 1.0 / self.limit))
+
+    def on_overload(self, now: float) -> None:
+        """Decreases the limit because media hosts are overloaded.
+
+        Called for tune-in time-outs too: they are known well before the answer to the viewing, and without
+        them the fleet would work on tune-ins that were already abandoned.
+        """
+        self.slow_start = False
+        if now - self.decreased_at >= DECREASE_INTERVAL_S or now < self.decreased_at:
+            self.limit, self.decreased_at = max(MIN_LIMIT, self.limit * DECREASE_FACTOR), now
+
+    def free_slots(self, in_progress: int) -> int:
+        return int(self.limit) - in_progress
 
 
 @dataclass
 class Fixed:
-    """The baseline: a number that somebody chose."""
+    """A constant limit, as a baseline."""
 
     limit: float = 64.0
 
-    def ended(self, now: float, out: int, took: float, join_target: float, failed: bool) -> None:
+    def on_setup_end(
+        self, now: float, in_progress: int, took: float, join_target: float, failed: bool
+    ) -> None:
         """Changes nothing."""
 
-    def pressed(self, now: float) -> None:
+    def on_overload(self, now: float) -> None:
         """Changes nothing."""
 
-    def room(self, out: int) -> int:
-        return int(self.limit) - out
+    def free_slots(self, in_progress: int) -> int:
+        return int(self.limit) - in_progress
 
 
 class Pace:
-    """Set-ups let in a second, measured: (3·new + 8·old) / 11 for each half second. A fall that chance does
-    not explain counts at once, so that nobody is promised what is not there any more."""
+    """Estimates the admissions per second as (3·new + 8·old) / 11 for each half second.
 
-    STEP, NEW, OLD = 0.5, 3.0, 8.0
-    SURE = 3.0  # standard deviations under what was expected
+    A significant fall takes effect at once, so that no return time is promised that the fleet cannot serve.
+    """
+
+    STEP_S, NEW_WEIGHT, OLD_WEIGHT = 0.5, 3.0, 8.0  # seconds of one measurement, and the weights
+    SIGNIFICANCE = 3.0  # standard deviations below the expected count from which a fall is significant
 
     def __init__(self) -> None:
-        self.a_second = 0.0
-        self._since: float | None = None
+        self.per_second = 0.0
+        self._step_start: float | None = None
         self._count = 0
-        self._before = 0.0  # measured in the half second before the last
+        self._previous = 0.0  # measurement of the half second before the last
 
-    def let_in(self, now: float) -> None:
-        self.at(now)
+    def on_admission(self, now: float) -> None:
+        self.rate_at(now)
         self._count += 1
 
-    def at(self, now: float) -> float:
-        """The pace as it is known now."""
-        if self._since is None or now < self._since:
-            self._since, self._count = now, 0
-        while now - self._since >= self.STEP:
-            measure = self._count / self.STEP
-            known = self.a_second
-            self.a_second = (
-                (self.NEW * measure + self.OLD * known) / (self.NEW + self.OLD) if known else measure
+    def rate_at(self, now: float) -> float:
+        """Returns the current estimate."""
+        if self._step_start is None or now < self._step_start:
+            self._step_start, self._count = now, 0
+        while now - self._step_start >= self.STEP_S:
+            measure = self._count / self.STEP_S
+            known = self.per_second
+            self.per_second = (
+                (self.NEW_WEIGHT * measure + self.OLD_WEIGHT * known) / (self.NEW_WEIGHT + self.OLD_WEIGHT)
+                if known
+                else measure
             )
-            second = 0.5 * (measure + self._before)
-            if second < known - self.SURE * known**0.5:
-                self.a_second = second
-            self._before, self._count = measure, 0
-            self._since += self.STEP
-            if now - self._since > 60.0:  # nothing came for long: what was measured says nothing now
-                self.a_second, self._before, self._since = 0.0, 0.0, now
-        return self.a_second
+            last_second = 0.5 * (measure + self._previous)
+            if last_second < known - self.SIGNIFICANCE * known**0.5:
+                self.per_second = last_second
+            self._previous, self._count = measure, 0
+            self._step_start += self.STEP_S
+            if now - self._step_start > 60.0:  # idle for a minute: earlier measurements are obsolete
+                self.per_second, self._previous, self._step_start = 0.0, 0.0, now
+        return self.per_second
 
 
 class Asked:
-    """Offers asked for a second, measured: (3·new + 8·old) / 11 for each two seconds, so that chance moves it
-    little; a rise or fall that chance does not explain counts at once."""
+    """Estimates the offers per second as (3·new + 8·old) / 11 for each two seconds.
+
+    The long step smooths out random variation; a significant rise or fall takes effect at once.
+    """
 
-    STEP, NEW, OLD = 2.0, 3.0, 8.0
-    SURE, FEW = 3.0, 3.0  # standard deviations, and offers beside them, by which chance may differ
-    SOONEST = 0.25  # seconds of a step after which it is looked at
+    STEP_S, NEW_WEIGHT, OLD_WEIGHT = 2.0, 3.0, 8.0  # seconds of one measurement, and the weights
+    SIGNIFICANCE, MARGIN = 3.0, 3.0  # standard deviations, and offers in addition, of random variation
+    MIN_ELAPSED_S = 0.25  # seconds of an unfinished step after which it is evaluated
 
     def __init__(self) -> None:
-        self.a_second = 0.0
-        self._since: float | None = None
+        self.per_second = 0.0
+        self._step_start: float | None = None
         self._count = 0
 
-    def asked(self, now: float) -> None:
-        self.at(now)
+    def on_request(self, now: float) -> None:
+        self.rate_at(now)
         self._count += 1
 
-    def at(self, now: float) -> float:
-        if self._since is None or not 0 <= now - self._since < 60.0:
-            self._since, self._count, self.a_second = now, 0, 0.0
-        while now - self._since >= self.STEP:
-            new, old = self._count / self.STEP, self.a_second
-            usual = (self.NEW * new + self.OLD * old) / (self.NEW + self.OLD)
-            self.a_second = usual if self._by_chance(self.STEP) else new
-            self._count, self._since = 0, self._since + self.STEP
-        gone = now - self._since
-        if gone >= self.SOONEST and not self._by_chance(gone):
-            return self._count / gone
-        return self.a_second
-
-    def _by_chance(self, seconds: float) -> bool:
-        """Whether what was counted in so many seconds may be what was known before."""
-        usual = self.a_second * seconds
-        return bool(abs(self._count - usual) <= self.SURE * usual**0.5 + self.FEW)
+    def rate_at(self, now: float) -> float:
+        if self._step_start is None or not 0 <= now - self._step_start < 60.0:
+            self._step_start, self._count, self.per_second = now, 0, 0.0
+        while now - self._step_start >= self.STEP_S:
+            new, old = self._count / self.STEP_S, self.per_second
+            average = (self.NEW_WEIGHT * new + self.OLD_WEIGHT * old) / (self.NEW_WEIGHT + self.OLD_WEIGHT)
+            self.per_second = average if self._within_noise(self.STEP_S) else new
+            self._count, self._step_start = 0, self._step_start + self.STEP_S
+        elapsed = now - self._step_start
+        if elapsed >= self.MIN_ELAPSED_S and not self._within_noise(elapsed):
+            return self._count / elapsed
+        return self.per_second
+
+    def _within_noise(self, seconds: float) -> bool:
+        """Returns whether the count over `seconds` is within random variation of the estimate."""
+        expected = self.per_second * seconds
+        return bool(abs(self._count - expected) <= self.SIGNIFICANCE * expected**0.5 + self.MARGIN)
--- a/ledgehitch/door/names.py
+++ b/ledgehitch/door/names.py
@@ -1,7 +1,7 @@
-"""Who is asking: one keyed name for each client, by the first thing known of it. Free of I/O.
+"""Identifies clients by a keyed hash of their token, certificate or address. Free of I/O.
 
-Names are keyed hashes: nobody outside can make two clients fall together. IPv6 clients are named by their
-/64, as one household holds all of it.
+Without the key nobody can construct two clients with the same hash. IPv6 clients are identified by their /64
+prefix, since one household holds all of it.
 """
 
 import ipaddress
@@ -12,11 +12,11 @@
 
 By = Literal["token", "certificate", "address"]
 ORDER: tuple[By, ...] = ("token", "certificate", "address")
-SIZE = 8  # bytes of a name
+NAME_BYTES = 8
 
 
 def prefix_of(address: str) -> str:
-    """The part of an address that stands for one client; the text itself where it is no address."""
+    """Returns the part of an IP address that identifies a client, or the text itself if it is no address."""
     try:
         ip = ipaddress.ip_address(address.partition("%")[0].strip("[]"))
     except ValueError:
@@ -29,9 +29,12 @@
 
 
 def name_of(secret: bytes, token: str, certificate: str, address: str, order: Sequence[By] = ORDER) -> bytes:
-    """The client's name; `order` says what counts first, the address is what is left in the end."""
+    """Returns the client's keyed hash of `NAME_BYTES` bytes.
+
+    `order` gives the precedence of the identities; the address is always the last resort.
+    """
     known = {"token": token, "certificate": certificate, "address": prefix_of(address) if address else ""}
-    for by in (*order, "address"):
-        if known[by]:
-            return blake3(f"{by}\0{known[by]}".encode(), key=secret).digest(SIZE)
-    return bytes(SIZE)
+    for kind in (*order, "address"):
+        if known[kind]:
+            return blake3(f"{kind}\0{known[kind]}".encode(), key=secret).digest(NAME_BYTES)
+    return bytes(NAME_BYTES)
--- a/ledgehitch/door/part.py
+++ b/ledgehitch/door/part.py
@@ -1,64 +1,69 @@
-"""This gateway's part of what the fleet may do together. Free of I/O and clock.
+"""This gateway's share of the fleet-wide budgets. Free of I/O and clock.
 
-An own part needs nobody; what is lent beside it, by budget, ends by itself. Limits hold in sum though nobody
-is asked. Where things are counted, parts are whole things.
+The own share needs no coordination; loans, by budget, expire by themselves. So the sum of all shares stays
+within the limit without asking anybody. Of a counted budget, shares are whole units.
 """
 
 from collections.abc import Mapping
 
-WHOLE = 1_000_000_000  # parts of every budget, whatever its unit: a share goes on when the whole is changed
-MOST_COUNTED = 31_622  # up to here WHOLE // (WHOLE // n) is n, so that no sum of whole things is above n
-MOST_HELD = 16  # answers that are held: another whole after each of many reloads
+WHOLE = 1_000_000_000  # parts of any budget, whatever its unit: shares stay valid when the budget changes
+MOST_COUNTED = 31_622  # largest n with WHOLE // (WHOLE // n) == n, so that no sum of whole units exceeds n
+MAX_CACHED = 16  # cached unit counts: each reload may change the size of a budget
 
 
 def grain_of(whole: int) -> int:
-    """Parts that are one whole thing of so many. 1 where they are more than `MOST_COUNTED`: a part that is
-    not a whole thing costs less than one in thousands there."""
+    """Returns the parts that make up one unit of a budget of `whole` units.
+
+    It is 1 above `MOST_COUNTED` units: a fraction of a unit costs less than one in thousands there.
+    """
     return WHOLE // whole if 1 <= whole <= MOST_COUNTED else 1
 
 
 def things(parts: int, whole: int) -> int:
-    """How many whole things these parts of so many are."""
+    """Returns how many whole units `parts` are of a budget of `whole` units."""
     grain = grain_of(whole)
     return parts // grain if grain > 1 else parts * whole // WHOLE
 
 
 class Part:
+    """The share of one gateway: its own, and what is lent to it."""
+
     def __init__(self, own: float) -> None:
-        """`own`: of each whole, 0 to 1."""
+        """Starts without loans; `own` is the share of each budget, 0 to 1."""
         self.own = own
-        self.by_budget: dict[str, float] = {}  # own parts of budgets of which a gateway has its own figure
+        self.by_budget: dict[str, float] = {}  # own shares of the budgets for which they differ from `own`
         self.lent: dict[str, float] = {}
-        self.until = -1e18  # end of what is lent
-        self._things: dict[tuple[str, int, bool], int] = {}  # as they were asked for, until it is told anew
+        self.lent_until = -1e18  # when the loans expire
+        self._units_cache: dict[tuple[str, int, bool], int] = {}  # unit counts, valid until the next update
 
-    def told(
+    def update(
         self,
         own: float,
         lent: Mapping[str, float],
         until: float,
         by_budget: Mapping[str, float] | None = None,
     ) -> None:
-        self.own, self.lent, self.until, self.by_budget = own, dict(lent), until, dict(by_budget or {})
-        self._things = {}
+        """Replaces the own shares and the loans, which expire at `until`."""
+        self.own, self.lent, self.lent_until, self.by_budget = own, dict(lent), until, dict(by_budget or {})
+        self._units_cache = {}
 
     def share(self, now: float, budget: str) -> float:
-        """Of the whole of a budget, now."""
+        """Returns the share of a budget that is in force at `now`, 0 to 1."""
         own = self.by_budget.get(budget, self.own)
-        return own + (self.lent.get(budget, 0.0) if now < self.until else 0.0)
+        return own + (self.lent.get(budget, 0.0) if now < self.lent_until else 0.0)
 
-    def things(self, now: float, budget: str, whole: int) -> int:
-        """Of so many things of a budget, how many are this gateway's now."""
-        asked = budget, whole, now < self.until
-        found = self._things.get(asked)
-        if found is None:
-            if len(self._things) >= MOST_HELD:
-                self._things = {}
-            self._things[asked] = found = things(round(self.share(now, budget) * WHOLE), whole)
-        return found
+    def whole_units(self, now: float, budget: str, whole: int) -> int:
+        """Returns how many of the `whole` units of a budget this gateway may use at `now`."""
+        key = budget, whole, now < self.lent_until
+        units = self._units_cache.get(key)
+        if units is None:
+            if len(self._units_cache) >= MAX_CACHED:
+                self._units_cache = {}
+            self._units_cache[key] = units = things(round(self.share(now, budget) * WHOLE), whole)
+        return units
 
-    def gathered(self, first: float, last: float, budget: str) -> float:
-        """The share times the seconds in which it was in force."""
-        lent_for = max(0.0, min(last, self.until) - first)
+    def accumulated(self, first: float, last: float, budget: str) -> float:
+        """Returns the integral of the share over the time from `first` to `last`, in seconds."""
+        lent_for = max(0.0, min(last, self.lent_until) - first)
         own = self.by_budget.get(budget, self.own)
         return own * max(0.0, last - first) + self.lent.get(budget, 0.0) * lent_for
--- a/ledgehitch/door/queue.py
+++ b/ledgehitch/door/queue.py
@@ -1,7 +1,8 @@
-"""Who waits, in a fixed number of cells that take turns by weight. Free of I/O, clock and chance.
+"""Weighted fair queue with a fixed number of cells. Free of I/O, clock and randomness.
 
-Deficit round robin over cells, with cells that were idle served before those that wait all the time. A
-client is in one cell by a keyed hash; the key changes now and then, so that no innocent stays beside a flood.
+Deficit round robin over the cells; cells that were idle are served before those with a backlog. A keyed hash
+assigns each client to a cell. The key changes periodically, so that no client shares a cell with a flooding
+one for long.
 """
 
 import heapq
@@ -12,149 +13,158 @@
 from ledgehitch.keyed import Cells
 
 CELLS = 1024
-IN_CELL = 64  # that wait in one cell
-WAITING = 8192  # in all
-ROUNDING = 1e-9  # of a turn: what thirds leave over
-REKEY = 20.0  # seconds after which clients share cells anew
+IN_CELL = 64  # queued requests in one cell
+WAITING = 8192  # queued requests in all cells
+ROUNDING = 1e-9  # rounding error of the deficit, for costs such as one third
+REKEY = 20.0  # seconds after which clients are assigned to cells anew
 
 
 @dataclass(slots=True)
 class Waiting:
-    """One that waits. `cost` is what its turn takes of a cell's share: less for what is worth more."""
+    """A queued request. Serving it takes `cost` of its cell's deficit: less for a package of more value."""
 
     conn: int
     name: bytes
     package: str
     cost: float
-    since: float
-    until: float  # from then on it could not be set up any more
-    cell: int = -1  # its cell's number; -1: in the line of those who go first
+    queued_at: float
+    expires_at: float  # when it is too late to set it up
+    cell: int = -1  # number of its cell; -1: in the priority queue
 
 
 class _Cell:
-    __slots__ = ("line", "deficit")
+    __slots__ = ("requests", "deficit")
 
     def __init__(self, deficit: float) -> None:
-        self.line: dict[int, Waiting] = {}
+        self.requests: dict[int, Waiting] = {}
         self.deficit = deficit
 
 
 class FairQueue:
+    """The queue of one gateway, at most `WAITING` requests."""
+
     def __init__(self, secret: bytes) -> None:
-        self._of, self._era = Cells(secret, CELLS), -1
-        self._cells: dict[int, _Cell] = {}  # those in which somebody waits, or did at their last turn
-        self._new: OrderedDict[int, None] = OrderedDict()  # were idle until now: served first
-        self._old: OrderedDict[int, None] = OrderedDict()
-        self._first: dict[int, Waiting] = {}  # go before all cells
+        self._cell_hash, self._epoch = Cells(secret, CELLS), -1
+        self._cells: dict[int, _Cell] = {}  # cells that hold requests, or did when they were last served
+        # Cells that were idle until now, which are served first, and cells with a backlog.
+        self._newly_active: OrderedDict[int, None] = OrderedDict()
+        self._backlogged: OrderedDict[int, None] = OrderedDict()
+        self._priority: dict[int, Waiting] = {}  # the priority queue, served before all cells
         self._by_length: list[dict[int, None]] = [{} for _ in range(IN_CELL + 1)]
-        self._waiting: dict[int, Waiting] = {}
-        self._ends: list[tuple[float, int]] = []
+        self._queued: dict[int, Waiting] = {}
+        self._expiries: list[tuple[float, int]] = []
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queued)
 
-    def _cell_of(self, name: bytes) -> int:
-        return self._of.of(name)
+    def _cell_number(self, name: bytes) -> int:
+        return self._cell_hash.of(name)
 
-    def _era_at(self, now: float) -> None:
-        era = int(now // REKEY)
-        if era <= self._era:  # a clock that steps back changes nothing
+    def _update_epoch(self, now: float) -> None:
+        epoch = int(now // REKEY)
+        if epoch <= self._epoch:  # also when the clock steps back
             return
-        self._era = era
-        self._of.era(era)
-        waiting = sorted(self._waiting.values(), key=lambda w: (w.since, w.conn))
-        self._cells, self._new, self._old = {}, OrderedDict(), OrderedDict()
+        self._epoch = epoch
+        self._cell_hash.era(epoch)
+        queued = sorted(self._queued.values(), key=lambda w: (w.queued_at, w.conn))
+        self._cells, self._newly_active, self._backlogged = {}, OrderedDict(), OrderedDict()
         self._by_length = [{} for _ in range(IN_CELL + 1)]
-        for one in waiting:
-            if one.cell >= 0:
-                self._line(one, self._cell_of(one.name), fresh=False)
+        for request in queued:
+            if request.cell >= 0:
+                self._append(request, self._cell_number(request.name), fresh=False)
 
-    def _line(self, one: Waiting, number: int, fresh: bool) -> None:
-        one.cell = number
+    def _append(self, request: Waiting, number: int, fresh: bool) -> None:
+        request.cell = number
         cell = self._cells.get(number)
         if cell is None:
             cell = self._cells[number] = _Cell(1.0 if fresh else 0.0)
-            (self._new if fresh else self._old)[number] = None
-        cell.line[one.conn] = one
-        self._resized(number, len(cell.line) - 1)
+            (self._newly_active if fresh else self._backlogged)[number] = None
+        cell.requests[request.conn] = request
+        self._update_length(number, len(cell.requests) - 1)
+
+    def _update_length(self, number: int, before: int) -> None:
+        """Updates the index by length for a cell that held `before` requests.
 
-    def _resized(self, number: int, before: int) -> None:
-        """A cell's line was `before` long; two that fall together anew may be longer than one may grow."""
+        After a key change, two cells that fall together may hold more than `IN_CELL` requests.
+        """
         self._by_length[min(before, IN_CELL)].pop(number, None)
-        now = len(self._cells[number].line)
+        now = len(self._cells[number].requests)
         if now:
             self._by_length[min(now, IN_CELL)][number] = None
 
-    def put(self, now: float, one: Waiting, first: bool = False) -> Waiting | None:
-        """Puts it in line, `first` before all cells; who has to go for it, which may be itself. One of the
-        longest cell goes, its newest: a flood crowds out itself."""
-        self._era_at(now)
-        number = self._cell_of(one.name)
+    def put(self, now: float, request: Waiting, first: bool = False) -> Waiting | None:
+        """Queues a request; `first` puts it into the priority queue.
+
+        Returns the request that is dropped for it, if any, which may be the new one itself. When the queue is
+        full, the newest request of the longest cell is dropped, so that a flood displaces only itself.
+        """
+        self._update_epoch(now)
+        number = self._cell_number(request.name)
         cell = self._cells.get(number)
-        if not first and cell is not None and len(cell.line) >= IN_CELL:
-            return one
-        out = None
-        if len(self._waiting) >= WAITING:
-            longest = next((next(iter(some)) for some in reversed(self._by_length) if some), None)
+        if not first and cell is not None and len(cell.requests) >= IN_CELL:
+            return request
+        dropped = None
+        if len(self._queued) >= WAITING:
+            longest = next((next(iter(cells)) for cells in reversed(self._by_length) if cells), None)
             if longest is None or longest == number and not first:
-                return one
-            out = next(reversed(self._cells[longest].line.values()))
-            self.drop(out.conn)
-        self._waiting[one.conn] = one
-        heapq.heappush(self._ends, (one.until, one.conn))
+                return request
+            dropped = next(reversed(self._cells[longest].requests.values()))
+            self.remove(dropped.conn)
+        self._queued[request.conn] = request
+        heapq.heappush(self._expiries, (request.expires_at, request.conn))
         if first:
-            self._first[one.conn] = one
+            self._priority[request.conn] = request
         else:
-            self._line(one, number, fresh=True)
-        return out
-
-    def drop(self, conn: int) -> Waiting | None:
-        """It waits no longer, and nothing of it stays in line."""
-        one = self._waiting.pop(conn, None)
-        if one is not None and one.cell < 0:
-            del self._first[conn]
-        elif one is not None:
-            line = self._cells[one.cell].line
-            del line[conn]
-            self._resized(one.cell, len(line) + 1)
-        return one
-
-    def overdue(self, now: float) -> Iterator[Waiting]:
-        """Those that could not be set up in time any more, taken out."""
-        while self._ends and self._ends[0][0] <= now:
-            _, conn = heapq.heappop(self._ends)
-            one = self._waiting.get(conn)
-            if one is not None and one.until <= now:
-                self.drop(conn)
-                yield one
-
-    def next(self, now: float) -> Waiting | None:
-        """Who is let in next, taken out."""
-        self._era_at(now)
-        if self._first:
-            return self.drop(next(iter(self._first)))
+            self._append(request, number, fresh=True)
+        return dropped
+
+    def remove(self, conn: int) -> Waiting | None:
+        """Removes a request from the queue and returns it, or None if it is not queued."""
+        request = self._queued.pop(conn, None)
+        if request is not None and request.cell < 0:
+            del self._priority[conn]
+        elif request is not None:
+            requests = self._cells[request.cell].requests
+            del requests[conn]
+            self._update_length(request.cell, len(requests) + 1)
+        return request
+
+    def pop_expired(self, now: float) -> Iterator[Waiting]:
+        """Removes and yields the requests that can no longer be set up in time."""
+        while self._expiries and self._expiries[0][0] <= now:
+            _, conn = heapq.heappop(self._expiries)
+            request = self._queued.get(conn)
+            if request is not None and request.expires_at <= now:
+                self.remove(conn)
+                yield request
+
+    def pop_next(self, now: float) -> Waiting | None:
+        """Removes and returns the request to admit next, or None if the queue is empty."""
+        self._update_epoch(now)
+        if self._priority:
+            return self.remove(next(iter(self._priority)))
         while True:
-            turns = self._new or self._old
-            if not turns:
+            round = self._newly_active or self._backlogged
+            if not round:
                 return None
-            number = next(iter(turns))
+            number = next(iter(round))
             cell = self._cells[number]
-            if not cell.line:
-                del turns[number]
-                if turns is self._new and self._old:
-                    self._old[number] = None  # not new again by being empty for a moment
+            if not cell.requests:
+                del round[number]
+                if round is self._newly_active and self._backlogged:
+                    self._backlogged[number] = None  # being empty for a moment does not make a cell idle
                 else:
-                    self._old.pop(number, None)
+                    self._backlogged.pop(number, None)
                     del self._cells[number]
                 continue
             if cell.deficit <= ROUNDING:
                 cell.deficit += 1.0
-                del turns[number]
-                self._old[number] = None
+                del round[number]
+                self._backlogged[number] = None
                 continue
-            one = next(iter(cell.line.values()))
-            cell.deficit -= one.cost
-            return self.drop(one.conn)
+            request = next(iter(cell.requests.values()))
+            cell.deficit -= request.cost
+            return self.remove(request.conn)
 
     def wake_at(self) -> float | None:
-        return self._ends[0][0] if self._ends else None
+        return self._expiries[0][0] if self._expiries else None
--- a/ledgehitch/door/rates.py
+++ b/ledgehitch/door/rates.py
@@ -1,8 +1,7 @@
-"""How often a client and a package may ask: rates in fixed memory. Free of I/O, clock and chance.
+"""Rate limits for clients and packages in fixed memory. Free of I/O, clock and randomness.
 
-A client's rate is kept as the time at which all that was asked for would be paid off (the generic cell rate
-algorithm): one number, and the wait it gives is exact. A package's is kept as what was gathered and not
-spent, since this gateway's part of it changes.
+Client limits use the generic cell rate algorithm: one theoretical arrival time per client, which gives the
+exact wait. Package limits are token buckets, since this gateway's share of their rate changes.
 """
 
 from array import array
@@ -10,82 +9,89 @@
 
 from ledgehitch.door.part import Part
 
-ROWS, COLUMNS = 4, 16384  # of the clients' table: half a megabyte
-FOREVER = 1e18
+ROWS, COLUMNS = 4, 16384  # size of the table of clients: half a megabyte
+FOREVER = 1e18  # seconds
 ROUNDING = 1e-9
-SET_UPS = "set_ups"  # what the limit on set-ups at once is called among the budgets of the fleet
+SET_UPS = "set_ups"  # name of the fleet's budget for concurrent set-ups
 
 
 def budget_of(package: str) -> str:
-    """What the offers of a package are called among the budgets of the fleet."""
+    """Returns the name of the fleet's budget for the offers of a package."""
     return f"offers.{package}"
 
 
 class ClientRates:
-    """So many offers a second for each client, in a table that no number of names makes larger.
+    """Limits the offers per second of each client, in a table whose size does not depend on their number.
 
-    A client has one place in each row, by parts of its name (a keyed hash). It is over its rate where all its
-    places say so: no client is ever let over its rate, and an innocent one is held to be over it only where
-    it shares all of its places with heavy ones at once."""
+    A client has one entry in each row, chosen by parts of its name (a keyed hash), and exceeds its rate if
+    all its entries say so. No client ever gets more than its rate. A client within its rate is rejected only
+    if it shares every one of its entries with clients over theirs.
+    """
 
     def __init__(self) -> None:
-        self.a_second = self.burst = 0.0  # no limit
-        self._paid_at = array("d", bytes(8 * ROWS * COLUMNS))
+        self.per_second = self.burst = 0.0  # no limit
+        self._arrival_times = array("d", bytes(8 * ROWS * COLUMNS))
 
-    def changed(self, a_second: float, burst: float) -> None:
-        """0 a second is no limit. What is owed stays owed, at the new rate."""
-        self.a_second, self.burst = a_second, max(1.0, burst)
+    def set_limit(self, per_second: float, burst: float) -> None:
+        """Sets the limit; a rate of 0 disables it. Earlier requests still count, at the new rate."""
+        self.per_second, self.burst = per_second, max(1.0, burst)
 
-    def wait(self, now: float, name: bytes) -> float:
-        """Seconds until this client may ask; 0 where it may now, and has."""
-        if self.a_second <= 0:
+    def acquire(self, now: float, name: bytes) -> float:
+        """Returns the seconds until this client may request; 0 admits the request now and counts it."""
+        if self.per_second <= 0:
             return 0.0
-        each = 1.0 / self.a_second
-        places = [row * COLUMNS + (name[2 * row] << 8 | name[2 * row + 1]) % COLUMNS for row in range(ROWS)]
-        paid = min(self._paid_at[p] for p in places)
-        wait = paid - now - (self.burst - 1.0) * each
+        interval = 1.0 / self.per_second
+        entries = [row * COLUMNS + (name[2 * row] << 8 | name[2 * row + 1]) % COLUMNS for row in range(ROWS)]
+        arrival_time = min(self._arrival_times[p] for p in entries)
+        wait = arrival_time - now - (self.burst - 1.0) * interval
         if wait > 0:
             return wait
-        paid = max(paid, now) + each
-        for p in places:
-            self._paid_at[p] = max(self._paid_at[p], paid)
+        arrival_time = max(arrival_time, now) + interval
+        for p in entries:
+            self._arrival_times[p] = max(self._arrival_times[p], arrival_time)
         return 0.0
 
 
 class PackageRates:
-    """So many offers a second for each package, this gateway's part of what the fleet is given.
+    """Limits the offers per second of each package to this gateway's share of the fleet's rate.
 
-    Over any time gateways together let in no more than the rate gives, a second's worth, and one for each
-    gateway. A part that moves takes nothing with it that was gathered already, and a life begins with
-    nothing: else a part that goes around would bring its burst again each time."""
+    Over any interval all gateways together admit at most the rate times its length, plus one second's worth,
+    plus one for each gateway. A share that moves to another gateway does not carry tokens with it, and a
+    process starts without tokens. Otherwise a share that goes around would bring its burst again each time.
+    """
 
-    # Seconds' worth that may come at once: with less, what chance swings costs where many hold little.
-    BURST = 1.0
+    # Seconds' worth of tokens that a bucket holds; a smaller bucket loses capacity to random variation where
+    # many gateways hold small shares.
+    BURST_S = 1.0
 
     def __init__(self) -> None:
-        self.a_second: dict[str, float] = {}  # of the fleet
-        self._left: dict[str, tuple[float, float]] = {}  # gathered and not spent, and when that was so
-
-    def changed(self, a_second: Mapping[str, float]) -> None:
-        self.a_second = dict(a_second)
-        self._left = {package: left for package, left in self._left.items() if package in a_second}
-
-    def gather(self, now: float, part: Part) -> None:
-        """Up to now by the part that was in force; before it changes."""
-        for package, a_second in self.a_second.items():
-            left, at = self._left.get(package, (0.0, now))
-            left += a_second * part.gathered(at, now, budget_of(package))
-            most = max(1.0, a_second * part.share(now, budget_of(package)) * self.BURST)
-            self._left[package] = min(left, most), max(at, now)
-
-    def wait(self, now: float, package: str, part: Part) -> float:
-        """As `ClientRates.wait`; `part`: this gateway's of the fleet's rate."""
-        if package not in self.a_second:
+        self.per_second: dict[str, float] = {}  # rates of the whole fleet
+        self._tokens: dict[str, tuple[float, float]] = {}  # tokens, and the time of that count
+
+    def set_limits(self, per_second: Mapping[str, float]) -> None:
+        """Sets the fleet's rates; tokens of packages without a limit are dropped."""
+        self.per_second = dict(per_second)
+        self._tokens = {package: tokens for package, tokens in self._tokens.items() if package in per_second}
+
+    def refill(self, now: float, share: Part) -> None:
+        """Adds tokens up to `now` at the share that was in force; call it before the share changes."""
+        for package, per_second in self.per_second.items():
+            tokens, updated_at = self._tokens.get(package, (0.0, now))
+            tokens += per_second * share.accumulated(updated_at, now, budget_of(package))
+            capacity = max(1.0, per_second * share.share(now, budget_of(package)) * self.BURST_S)
+            self._tokens[package] = min(tokens, capacity), max(updated_at, now)
+
+    def acquire(self, now: float, package: str, share: Part) -> float:
+        """Returns the seconds until an offer may come; 0 admits it now and counts it.
+
+        `share` is this gateway's share of the fleet's rates.
+        """
+        if package not in self.per_second:
             return 0.0
-        self.gather(now, part)
-        left, at = self._left[package]
-        if left >= 1.0 - ROUNDING:
-            self._left[package] = max(0.0, left - 1.0), at
+        self.refill(now, share)
+        tokens, updated_at = self._tokens[package]
+        if tokens >= 1.0 - ROUNDING:
+            self._tokens[package] = max(0.0, tokens - 1.0), updated_at
             return 0.0
-        rate = self.a_second[package] * part.share(now, budget_of(package))
-        return (1.0 - left) / rate if rate > 0 else FOREVER
+        rate = self.per_second[package] * share.share(now, budget_of(package))
+        return (1.0 - tokens) / rate if rate > 0 else FOREVER
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -13,9 +13,9 @@
 from benchmarks.door import PATIENCE, door, flood, returns, shares, storm
 from ledgehitch.config import read_day
 from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
-from ledgehitch.door.decide import WAITS, Door, Let, Turn
+from ledgehitch.door.decide import MAX_WAIT_SHARE, Door, Let, Turn
 from ledgehitch.door.heavy import Heavy
-from ledgehitch.door.limits import LEAST, Adapted, Fixed, Pace
+from ledgehitch.door.limits import MIN_LIMIT, Adapted, Fixed, Pace
 from ledgehitch.door.names import name_of, prefix_of
 from ledgehitch.door.part import Part
 from ledgehitch.door.queue import IN_CELL, REKEY, WAITING, FairQueue, Waiting
@@ -45,7 +45,7 @@
 
 def taken(q: FairQueue, now: float, most: int = 10**6) -> Iterator[Waiting]:
     for _ in range(most):
-        one = q.next(now)
+        one = q.pop_next(now)
         if one is None:
             return
         yield one
@@ -97,8 +97,10 @@
 
 def test_who_shares_a_cell_by_chance_does_so_for_a_while_only() -> None:
     q = FairQueue(SECRET)
-    q._era_at(T)
-    beside = next(f"c{n}" for n in range(10**6) if q._cell_of(f"c{n}".encode()) == q._cell_of(b"flood"))
+    q._update_epoch(T)
+    beside = next(
+        f"c{n}" for n in range(10**6) if q._cell_number(f"c{n}".encode()) == q._cell_number(b"flood")
+    )
     for n in range(50):
         q.put(T, waiting(n, "flood", since=T))
     q.put(T, waiting(99, beside, since=T))
@@ -113,7 +115,7 @@
 @given(st.integers(0, 2**32))
 def test_each_that_asks_is_let_in_or_turned_away_once_and_never_too_late(seed: int) -> None:
     chance = random.Random(seed)
-    limit = Adapted(limit=LEAST) if chance.random() < 0.5 else Fixed(10.0)
+    limit = Adapted(limit=MIN_LIMIT) if chance.random() < 0.5 else Fixed(10.0)
     some = Door(T, chance, {"a": 1.0, "b": 3.0}, {"a": 0.8, "b": 0.4}, chance.random() < 0.8, 5.0, limit)
     now, conn = T, 0
     asked: dict[int, float] = {}
@@ -150,7 +152,7 @@
                 tickets.append((decision.ticket, b""))
             else:
                 assert not some.may_advise and not decision.ticket
-        assert len(some.out) == len(inside) and len(some.out) <= max(some.limit.limit, 64.0)
+        assert len(some.in_progress) == len(inside) and len(some.in_progress) <= max(some.limit.limit, 64.0)
     now += 60.0
     for decision in drained(some, now):
         over.add(decision.conn)
@@ -168,9 +170,9 @@
         some.asked(now, n, n.to_bytes(8, "big"), "recorded", now + PATIENCE)
         drained(some, now)
     q = some.queue
-    assert len(q) <= WAITING and len(q._cells) <= 1024 and len(q._ends) <= 2 * WAITING + 30_000
+    assert len(q) <= WAITING and len(q._cells) <= 1024 and len(q._expiries) <= 2 * WAITING + 30_000
     drained(some, 100.0)
-    assert len(q) == 0 and not q._ends and some.heavy.total() <= 40_000
+    assert len(q) == 0 and not q._expiries and some.heavy_hitters.total() <= 40_000
 
 
 # ---- heavy clients, limits ---------------------------------------------------------------------------------
@@ -182,42 +184,42 @@
     for n in range(60_000):
         name = (chance.randrange(50) if chance.random() < 0.3 else 1000 + n).to_bytes(8, "big")
         true[name] = true.get(name, 0) + 1
-        heavy.asked(T + n / 20_000, name)
+        heavy.on_request(T + n / 20_000, name)
     top = sorted(true, key=lambda name: -true[name])[:50]
     for name in top:
         assert true[name] - heavy.error() <= heavy.count(name) <= true[name]
     assert {name for name, _ in heavy.heaviest(50)} >= {name.hex() for name in top[:40]}
     again = Heavy()
-    again.thawed(T + 3, heavy.frozen())
+    again.restore(T + 3, heavy.snapshot())
     assert [again.count(name) for name in top] == [heavy.count(name) for name in top]
-    heavy.asked(T + 100.0, b"later")
+    heavy.on_request(T + 100.0, b"later")
     assert heavy.total() == 1, "what was long ago is let go"
 
 
 def test_the_limit_falls_when_set_ups_are_slow_and_rises_while_it_is_used() -> None:
     limit = Adapted(limit=50.0)
     for n in range(200):
-        limit.ended(T + n * 0.01, 50, 0.05, 0.8, False)
+        limit.on_setup_end(T + n * 0.01, 50, 0.05, 0.8, False)
     risen = limit.limit
     assert risen > 52.0
-    limit.ended(T + 3, 50, 0.7, 0.8, False)
-    limit.ended(T + 3.01, 50, 0.7, 0.8, False)
+    limit.on_setup_end(T + 3, 50, 0.7, 0.8, False)
+    limit.on_setup_end(T + 3.01, 50, 0.7, 0.8, False)
     assert limit.limit == pytest.approx(risen * 0.85), "once for all that were out then"
     for n in range(100):
-        limit.ended(T + 4 + n, 5, 0.1, 0.8, True)
-    assert limit.limit == LEAST
-    limit.ended(T - 500, 5, 0.1, 0.8, True)
+        limit.on_setup_end(T + 4 + n, 5, 0.1, 0.8, True)
+    assert limit.limit == MIN_LIMIT
+    limit.on_setup_end(T - 500, 5, 0.1, 0.8, True)
     before = limit.limit
-    limit.ended(T + 900, 2, 0.05, 0.8, False)
+    limit.on_setup_end(T + 900, 2, 0.05, 0.8, False)
     assert limit.limit == before, "it does not rise while it is not used"
 
 
 def test_the_pace_is_what_was_let_in_lately() -> None:
     pace = Pace()
     for n in range(400):
-        pace.let_in(T + n * 0.02)
-    assert pace.at(T + 8.0) == pytest.approx(50.0, rel=0.1)
-    assert pace.at(T + 500.0) == 0.0
+        pace.on_admission(T + n * 0.02)
+    assert pace.rate_at(T + 8.0) == pytest.approx(50.0, rel=0.1)
+    assert pace.rate_at(T + 500.0) == 0.0
 
 
 # ---- coming again ------------------------------------------------------------------------------------------
@@ -225,34 +227,34 @@
 
 def test_returns_are_spread_over_the_seconds_to_come() -> None:
     places = Places()
-    advised = [places.booked(T, 10.0, 1.0, 5.0) for _ in range(60)]
+    advised = [places.book(T, 10.0, 1.0, 5.0) for _ in range(60)]
     told = [a for a in advised if a is not None]
     by_second = {s: sum(int(T + a) == s for a in told) for s in range(int(T) + 1, int(T) + 6)}
     assert set(by_second.values()) == {6} and advised[-1] is None and max(told) <= 5.0
-    assert places.booked(T - 3600, 10.0, 1.0, 5.0) == 1.0, "after a step of the clock nothing is known"
+    assert places.book(T - 3600, 10.0, 1.0, 5.0) == 1.0, "after a step of the clock nothing is known"
 
 
 def test_tickets_are_good_once_for_their_client_at_their_time() -> None:
     tickets = Tickets(1, SECRET)
     one = tickets.issue(T, b"client-1")
-    assert not tickets.good(T - EARLY - 0.01, one, b"client-1")
-    assert not tickets.good(T, one, b"client-2")
-    assert tickets.good(T - EARLY + 0.01, one, b"client-1")
-    assert not tickets.good(T, one, b"client-1"), "it was used"
+    assert not tickets.redeem(T - EARLY - 0.01, one, b"client-1")
+    assert not tickets.redeem(T, one, b"client-2")
+    assert tickets.redeem(T - EARLY + 0.01, one, b"client-1")
+    assert not tickets.redeem(T, one, b"client-1"), "it was used"
     other = tickets.issue(T, b"client-1")
-    assert not tickets.good(T + LATE + 0.01, other, b"client-1")
-    assert not tickets.good(T, Tickets(1, bytes(32)).issue(T, b"client-1"), b"client-1")
-    assert not tickets.good(T, "nonsense", b"client-1")
+    assert not tickets.redeem(T + LATE + 0.01, other, b"client-1")
+    assert not tickets.redeem(T, Tickets(1, bytes(32)).issue(T, b"client-1"), b"client-1")
+    assert not tickets.redeem(T, "nonsense", b"client-1")
     tickets.rotate(2, bytes(32))
-    assert tickets.good(T + LATE - 0.01, other, b"client-1"), "the key before still checks"
+    assert tickets.redeem(T + LATE - 0.01, other, b"client-1"), "the key before still checks"
     third = tickets.issue(T, b"client-1")
-    kept = msgspec.msgpack.decode(msgspec.msgpack.encode(tickets.frozen()))
+    kept = msgspec.msgpack.decode(msgspec.msgpack.encode(tickets.snapshot()))
     tickets.rotate(3, SECRET)
     tickets.rotate(4, SECRET)
-    assert not tickets.good(T, third, b"client-1")
+    assert not tickets.redeem(T, third, b"client-1")
     again = Tickets(9, bytes(32))
-    again.thawed(kept)
-    assert again.good(T, third, b"client-1") and not again.good(T, other, b"client-1"), (
+    again.restore(kept)
+    assert again.redeem(T, third, b"client-1") and not again.redeem(T, other, b"client-1"), (
         "used in the life before"
     )
     assert tickets.refused == {
@@ -271,9 +273,11 @@
     some.asked(0.0, 1, b"a" * 8, "recorded", 3.0)
     assert drained(some, 0.0) == [Let(1)]
     some.asked(0.0, 2, b"b" * 8, "recorded", 3.0)
-    (turn,) = drained(some, WAITS * 0.8 + 0.01)
-    assert isinstance(turn, Turn) and turn.why == "no turn in time" and turn.ticket and turn.advice <= 5.0
-    then = WAITS * 0.8 + 0.01 + turn.advice
+    (turn,) = drained(some, MAX_WAIT_SHARE * 0.8 + 0.01)
+    assert (
+        isinstance(turn, Turn) and turn.why == "not admitted in time" and turn.ticket and turn.advice <= 5.0
+    )
+    then = MAX_WAIT_SHARE * 0.8 + 0.01 + turn.advice
     for n in range(10, 20):
         some.asked(then, n, bytes([n]) * 8, "recorded", then + 3.0)
     some.asked(then, 3, b"b" * 8, "recorded", then + 3.0, turn.ticket)
@@ -284,7 +288,7 @@
 def test_where_no_advice_is_allowed_none_is_given() -> None:
     some = Door(T, random.Random(1), {"p": 1.0}, {"p": 0.8}, False, 5.0, Fixed(0.0))
     some.asked(T, 1, b"a" * 8, "p", T + 3)
-    assert drained(some, T + 1) == [Turn(1, "no turn in time")]
+    assert drained(some, T + 1) == [Turn(1, "not admitted in time")]
 
 
 def test_a_more_valuable_package_behind_a_full_queue_gets_its_turns() -> None:
@@ -296,7 +300,7 @@
         if n % 8 == 0 and n > 600:
             some.asked(now, 2 * n + 1, n.to_bytes(8, "little"), "live", now + 3)
         if n % 4 == 0:
-            for conn in list(some.out)[:1]:
+            for conn in list(some.in_progress)[:1]:
                 some.settled(now, conn, False)
         for decision in drained(some, now):
             if decision.conn % 2 and n > 1000:
@@ -345,7 +349,7 @@
     held = msgspec.msgpack.decode(msgspec.msgpack.encode(some.frozen()))
     again = door(2)
     again.thawed(2.0, held)
-    assert again.heavy.count(b"heavy-00") == 500 and again.limit.limit == 200.0
+    assert again.heavy_hitters.count(b"heavy-00") == 500 and again.limit.limit == 200.0
     for n in range(5000):
         again.asked(2.0, n, n.to_bytes(8, "big"), "recorded", 5.0)
     assert sum(isinstance(d, Let) for d in drained(again, 2.0)) == 200
@@ -357,7 +361,7 @@
         now = n * 0.01
         some.asked(now, n, b"flood-00", "recorded", now + PATIENCE)
         drained(some, now)
-    assert sum(len(cell.line) for cell in some.queue._cells.values()) == len(some.queue) <= IN_CELL
+    assert sum(len(cell.requests) for cell in some.queue._cells.values()) == len(some.queue) <= IN_CELL
 
 
 def test_who_came_when_told_is_turned_away_in_time_though_no_turn_is_taken() -> None:
@@ -403,7 +407,7 @@
         assert all(statuses[f"other-{n}"] == [201] for n in range(8)), "the others get their turn"
         turned = [r for who, r in got if r.status == 503]
         assert turned and all(who == "flood" for who, r in got if r.status == 503)
-        assert b"no turn in time" in turned[0].body and int(str(turned[0].header("retry-after"))) >= 1
+        assert b"not admitted in time" in turned[0].body and int(str(turned[0].header("retry-after"))) >= 1
         assert any(r.header("return-ticket") for r in turned)
         told = rig.gateway.state()["door"]
         assert told["let_in"] == statuses["flood"].count(201) + 8 and told["out"] == told["waiting"] == 0
@@ -439,20 +443,20 @@
 def test_no_client_is_let_over_its_rate_and_its_wait_is_exact(seed: int) -> None:
     chance = random.Random(seed)
     rates, (a_second, burst) = ClientRates(), chance.choice([(2.0, 1.0), (5.0, 10.0), (0.5, 3.0)])
-    rates.changed(a_second, burst)
+    rates.set_limit(a_second, burst)
     names = [chance.randbytes(8) for _ in range(5)]
     now, let = T, dict[bytes, list[float]]()
     for _ in range(300):
         now += chance.choice([0.0, 0.01, 0.3])
         name = chance.choice(names)
-        wait = rates.wait(now, name)
+        wait = rates.acquire(now, name)
         if not wait:
             let.setdefault(name, []).append(now)
             continue
-        assert rates.wait(now + wait * 0.99, name) > 0, "not sooner than told"
+        assert rates.acquire(now + wait * 0.99, name) > 0, "not sooner than told"
         if chance.random() < 0.2:
             now += wait + 1e-6
-            assert rates.wait(now, name) == 0.0, "it may when told"
+            assert rates.acquire(now, name) == 0.0, "it may when told"
             let[name].append(now)
     for times in let.values():
         for i, first in enumerate(times):
@@ -462,15 +466,15 @@
 
 def test_heavy_ones_by_the_hundred_do_not_use_up_an_innocents_rate() -> None:
     rates, chance = ClientRates(), random.Random(3)
-    rates.changed(1.0, 2.0)
+    rates.set_limit(1.0, 2.0)
     heavies = [chance.randbytes(8) for _ in range(400)]
     for heavy in heavies * 3:
-        rates.wait(T, heavy)
-    assert all(rates.wait(T, heavy) > 0 for heavy in heavies)
+        rates.acquire(T, heavy)
+    assert all(rates.acquire(T, heavy) > 0 for heavy in heavies)
     innocents = [chance.randbytes(8) for _ in range(2000)]
-    assert sum(rates.wait(T, one) == 0.0 for one in innocents) >= 1990
-    rates.changed(0.0, 1.0)
-    assert rates.wait(T, heavies[0]) == 0.0, "no limit any more"
+    assert sum(rates.acquire(T, one) == 0.0 for one in innocents) >= 1990
+    rates.set_limit(0.0, 1.0)
+    assert rates.acquire(T, heavies[0]) == 0.0, "no limit any more"
 
 
 def test_parts_of_a_package_rate_hold_in_sum_over_any_time_however_they_move() -> None:
@@ -478,32 +482,34 @@
     own, chance, let = 0.1 / 4, random.Random(5), list[float]()
     parts, rates = [Part(own) for _ in range(4)], [PackageRates() for _ in range(4)]
     for rate in rates:
-        rate.changed({"recorded": 40.0})
+        rate.set_limits({"recorded": 40.0})
     for n in range(20_000):
         now = T + n / 1000
         if n % 700 == 0:
             at = chance.randrange(4)
             for i, (rate, part) in enumerate(zip(rates, parts, strict=True)):
-                rate.gather(now, part)
+                rate.refill(now, part)
                 lent = {"offers.recorded": 0.9} if i == at else {}
-                part.told(own, lent, now + chance.choice([0.2, 0.7]))
+                part.update(own, lent, now + chance.choice([0.2, 0.7]))
             rates[at - 1] = PackageRates()
-            rates[at - 1].changed({"recorded": 40.0})
-        let += [now for rate, part in zip(rates, parts, strict=True) if not rate.wait(now, "recorded", part)]
+            rates[at - 1].set_limits({"recorded": 40.0})
+        let += [
+            now for rate, part in zip(rates, parts, strict=True) if not rate.acquire(now, "recorded", part)
+        ]
     assert len(let) > 40 * 20 * 0.6, "what is lent is used"
     for first in range(0, len(let), 7):
         for last in range(first, len(let), 11):
             assert last - first + 1 <= 40 * (let[last] - let[first]) + 1.0 * 40 + 4 + 1e-6
-    assert rates[0].wait(T, "live", Part(0.0)) == 0.0, "no limit is stated for it"
+    assert rates[0].acquire(T, "live", Part(0.0)) == 0.0, "no limit is stated for it"
 
 
 def test_a_part_that_is_lent_ends_by_itself_and_is_of_its_budget_alone() -> None:
     part = Part(0.25)
-    assert part.share(T, "set_ups") == 0.25 and part.gathered(T, T + 2, "set_ups") == 0.5
-    part.told(0.05, {"set_ups": 0.5}, T + 20.0)
+    assert part.share(T, "set_ups") == 0.25 and part.accumulated(T, T + 2, "set_ups") == 0.5
+    part.update(0.05, {"set_ups": 0.5}, T + 20.0)
     assert part.share(T + 19, "set_ups") == 0.55 and part.share(T + 20, "set_ups") == 0.05
     assert part.share(T, "offers.live") == 0.05
-    assert part.gathered(T + 19, T + 21, "set_ups") == pytest.approx(0.6)
+    assert part.accumulated(T + 19, T + 21, "set_ups") == pytest.approx(0.6)
     some = door(limit=Fixed(100.0))
     some.limited(0.0, 1.0, {"live": 4.0}, 20.0)
     some.shared(T, 0.05, {"set_ups": 0.5}, T + 20.0)
@@ -519,7 +525,7 @@
     assert some.needs(T + 0.2)[1]["set_ups"] == 0.0, "a set-up that nobody asks for here is for others"
     some.asked(T + 0.2, 99, b"x", "live", T + PATIENCE)
     turned = [d for d in drained(some, T + 0.2) if isinstance(d, Turn)]
-    assert [t.why for t in turned] == ["over the fleet's budget offers.live"]
+    assert [t.why for t in turned] == ["fleet budget offers.live exceeded"]
 
 
 def test_a_limit_that_a_reload_lowers_is_reached_by_letting_nobody_in() -> None:
@@ -538,23 +544,25 @@
     for n in range(100, 104):
         some.asked(0.3, n, b"the same", "recorded", 0.3 + PATIENCE)
     turned = [d for d in drained(some, 0.3) if isinstance(d, Turn)]
-    assert [(t.conn, t.why, t.ticket) for t in turned] == [(n, "over its rate", "") for n in (102, 103)]
+    assert [(t.conn, t.why, t.ticket) for t in turned] == [
+        (n, "client rate limit exceeded", "") for n in (102, 103)
+    ]
     assert turned[0].advice == pytest.approx(0.5)
 
 
 def test_the_limit_does_not_rise_where_set_ups_wait_behind_one_another() -> None:
     limit = Adapted(limit=10.0)
     for n in range(10):
-        limit.ended(T + n, 20, 0.05, 0.8, False)
+        limit.on_setup_end(T + n, 20, 0.05, 0.8, False)
     assert limit.limit == 20.0, "doubled while nothing is in its way"
     for n in range(30):
-        limit.ended(T + 10 + n, 30, 0.05 + 0.01 * n, 0.8, False)
+        limit.on_setup_end(T + 10 + n, 30, 0.05 + 0.01 * n, 0.8, False)
     held = limit.limit
     for n in range(30):
-        limit.ended(T + 50 + n, 30, 0.3, 0.8, False)
-    assert limit.limit == held and not limit.doubles
-    limit.pressed(T + 100)
-    limit.pressed(T + 100.1)
+        limit.on_setup_end(T + 50 + n, 30, 0.3, 0.8, False)
+    assert limit.limit == held and not limit.slow_start
+    limit.on_overload(T + 100)
+    limit.on_overload(T + 100.1)
     assert limit.limit == pytest.approx(held * 0.85)
 
 
@@ -565,7 +573,7 @@
     first.write()
     later = Doorman(door(2), Keep(tmp_path / "g0.door", private=True))
     assert isinstance(later.door, Door)
-    assert later.secret == first.secret and later.door.tickets.good(1e6, ticket, b"client-1")
+    assert later.secret == first.secret and later.door.tickets.redeem(1e6, ticket, b"client-1")
     newest = max(tmp_path.iterdir(), key=lambda p: p.stat().st_mtime_ns)
     newest.write_bytes(newest.read_bytes()[:-7])
     torn = Doorman(door(3), Keep(tmp_path / "g0.door", private=True))
@@ -583,7 +591,7 @@
         rig.gateway.place(msgspec.structs.replace(rig.site, door=limits))
         answers = [rig.offer(n) for n in range(10, 13)]
         assert [a.status for a in answers] == [201, 503, 503]
-        assert b"over its rate" in answers[1].body and answers[1].header("retry-after") == "2"
+        assert b"client rate limit exceeded" in answers[1].body and answers[1].header("retry-after") == "2"
         assert rig.offer(20, token="somebody else").status == 201
 
     Rig(door={"on": True}).run(day)
@@ -620,7 +628,7 @@
     def day(rig: Rig) -> None:
         doorman = rig.gateway.carrier.doorman
         assert doorman is not None and isinstance(doorman.door, Door)
-        doorman.limited(0.5, 1.0, {}, 0.0)  # the second would be over its rate
+        doorman.limited(0.5, 1.0, {}, 0.0)  # the second would exceed its rate
         first, second = rig.ask(1, token="a"), rig.ask(1, token="a")
         both = [answer(first), answer(second)]
         assert [r.status for r in both] == [201, 201]
--- a/tests/test_whole_units.py
+++ b/tests/test_whole_units.py
@@ -67,9 +67,9 @@
     assert sum(things(p, whole) for p in parts) <= whole
     for each in range(0, whole, max(1, whole // 7)):
         told = Part(0.0)
-        told.told(0.0, {}, 0.0, {SET_UPS: each * grain_of(whole) / WHOLE})
+        told.update(0.0, {}, 0.0, {SET_UPS: each * grain_of(whole) / WHOLE})
         if whole <= MOST_COUNTED:
-            assert told.things(T, SET_UPS, whole) == each, "a whole unit counts as one"
+            assert told.whole_units(T, SET_UPS, whole) == each, "a whole unit counts as one"
             assert parts_used(count(whole), each / whole) >= each * grain_of(whole)
             assert parts_wanted(count(whole), each / whole) >= each * grain_of(whole)
 
@@ -299,8 +299,8 @@
     for g in gateways:
         rest, own = own_shares(some, g.name)
         part = Part(1.0)
-        part.told(rest, {}, 0.0, own)
-        each.append(part.things(T, SET_UPS, set_ups))
+        part.update(rest, {}, 0.0, own)
+        each.append(part.whole_units(T, SET_UPS, set_ups))
         assert rest == pytest.approx(1 / 9)
     assert sum(each) == set_ups and max(each) - min(each) <= 1
 
@@ -310,8 +310,8 @@
     idle for so long let one in each: 550 at once, as the page of budgets says."""
     own = own_parts(RATE, 1.0, names_of(550))["g0"] / WHOLE
     part, rates = Part(own), PackageRates()
-    rates.changed({"live": 2.0})
-    assert rates.wait(T, "live", part) == pytest.approx(275.0, rel=1e-3)
-    let = [at for at in range(5, 1500, 5) if not rates.wait(T + at, "live", part)]
+    rates.set_limits({"live": 2.0})
+    assert rates.acquire(T, "live", part) == pytest.approx(275.0, rel=1e-3)
+    let = [at for at in range(5, 1500, 5) if not rates.acquire(T + at, "live", part)]
     assert len(let) == 5 and all(275 <= b - a <= 280 for a, b in zip([0, *let], let, strict=False))
-    assert rates.wait(T + 9000.0, "live", part) == 0.0 and rates.wait(T + 9000.0, "live", part) > 200.0
+    assert rates.acquire(T + 9000.0, "live", part) == 0.0 and rates.acquire(T + 9000.0, "live", part) > 200.0
