--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
-from ledgehitch.door.decide import Door, Let, Turn
+from ledgehitch.door.decide import AdmissionController, Admit, Reject
 from ledgehitch.door.names import name_of
 from ledgehitch.door.returns import SHARE, Places
 
@@ -28,8 +28,8 @@
 }
 
 
-def door(seed: int = 1, **more: Any) -> Door:
-    return Door(
+def door(seed: int = 1, **more: Any) -> AdmissionController:
+    return AdmissionController(
         0.0,
         random.Random(seed),
         {"recorded": 1.0, "live": 3.0},
@@ -86,9 +86,9 @@
                     name = name_of(bytes(32), who, "", "")
                     self.door.asked(self.now, conn, name, package, self.now + PATIENCE, ticket)
             while (decision := self.door.decide(self.now)) is not None:
-                if isinstance(decision, Let):
+                if isinstance(decision, Admit):
                     self.work[decision.conn] = 1.0
-                elif isinstance(decision, Turn):
+                elif isinstance(decision, Reject):
                     self._turned(decision)
 
     def _over(self, conn: int, late: bool) -> None:
@@ -102,7 +102,7 @@
             self.late.append((self.now, who))
             self._again(who, tries, 0.0, "")
 
-    def _turned(self, turn: Turn) -> None:
+    def _turned(self, turn: Reject) -> None:
         who, tries = self.who.pop(turn.conn)
         self.asked_at.pop(turn.conn)
         self.turned.append((self.now, who, turn.advice, turn.ticket))
@@ -285,7 +285,7 @@
             now = n * 0.001
             some.asked(now, n, name, "recorded", now + PATIENCE)
             while (decision := some.decide(now)) is not None:
-                if isinstance(decision, Let):
+                if isinstance(decision, Admit):
                     some.settled(now, decision.conn, False)
             took.append(time.perf_counter() - t0)
         found[str(clients)] = round(1e6 * sorted(took)[len(took) // 2], 1)
@@ -305,7 +305,7 @@
         now = n * 60.0 / names
         some.asked(now, n, n.to_bytes(8, "big"), "recorded", now + PATIENCE)
         while (decision := some.decide(now)) is not None:
-            if isinstance(decision, Let):
+            if isinstance(decision, Admit):
                 out.append(decision.conn)
         if len(out) > 30 and n % 1000 == 0:
             some.settled(now, out.pop(0), False)
--- a/ledgehitch/door/baselines.py
+++ b/ledgehitch/door/baselines.py
@@ -3,7 +3,7 @@
 from collections import deque
 from typing import Any
 
-from ledgehitch.door.decide import Decision, Let, Turn
+from ledgehitch.door.decide import Admit, Decision, Reject
 from ledgehitch.door.limits import Fixed
 
 RATE, BURST = 20.0, 20.0  # requests per second and at once of each client's token bucket
@@ -25,7 +25,7 @@
         ticket: str = "",
         wall_clock_offset: float = 0.0,
     ) -> None:
-        self._due.append(Let(conn))
+        self._due.append(Admit(conn))
 
     def gone(self, now: float, conn: int) -> None:
         """Ignored: no state is held."""
@@ -78,11 +78,11 @@
             if conn in self.disconnected:
                 self.disconnected.discard(conn)
             else:
-                return Turn(conn, "not admitted in time")
+                return Reject(conn, "not admitted in time")
         if self.queue and self.limit.free_slots(len(self.in_progress)) > 0:
             conn, _ = self.queue.popleft()
             self.in_progress.add(conn)
-            return Let(conn)
+            return Admit(conn)
         return None
 
     def wake_at(self) -> float | None:
@@ -110,7 +110,7 @@
         tokens = min(BURST, tokens + (now - updated_at) * RATE)
         if tokens >= 1.0:
             tokens -= 1.0
-            self._due.append(Let(conn))
+            self._due.append(Admit(conn))
         else:
-            self._due.append(Turn(conn, "client rate limit exceeded"))
+            self._due.append(Reject(conn, "client rate limit exceeded"))
         self.buckets[name] = tokens, now
--- a/ledgehitch/door/decide.py
+++ b/ledgehitch/door/decide.py
@@ -28,7 +28,7 @@
 BROWNOUT_TIMEOUTS = 3  # queue time-outs of one value per period, from which less valuable ones are rejected
 
 
-class Limit(Protocol):
+class ConcurrencyLimit(Protocol):
     """A limit on concurrent set-ups that learns from their results."""
 
     limit: float
@@ -41,14 +41,14 @@
 
 
 @dataclass(frozen=True)
-class Let:
+class Admit:
     """Pass this request to the decision module now."""
 
     conn: int
 
 
 @dataclass(frozen=True)
-class Turn:
+class Reject:
     """Reject this request; it may retry after `advice` seconds (0: no advice) with `ticket`."""
 
     conn: int
@@ -57,10 +57,10 @@
     ticket: str = ""
 
 
-Decision = Let | Turn
+Decision = Admit | Reject
 
 
-class Door:
+class AdmissionController:
     """Admission control of one gateway."""
 
     def __init__(
@@ -71,7 +71,7 @@
         targets: Mapping[str, float],
         may_advise: bool,
         longest_advice: float,
-        limit: Limit | None = None,
+        limit: ConcurrencyLimit | None = None,
         gateways: int = 1,
     ) -> None:
         """Starts with an empty queue.
@@ -82,7 +82,7 @@
         """
         self.rng, self.values, self.targets = rng, values, targets
         self.may_advise, self.longest_advice = may_advise, longest_advice
-        self.limit: Limit = limit if limit is not None else Adapted()
+        self.limit: ConcurrencyLimit = limit if limit is not None else Adapted()
         self.queue = FairQueue(rng.randbytes(32))
         self.heavy_hitters, self.admission_rate, self.return_slots = Heavy(), Pace(), Places()
         self.tickets = Tickets(rng.randrange(1 << 16), rng.randbytes(32))
@@ -242,7 +242,7 @@
         self.in_progress[first.conn] = now, first.package
         self.admission_rate.on_admission(now)
         self.counts["let_in"] += 1
-        return Let(first.conn)
+        return Admit(first.conn)
 
     def has_room(self, now: float) -> bool:
         """Returns whether a queued request could be admitted now."""
@@ -259,7 +259,7 @@
         """Rejects a request over a rate limit, with the wait that the limit gives and without a ticket."""
         self.counts["over_rate"] += 1
         advice = min(wait, self.longest_advice) if self.may_advise else 0.0
-        self._due.append(Turn(request.conn, why, advice))
+        self._due.append(Reject(request.conn, why, advice))
 
     def _reject(self, now: float, request: Waiting, why: str) -> None:
         self.counts["turned_away"] += 1
@@ -277,7 +277,7 @@
             else:
                 advice = min(delay + self.rng.random(), self.longest_advice)
                 ticket = self.tickets.issue(now + self.wall_clock_offset + advice, request.name)
-        self._due.append(Turn(request.conn, why, advice, ticket))
+        self._due.append(Reject(request.conn, why, advice, ticket))
 
     def _update_brownout(self, now: float) -> None:
         """Raises or lowers the level of package value below which requests are rejected at once.
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -14,7 +14,7 @@
 import structlog
 
 from ledgehitch import interface as say
-from ledgehitch.door.decide import Let
+from ledgehitch.door.decide import Admit
 from ledgehitch.door.names import name_of
 from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.gateway.doorman import Doorman
@@ -215,7 +215,7 @@
             offer = self._at_door.pop(viewing_id, None)
             if offer is None:
                 continue  # its viewer had left
-            if isinstance(decision, Let):
+            if isinstance(decision, Admit):
                 self._admit(now, viewing_id, *offer)
             else:
                 self.counts.turned_away += 1
--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -11,7 +11,7 @@
 import msgspec
 import structlog
 
-from ledgehitch.door.decide import Decision, Door
+from ledgehitch.door.decide import AdmissionController, Decision
 from ledgehitch.door.names import ORDER, By
 from ledgehitch.quality.keep import Keep
 
@@ -56,7 +56,7 @@
 
     def _read(self, keep: Keep) -> None:
         held = keep.read()
-        if held is None or not isinstance(self.door, Door):
+        if held is None or not isinstance(self.door, AdmissionController):
             return
         try:
             self.door.thawed(time.monotonic(), held["door"])
@@ -65,7 +65,7 @@
             log.error("what the door kept does not read, it starts anew", why=str(wrong))
 
     def write(self) -> None:
-        if self.keep is not None and isinstance(self.door, Door):
+        if self.keep is not None and isinstance(self.door, AdmissionController):
             self._kept_at = time.monotonic()
             self.keep.write({"door": self.door.frozen(), "secret": self.secret})
 
@@ -77,7 +77,7 @@
         self, client_rate: float, client_burst: float, package_rates: Mapping[str, float], set_ups: float
     ) -> None:
         """The site's limits, at start and at a reload."""
-        if isinstance(self.door, Door):
+        if isinstance(self.door, AdmissionController):
             self.door.limited(client_rate, client_burst, package_rates, set_ups)
 
     def shared(
@@ -90,11 +90,11 @@
     ) -> None:
         """This gateway's part of the fleet's limits, and up to when what is lent of it is in force;
         `by_budget`: its own part of limits of which that is not `own`."""
-        if isinstance(self.door, Door):
+        if isinstance(self.door, AdmissionController):
             self.door.shared(now, own, lent, until, by_budget)
 
     def needs(self, now: float) -> tuple[dict[str, float], dict[str, float]]:
-        return self.door.needs(now) if isinstance(self.door, Door) else ({}, {})
+        return self.door.needs(now) if isinstance(self.door, AdmissionController) else ({}, {})
 
     # ---- viewings ------------------------------------------------------------------------------------------
 
@@ -106,11 +106,11 @@
         self.door.asked(now, viewing_id, name, package, patience, ticket, time.time() - now)
 
     def needs_told(self) -> None:
-        if isinstance(self.door, Door):
+        if isinstance(self.door, AdmissionController):
             self.door.needs_told()
 
     def uses(self) -> dict[str, float]:
-        return self.door.uses() if isinstance(self.door, Door) else {}
+        return self.door.uses() if isinstance(self.door, AdmissionController) else {}
 
     def decide(self, now: float) -> Decision | None:
         if self.look is not None:
@@ -125,7 +125,7 @@
 
     def given_up(self, now: float) -> None:
         """A tune-in was not answered in its time."""
-        if isinstance(self.door, Door):
+        if isinstance(self.door, AdmissionController):
             self.door.given_up(now)
 
     def state(self) -> dict[str, Any]:
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -21,7 +21,7 @@
 from ledgehitch.budgets.units import own_parts
 from ledgehitch.config import Site, facts_of
 from ledgehitch.config.site import lends, rack_name, stated
-from ledgehitch.door.decide import Door
+from ledgehitch.door.decide import AdmissionController
 from ledgehitch.door.names import ORDER
 from ledgehitch.gate import SendGuard
 from ledgehitch.gateway.carry import Carrier
@@ -118,7 +118,7 @@
             values = {p.name: p.value for p in packages}
             targets = {p.name: p.join_target for p in packages}
             chance = random.Random(secrets.randbits(64))
-            door = Door(
+            door = AdmissionController(
                 time.monotonic(),
                 chance,
                 values,
--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -13,7 +13,7 @@
 from ledgehitch.budgets.units import own_parts
 from ledgehitch.config import Day, Site
 from ledgehitch.config.site import facts_of
-from ledgehitch.door.decide import Door
+from ledgehitch.door.decide import AdmissionController
 from ledgehitch.gateway.roll import AGAIN
 from ledgehitch.gateway.watch import FIRST, LOST
 from ledgehitch.interface import Fleet, Ladder, Package, Row, Terms
@@ -204,7 +204,7 @@
         at = self._ordinals[name]
         return ladder, packages, fleet, replace(terms, zone=self.site.gateways[at].zone, ordinal=at)
 
-    def door_of(self, name: str, seed: int) -> Door | None:
+    def door_of(self, name: str, seed: int) -> AdmissionController | None:
         """A gateway's door where the site has one; it goes on from what its last life kept."""
         d = self.site.door
         if not d.on:
@@ -212,7 +212,7 @@
         _, packages, _, terms = self.facts_of(name)
         values = {p.name: p.value for p in packages}
         targets = {p.name: p.join_target for p in packages}
-        door = Door(
+        door = AdmissionController(
             self.agenda.now,
             random.Random(f"{seed}/door"),
             values,
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ledgehitch import interface as say
-from ledgehitch.door.decide import Door, Let
+from ledgehitch.door.decide import AdmissionController, Admit
 from ledgehitch.door.names import name_of
 from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.gateway.carry import PATIENCE_FOR_ORDERS, PROBE_WITHIN
@@ -63,7 +63,7 @@
         self.load_fields, self.zone = fleet.load_fields, terms.zone
         self.viewings: dict[int, Viewing] = {}
         self.answers: dict[int, Callable[..., None]] = {}  # of connections that are owed one
-        self.door: Door | None = ground.door_of(name, seed)
+        self.door: AdmissionController | None = ground.door_of(name, seed)
         self._at_door: dict[int, tuple[tuple[int, int], int, float]] = {}  # cells, highest rung, patience
         self.up, self.still = True, False
         self.stopped_at_gate = 0
@@ -184,13 +184,13 @@
         if at == self._wake:
             self._wake = math.inf
 
-    def _let_in(self, now: float, door: Door) -> None:
+    def _let_in(self, now: float, door: AdmissionController) -> None:
         while (decision := door.decide(now)) is not None:
             viewing_id = decision.conn
             offer = self._at_door.pop(viewing_id, None)
             if offer is None:
                 continue  # its viewer had left
-            if isinstance(decision, Let):
+            if isinstance(decision, Admit):
                 self._admit(now, viewing_id, *offer)
             else:
                 self.desk.settled(
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -13,7 +13,7 @@
 from benchmarks.door import PATIENCE, door, flood, returns, shares, storm
 from ledgehitch.config import read_day
 from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
-from ledgehitch.door.decide import MAX_WAIT_SHARE, Door, Let, Turn
+from ledgehitch.door.decide import MAX_WAIT_SHARE, AdmissionController, Admit, Reject
 from ledgehitch.door.heavy import Heavy
 from ledgehitch.door.limits import MIN_LIMIT, Adapted, Fixed, Pace
 from ledgehitch.door.names import name_of, prefix_of
@@ -116,7 +116,9 @@
 def test_each_that_asks_is_let_in_or_turned_away_once_and_never_too_late(seed: int) -> None:
     chance = random.Random(seed)
     limit = Adapted(limit=MIN_LIMIT) if chance.random() < 0.5 else Fixed(10.0)
-    some = Door(T, chance, {"a": 1.0, "b": 3.0}, {"a": 0.8, "b": 0.4}, chance.random() < 0.8, 5.0, limit)
+    some = AdmissionController(
+        T, chance, {"a": 1.0, "b": 3.0}, {"a": 0.8, "b": 0.4}, chance.random() < 0.8, 5.0, limit
+    )
     now, conn = T, 0
     asked: dict[int, float] = {}
     over: set[int] = set()
@@ -142,9 +144,9 @@
                 inside.discard(one)
                 some.settled(now, one, chance.random() < 0.2)
         for decision in drained(some, now):
-            assert decision.conn not in over and (decision.conn not in gone or isinstance(decision, Turn))
+            assert decision.conn not in over and (decision.conn not in gone or isinstance(decision, Reject))
             over.add(decision.conn)
-            if isinstance(decision, Let):
+            if isinstance(decision, Admit):
                 assert now < asked[decision.conn]
                 inside.add(decision.conn)
             elif decision.advice:
@@ -271,24 +273,24 @@
 def test_who_comes_when_told_is_let_in_before_others() -> None:
     some = door(limit=Fixed(1.0))
     some.asked(0.0, 1, b"a" * 8, "recorded", 3.0)
-    assert drained(some, 0.0) == [Let(1)]
+    assert drained(some, 0.0) == [Admit(1)]
     some.asked(0.0, 2, b"b" * 8, "recorded", 3.0)
     (turn,) = drained(some, MAX_WAIT_SHARE * 0.8 + 0.01)
     assert (
-        isinstance(turn, Turn) and turn.why == "not admitted in time" and turn.ticket and turn.advice <= 5.0
+        isinstance(turn, Reject) and turn.why == "not admitted in time" and turn.ticket and turn.advice <= 5.0
     )
     then = MAX_WAIT_SHARE * 0.8 + 0.01 + turn.advice
     for n in range(10, 20):
         some.asked(then, n, bytes([n]) * 8, "recorded", then + 3.0)
     some.asked(then, 3, b"b" * 8, "recorded", then + 3.0, turn.ticket)
     some.settled(then, 1, False)
-    assert drained(some, then) == [Let(3)]
+    assert drained(some, then) == [Admit(3)]
 
 
 def test_where_no_advice_is_allowed_none_is_given() -> None:
-    some = Door(T, random.Random(1), {"p": 1.0}, {"p": 0.8}, False, 5.0, Fixed(0.0))
+    some = AdmissionController(T, random.Random(1), {"p": 1.0}, {"p": 0.8}, False, 5.0, Fixed(0.0))
     some.asked(T, 1, b"a" * 8, "p", T + 3)
-    assert drained(some, T + 1) == [Turn(1, "not admitted in time")]
+    assert drained(some, T + 1) == [Reject(1, "not admitted in time")]
 
 
 def test_a_more_valuable_package_behind_a_full_queue_gets_its_turns() -> None:
@@ -304,8 +306,8 @@
                 some.settled(now, conn, False)
         for decision in drained(some, now):
             if decision.conn % 2 and n > 1000:
-                got += isinstance(decision, Let)
-                late += isinstance(decision, Turn)
+                got += isinstance(decision, Admit)
+                late += isinstance(decision, Reject)
     assert got > 8 * late and some.level == 1, "those worth less make room"
 
 
@@ -352,7 +354,7 @@
     assert again.heavy_hitters.count(b"heavy-00") == 500 and again.limit.limit == 200.0
     for n in range(5000):
         again.asked(2.0, n, n.to_bytes(8, "big"), "recorded", 5.0)
-    assert sum(isinstance(d, Let) for d in drained(again, 2.0)) == 200
+    assert sum(isinstance(d, Admit) for d in drained(again, 2.0)) == 200
 
 
 def test_nothing_of_a_flood_stays_while_no_turn_is_taken() -> None:
@@ -372,7 +374,7 @@
     wake = some.wake_at()
     assert wake is not None and wake <= 1.0 + PATIENCE
     (turn,) = drained(some, wake)
-    assert isinstance(turn, Turn) and turn.conn == 7
+    assert isinstance(turn, Reject) and turn.conn == 7
     some.asked(2.0, 8, b"b" * 8, "recorded", 2.0 + PATIENCE, ticket, -50.0)
     (turn,) = drained(some, 2.0 + PATIENCE)
     assert turn.conn == 8, "a wall clock that steps moves nobody's turn"
@@ -391,7 +393,7 @@
         doorman = rig.gateway.carrier.doorman
         assert doorman is not None
         some = doorman.door
-        assert isinstance(some, Door)
+        assert isinstance(some, AdmissionController)
         some.limit = Fixed(2.0)
         got: list[tuple[str, Response]] = []
 
@@ -419,7 +421,7 @@
 def test_who_hangs_up_at_the_door_is_never_handed_to_the_module() -> None:
     def day(rig: Rig) -> None:
         doorman = rig.gateway.carrier.doorman
-        assert doorman is not None and isinstance(doorman.door, Door)
+        assert doorman is not None and isinstance(doorman.door, AdmissionController)
         doorman.door.limit = Fixed(0.0)
         stream = connect(rig.loop, endpoint(rig.at))
         stream.send(request(rig.at, token="t"))
@@ -524,7 +526,7 @@
     some.needs_told()
     assert some.needs(T + 0.2)[1]["set_ups"] == 0.0, "a set-up that nobody asks for here is for others"
     some.asked(T + 0.2, 99, b"x", "live", T + PATIENCE)
-    turned = [d for d in drained(some, T + 0.2) if isinstance(d, Turn)]
+    turned = [d for d in drained(some, T + 0.2) if isinstance(d, Reject)]
     assert [t.why for t in turned] == ["fleet budget offers.live exceeded"]
 
 
@@ -539,11 +541,11 @@
         some.settled(0.1, n, False)
         assert drained(some, 0.1) == [], "six to three are out, the limit is three"
     some.settled(0.2, 5, False)
-    assert drained(some, 0.2) == [Let(8)]
+    assert drained(some, 0.2) == [Admit(8)]
     some.limited(2.0, 2.0, {}, 0.0)
     for n in range(100, 104):
         some.asked(0.3, n, b"the same", "recorded", 0.3 + PATIENCE)
-    turned = [d for d in drained(some, 0.3) if isinstance(d, Turn)]
+    turned = [d for d in drained(some, 0.3) if isinstance(d, Reject)]
     assert [(t.conn, t.why, t.ticket) for t in turned] == [
         (n, "client rate limit exceeded", "") for n in (102, 103)
     ]
@@ -568,11 +570,11 @@
 
 def test_what_the_gateway_keeps_of_its_door_outlives_a_torn_file(tmp_path: Path) -> None:
     first = Doorman(door(1), Keep(tmp_path / "g0.door", private=True))
-    assert isinstance(first.door, Door)
+    assert isinstance(first.door, AdmissionController)
     ticket = first.door.tickets.issue(1e6, b"client-1")
     first.write()
     later = Doorman(door(2), Keep(tmp_path / "g0.door", private=True))
-    assert isinstance(later.door, Door)
+    assert isinstance(later.door, AdmissionController)
     assert later.secret == first.secret and later.door.tickets.redeem(1e6, ticket, b"client-1")
     newest = max(tmp_path.iterdir(), key=lambda p: p.stat().st_mtime_ns)
     newest.write_bytes(newest.read_bytes()[:-7])
@@ -627,7 +629,7 @@
 def test_a_repeated_offer_gets_the_answer_that_the_first_one_gets() -> None:
     def day(rig: Rig) -> None:
         doorman = rig.gateway.carrier.doorman
-        assert doorman is not None and isinstance(doorman.door, Door)
+        assert doorman is not None and isinstance(doorman.door, AdmissionController)
         doorman.limited(0.5, 1.0, {}, 0.0)  # the second would exceed its rate
         first, second = rig.ask(1, token="a"), rig.ask(1, token="a")
         both = [answer(first), answer(second)]
