--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -33,7 +33,7 @@
 from ledgehitch.budgets.units import may_be_lent, own_parts
 from ledgehitch.budgets.words import FIRST, Words, read, written
 from ledgehitch.door.decide import DEMAND_HEADROOM
-from ledgehitch.door.limits import Asked
+from ledgehitch.door.limits import RequestRate
 from ledgehitch.door.part import Part
 from ledgehitch.door.rates import SET_UPS, PackageRates, budget_of
 from ledgehitch.owners.facts import BUDGETS
@@ -72,7 +72,7 @@
         self.borrowers: dict[int, Borrower] = {}
         self.parts: dict[int, Part] = {}
         self.rates_of: dict[int, PackageRates] = {}
-        self.asked: dict[int, Asked] = {}
+        self.asked: dict[int, RequestRate] = {}
         self.lenders: dict[int, Lender] = {}
         self.load = [1.0] * members  # relative, of each member
         self.offers = 3.0 * a_second  # a second, of all
@@ -97,7 +97,7 @@
             self.parts[n] = Part(1.0 / self.n)
             if not self.static:
                 self._tell(n)
-            self.rates_of[n], self.asked[n] = PackageRates(), Asked()
+            self.rates_of[n], self.asked[n] = PackageRates(), RequestRate()
             self.rates_of[n].set_limits({PACKAGE: self.a_second})
 
     def stop(self, n: int) -> None:
--- a/ledgehitch/door/baselines.py
+++ b/ledgehitch/door/baselines.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from ledgehitch.door.decide import Admit, Decision, Reject
-from ledgehitch.door.limits import Fixed
+from ledgehitch.door.limits import FixedLimit
 
 RATE, BURST = 20.0, 20.0  # requests per second and at once of each client's token bucket
 
@@ -48,7 +48,7 @@
 
     def __init__(self, limit: float = 64.0) -> None:
         super().__init__()
-        self.limit = Fixed(limit)
+        self.limit = FixedLimit(limit)
         self.in_progress: set[int] = set()
         self.queue: deque[tuple[int, float]] = deque()
         self.disconnected: set[int] = set()
--- a/ledgehitch/door/decide.py
+++ b/ledgehitch/door/decide.py
@@ -13,7 +13,14 @@
 from typing import Any, Protocol
 
 from ledgehitch.door.heavy import Heavy
-from ledgehitch.door.limits import MIN_LIMIT, NEW_WEIGHT, OLD_WEIGHT, Adapted, Asked, Pace
+from ledgehitch.door.limits import (
+    MIN_LIMIT,
+    NEW_WEIGHT,
+    OLD_WEIGHT,
+    AdaptiveLimit,
+    AdmissionRate,
+    RequestRate,
+)
 from ledgehitch.door.part import Part
 from ledgehitch.door.queue import FairQueue, Waiting
 from ledgehitch.door.rates import SET_UPS, ClientRates, PackageRates, budget_of
@@ -82,9 +89,9 @@
         """
         self.rng, self.values, self.targets = rng, values, targets
         self.may_advise, self.longest_advice = may_advise, longest_advice
-        self.limit: ConcurrencyLimit = limit if limit is not None else Adapted()
+        self.limit: ConcurrencyLimit = limit if limit is not None else AdaptiveLimit()
         self.queue = FairQueue(rng.randbytes(32))
-        self.heavy_hitters, self.admission_rate, self.return_slots = Heavy(), Pace(), Places()
+        self.heavy_hitters, self.admission_rate, self.return_slots = Heavy(), AdmissionRate(), Places()
         self.tickets = Tickets(rng.randrange(1 << 16), rng.randbytes(32))
         self.share, self.client_rates, self.package_rates = (
             Part(1.0 / gateways),
@@ -97,7 +104,7 @@
         self.levels = sorted(set(values.values())) or [1.0]
         self.wall_clock_offset = 0.0
         self.level = 0  # packages of less value than `levels[level]` are rejected at once
-        self._request_rates: dict[str, Asked] = {}  # request rate of each package that has a limit
+        self._request_rates: dict[str, RequestRate] = {}  # request rate of each package that has a limit
         self._peak_load = 0  # highest number in progress or queued since the demand was last reported
         self.counts = {"let_in": 0, "turned_away": 0, "over_rate": 0, "returned": 0}
         self._due: deque[Decision] = deque()
@@ -114,7 +121,7 @@
         """
         self.client_rates.set_limit(client_rate, client_burst)
         self.package_rates.set_limits(package_rates)
-        self._request_rates = {p: self._request_rates.get(p, Asked()) for p in package_rates}
+        self._request_rates = {p: self._request_rates.get(p, RequestRate()) for p in package_rates}
         self.set_ups = set_ups
 
     def shared(
--- a/ledgehitch/door/limits.py
+++ b/ledgehitch/door/limits.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class Adapted:
+class AdaptiveLimit:
     """Additive increase and multiplicative decrease with a slow start.
 
     The limit doubles with each limit's worth of quick set-ups until the first overload signal, then grows by
@@ -66,7 +66,7 @@
 
 
 @dataclass
-class Fixed:
+class FixedLimit:
     """A constant limit, as a baseline."""
 
     limit: float = 64.0
@@ -83,7 +83,7 @@
         return int(self.limit) - in_progress
 
 
-class Pace:
+class AdmissionRate:
     """Estimates the admissions per second as (3·new + 8·old) / 11 for each half second.
 
     A significant fall takes effect at once, so that no return time is promised that the fleet cannot serve.
@@ -124,7 +124,7 @@
         return self.per_second
 
 
-class Asked:
+class RequestRate:
     """Estimates the offers per second as (3·new + 8·old) / 11 for each two seconds.
 
     The long step smooths out random variation; a significant rise or fall takes effect at once.
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -15,7 +15,7 @@
 from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
 from ledgehitch.door.decide import MAX_WAIT_SHARE, AdmissionController, Admit, Reject
 from ledgehitch.door.heavy import Heavy
-from ledgehitch.door.limits import MIN_LIMIT, Adapted, Fixed, Pace
+from ledgehitch.door.limits import MIN_LIMIT, AdaptiveLimit, AdmissionRate, FixedLimit
 from ledgehitch.door.names import name_of, prefix_of
 from ledgehitch.door.part import Part
 from ledgehitch.door.queue import IN_CELL, REKEY, WAITING, FairQueue, Waiting
@@ -115,7 +115,7 @@
 @given(st.integers(0, 2**32))
 def test_each_that_asks_is_let_in_or_turned_away_once_and_never_too_late(seed: int) -> None:
     chance = random.Random(seed)
-    limit = Adapted(limit=MIN_LIMIT) if chance.random() < 0.5 else Fixed(10.0)
+    limit = AdaptiveLimit(limit=MIN_LIMIT) if chance.random() < 0.5 else FixedLimit(10.0)
     some = AdmissionController(
         T, chance, {"a": 1.0, "b": 3.0}, {"a": 0.8, "b": 0.4}, chance.random() < 0.8, 5.0, limit
     )
@@ -199,7 +199,7 @@
 
 
 def test_the_limit_falls_when_set_ups_are_slow_and_rises_while_it_is_used() -> None:
-    limit = Adapted(limit=50.0)
+    limit = AdaptiveLimit(limit=50.0)
     for n in range(200):
         limit.on_setup_end(T + n * 0.01, 50, 0.05, 0.8, False)
     risen = limit.limit
@@ -217,7 +217,7 @@
 
 
 def test_the_pace_is_what_was_let_in_lately() -> None:
-    pace = Pace()
+    pace = AdmissionRate()
     for n in range(400):
         pace.on_admission(T + n * 0.02)
     assert pace.rate_at(T + 8.0) == pytest.approx(50.0, rel=0.1)
@@ -271,7 +271,7 @@
 
 
 def test_who_comes_when_told_is_let_in_before_others() -> None:
-    some = door(limit=Fixed(1.0))
+    some = door(limit=FixedLimit(1.0))
     some.asked(0.0, 1, b"a" * 8, "recorded", 3.0)
     assert drained(some, 0.0) == [Admit(1)]
     some.asked(0.0, 2, b"b" * 8, "recorded", 3.0)
@@ -288,13 +288,13 @@
 
 
 def test_where_no_advice_is_allowed_none_is_given() -> None:
-    some = AdmissionController(T, random.Random(1), {"p": 1.0}, {"p": 0.8}, False, 5.0, Fixed(0.0))
+    some = AdmissionController(T, random.Random(1), {"p": 1.0}, {"p": 0.8}, False, 5.0, FixedLimit(0.0))
     some.asked(T, 1, b"a" * 8, "p", T + 3)
     assert drained(some, T + 1) == [Reject(1, "not admitted in time")]
 
 
 def test_a_more_valuable_package_behind_a_full_queue_gets_its_turns() -> None:
-    some = door(limit=Fixed(10.0))
+    some = door(limit=FixedLimit(10.0))
     now, got, late = 0.0, 0, 0
     for n in range(3000):
         now += 0.005
@@ -358,7 +358,7 @@
 
 
 def test_nothing_of_a_flood_stays_while_no_turn_is_taken() -> None:
-    some = door(limit=Fixed(0.0))
+    some = door(limit=FixedLimit(0.0))
     for n in range(20_000):
         now = n * 0.01
         some.asked(now, n, b"flood-00", "recorded", now + PATIENCE)
@@ -367,7 +367,7 @@
 
 
 def test_who_came_when_told_is_turned_away_in_time_though_no_turn_is_taken() -> None:
-    some = door(limit=Fixed(0.0))
+    some = door(limit=FixedLimit(0.0))
     ticket = some.tickets.issue(1.0 + 1e6, b"a" * 8)
     some.asked(1.0, 7, b"a" * 8, "recorded", 1.0 + PATIENCE, ticket, 1e6)
     assert some.counts["returned"] == 1 and drained(some, 1.1) == []
@@ -394,7 +394,7 @@
         assert doorman is not None
         some = doorman.door
         assert isinstance(some, AdmissionController)
-        some.limit = Fixed(2.0)
+        some.limit = FixedLimit(2.0)
         got: list[tuple[str, Response]] = []
 
         def ask(n: int, who: str) -> None:
@@ -422,14 +422,14 @@
     def day(rig: Rig) -> None:
         doorman = rig.gateway.carrier.doorman
         assert doorman is not None and isinstance(doorman.door, AdmissionController)
-        doorman.door.limit = Fixed(0.0)
+        doorman.door.limit = FixedLimit(0.0)
         stream = connect(rig.loop, endpoint(rig.at))
         stream.send(request(rig.at, token="t"))
         rig.loop.sleep(0.1)
         assert rig.gateway.state()["door"]["waiting"] == 1
         stream.close()
         rig.loop.sleep(0.1)
-        doorman.door.limit = Fixed(5.0)
+        doorman.door.limit = FixedLimit(5.0)
         rig.loop.sleep(0.6)
         assert rig.gateway.state()["door"]["waiting"] == 0 and rig.set_ups == []
         assert rig.offer(2, token="u").status == 201
@@ -512,7 +512,7 @@
     assert part.share(T + 19, "set_ups") == 0.55 and part.share(T + 20, "set_ups") == 0.05
     assert part.share(T, "offers.live") == 0.05
     assert part.accumulated(T + 19, T + 21, "set_ups") == pytest.approx(0.6)
-    some = door(limit=Fixed(100.0))
+    some = door(limit=FixedLimit(100.0))
     some.limited(0.0, 1.0, {"live": 4.0}, 20.0)
     some.shared(T, 0.05, {"set_ups": 0.5}, T + 20.0)
     for n in range(15):
@@ -531,7 +531,7 @@
 
 
 def test_a_limit_that_a_reload_lowers_is_reached_by_letting_nobody_in() -> None:
-    some = door(limit=Fixed(100.0))
+    some = door(limit=FixedLimit(100.0))
     some.limited(0.0, 1.0, {}, 8.0)
     for n in range(20):
         some.asked(0.0, n, n.to_bytes(8, "big"), "recorded", PATIENCE)
@@ -553,7 +553,7 @@
 
 
 def test_the_limit_does_not_rise_where_set_ups_wait_behind_one_another() -> None:
-    limit = Adapted(limit=10.0)
+    limit = AdaptiveLimit(limit=10.0)
     for n in range(10):
         limit.on_setup_end(T + n, 20, 0.05, 0.8, False)
     assert limit.limit == 20.0, "doubled while nothing is in its way"
