--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -34,7 +34,7 @@
 from ledgehitch.budgets.words import FIRST, Words, read, written
 from ledgehitch.door.decide import DEMAND_HEADROOM
 from ledgehitch.door.limits import RequestRate
-from ledgehitch.door.part import Part
+from ledgehitch.door.part import BudgetShare
 from ledgehitch.door.rates import SET_UPS, PackageRates, budget_of
 from ledgehitch.owners.facts import BUDGETS
 from ledgehitch.owners.words import NOBODY
@@ -70,7 +70,7 @@
         self.most = dict.fromkeys(range(members), 0)  # set-ups wanted at once since it asked last
         self.static, self.a_second = static, a_second
         self.borrowers: dict[int, Borrower] = {}
-        self.parts: dict[int, Part] = {}
+        self.parts: dict[int, BudgetShare] = {}
         self.rates_of: dict[int, PackageRates] = {}
         self.asked: dict[int, RequestRate] = {}
         self.lenders: dict[int, Lender] = {}
@@ -78,7 +78,7 @@
         self.offers = 3.0 * a_second  # a second, of all
         self.let: list[tuple[float, int]] = []
         self.best: list[float] = []  # when one that sees all would have let in
-        self.single, self.all_of_it = PackageRates(), Part(1.0)
+        self.single, self.all_of_it = PackageRates(), BudgetShare(1.0)
         self.single.set_limits({PACKAGE: a_second})
         self.largest = 0
         self.seconds = 0.0  # of this machine's CPU, in lenders
@@ -94,7 +94,7 @@
         if n not in self.borrowers:
             life = self.chance.getrandbits(32)
             self.borrowers[n] = Borrower(self.budgets, self.own[n], life, [self.digest], loan_of(self.lease))
-            self.parts[n] = Part(1.0 / self.n)
+            self.parts[n] = BudgetShare(1.0 / self.n)
             if not self.static:
                 self._tell(n)
             self.rates_of[n], self.asked[n] = PackageRates(), RequestRate()
--- a/ledgehitch/budgets/facts.py
+++ b/ledgehitch/budgets/facts.py
@@ -7,7 +7,7 @@
 from blake3 import blake3
 
 from ledgehitch.door.part import WHOLE as WHOLE
-from ledgehitch.door.part import grain_of
+from ledgehitch.door.part import parts_per_unit
 from ledgehitch.door.rates import SET_UPS, budget_of
 
 OWN_PART = 0.1  # of the whole that is not lent; `docs/budgets.md` has the table it was chosen by
@@ -40,7 +40,7 @@
     out, seconds. A further budget is one more record here."""
     out = [Budget(budget_of(package), "rate") for package in sorted(package_rates)]
     if set_ups >= 1:  # the last one, and never the one that is left out
-        out = [*out[: MOST_BUDGETS - 1], Budget(SET_UPS, "count", patience, grain_of(int(set_ups)))]
+        out = [*out[: MOST_BUDGETS - 1], Budget(SET_UPS, "count", patience, parts_per_unit(int(set_ups)))]
     return tuple(out[:MOST_BUDGETS])
 
 
--- a/ledgehitch/door/decide.py
+++ b/ledgehitch/door/decide.py
@@ -21,7 +21,7 @@
     AdmissionRate,
     RequestRate,
 )
-from ledgehitch.door.part import Part
+from ledgehitch.door.part import BudgetShare
 from ledgehitch.door.queue import FairQueue, Waiting
 from ledgehitch.door.rates import SET_UPS, ClientRates, PackageRates, budget_of
 from ledgehitch.door.returns import Places, Tickets
@@ -94,7 +94,7 @@
         self.heavy_hitters, self.admission_rate, self.return_slots = Heavy(), AdmissionRate(), Places()
         self.tickets = Tickets(rng.randrange(1 << 16), rng.randbytes(32))
         self.share, self.client_rates, self.package_rates = (
-            Part(1.0 / gateways),
+            BudgetShare(1.0 / gateways),
             ClientRates(),
             PackageRates(),
         )
--- a/ledgehitch/door/part.py
+++ b/ledgehitch/door/part.py
@@ -7,25 +7,25 @@
 from collections.abc import Mapping
 
 WHOLE = 1_000_000_000  # parts of any budget, whatever its unit: shares stay valid when the budget changes
-MOST_COUNTED = 31_622  # largest n with WHOLE // (WHOLE // n) == n, so that no sum of whole units exceeds n
+MAX_COUNTED = 31_622  # largest n with WHOLE // (WHOLE // n) == n, so that no sum of whole units exceeds n
 MAX_CACHED = 16  # cached unit counts: each reload may change the size of a budget
 
 
-def grain_of(whole: int) -> int:
+def parts_per_unit(whole: int) -> int:
     """Returns the parts that make up one unit of a budget of `whole` units.
 
-    It is 1 above `MOST_COUNTED` units: a fraction of a unit costs less than one in thousands there.
+    It is 1 above `MAX_COUNTED` units: a fraction of a unit costs less than one in thousands there.
     """
-    return WHOLE // whole if 1 <= whole <= MOST_COUNTED else 1
+    return WHOLE // whole if 1 <= whole <= MAX_COUNTED else 1
 
 
-def things(parts: int, whole: int) -> int:
+def whole_units(parts: int, whole: int) -> int:
     """Returns how many whole units `parts` are of a budget of `whole` units."""
-    grain = grain_of(whole)
+    grain = parts_per_unit(whole)
     return parts // grain if grain > 1 else parts * whole // WHOLE
 
 
-class Part:
+class BudgetShare:
     """The share of one gateway: its own, and what is lent to it."""
 
     def __init__(self, own: float) -> None:
@@ -59,7 +59,7 @@
         if units is None:
             if len(self._units_cache) >= MAX_CACHED:
                 self._units_cache = {}
-            self._units_cache[key] = units = things(round(self.share(now, budget) * WHOLE), whole)
+            self._units_cache[key] = units = whole_units(round(self.share(now, budget) * WHOLE), whole)
         return units
 
     def accumulated(self, first: float, last: float, budget: str) -> float:
--- a/ledgehitch/door/rates.py
+++ b/ledgehitch/door/rates.py
@@ -7,7 +7,7 @@
 from array import array
 from collections.abc import Mapping
 
-from ledgehitch.door.part import Part
+from ledgehitch.door.part import BudgetShare
 
 ROWS, COLUMNS = 4, 16384  # size of the table of clients: half a megabyte
 FOREVER = 1e18  # seconds
@@ -73,7 +73,7 @@
         self.per_second = dict(per_second)
         self._tokens = {package: tokens for package, tokens in self._tokens.items() if package in per_second}
 
-    def refill(self, now: float, share: Part) -> None:
+    def refill(self, now: float, share: BudgetShare) -> None:
         """Adds tokens up to `now` at the share that was in force; call it before the share changes."""
         for package, per_second in self.per_second.items():
             tokens, updated_at = self._tokens.get(package, (0.0, now))
@@ -81,7 +81,7 @@
             capacity = max(1.0, per_second * share.share(now, budget_of(package)) * self.BURST_S)
             self._tokens[package] = min(tokens, capacity), max(updated_at, now)
 
-    def acquire(self, now: float, package: str, share: Part) -> float:
+    def acquire(self, now: float, package: str, share: BudgetShare) -> float:
         """Returns the seconds until an offer may come; 0 admits it now and counts it.
 
         `share` is this gateway's share of the fleet's rates.
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -17,7 +17,7 @@
 from ledgehitch.door.heavy import Heavy
 from ledgehitch.door.limits import MIN_LIMIT, AdaptiveLimit, AdmissionRate, FixedLimit
 from ledgehitch.door.names import name_of, prefix_of
-from ledgehitch.door.part import Part
+from ledgehitch.door.part import BudgetShare
 from ledgehitch.door.queue import IN_CELL, REKEY, WAITING, FairQueue, Waiting
 from ledgehitch.door.rates import ClientRates, PackageRates
 from ledgehitch.door.returns import EARLY, LATE, Places, Tickets
@@ -482,7 +482,7 @@
 def test_parts_of_a_package_rate_hold_in_sum_over_any_time_however_they_move() -> None:
     """Loans go round among four, end by themselves in between; one starts anew each time."""
     own, chance, let = 0.1 / 4, random.Random(5), list[float]()
-    parts, rates = [Part(own) for _ in range(4)], [PackageRates() for _ in range(4)]
+    parts, rates = [BudgetShare(own) for _ in range(4)], [PackageRates() for _ in range(4)]
     for rate in rates:
         rate.set_limits({"recorded": 40.0})
     for n in range(20_000):
@@ -502,11 +502,11 @@
     for first in range(0, len(let), 7):
         for last in range(first, len(let), 11):
             assert last - first + 1 <= 40 * (let[last] - let[first]) + 1.0 * 40 + 4 + 1e-6
-    assert rates[0].acquire(T, "live", Part(0.0)) == 0.0, "no limit is stated for it"
+    assert rates[0].acquire(T, "live", BudgetShare(0.0)) == 0.0, "no limit is stated for it"
 
 
 def test_a_part_that_is_lent_ends_by_itself_and_is_of_its_budget_alone() -> None:
-    part = Part(0.25)
+    part = BudgetShare(0.25)
     assert part.share(T, "set_ups") == 0.25 and part.accumulated(T, T + 2, "set_ups") == 0.5
     part.update(0.05, {"set_ups": 0.5}, T + 20.0)
     assert part.share(T + 19, "set_ups") == 0.55 and part.share(T + 20, "set_ups") == 0.05
--- a/tests/test_whole_units.py
+++ b/tests/test_whole_units.py
@@ -15,7 +15,7 @@
 from ledgehitch.budgets.parts import OwnPart, lent_by
 from ledgehitch.budgets.units import lent_beside, may_be_lent, own_parts, smallest_own, spread
 from ledgehitch.config.site import GatewayRecord
-from ledgehitch.door.part import MOST_COUNTED, Part, grain_of, things
+from ledgehitch.door.part import MAX_COUNTED, BudgetShare, parts_per_unit, whole_units
 from ledgehitch.door.rates import SET_UPS, PackageRates
 from ledgehitch.gateway.serve import own_shares
 from ledgehitch.owners.facts import Lists, promise_of
@@ -24,7 +24,7 @@
 T, LOAN, DIGEST = 1000.0, 5.0, b"same"
 PERIOD = LOAN / ASKS
 RATE = Budget("offers.live", "rate")
-wholes = st.one_of(st.integers(1, 700), st.integers(1, MOST_COUNTED), st.integers(MOST_COUNTED + 1, 10**6))
+wholes = st.one_of(st.integers(1, 700), st.integers(1, MAX_COUNTED), st.integers(MAX_COUNTED + 1, 10**6))
 shares = st.one_of(st.just(WHOLE), st.integers(1, WHOLE))
 parts_of_it = st.one_of(st.sampled_from([0.0, 0.05, 0.1, 0.25, 0.29, 1.0]), st.floats(0.0, 1.0))
 
@@ -64,14 +64,14 @@
 ) -> None:
     edges = [0, *sorted(cuts), WHOLE]
     parts = [b - a for a, b in zip(edges, edges[1:], strict=False)]
-    assert sum(things(p, whole) for p in parts) <= whole
+    assert sum(whole_units(p, whole) for p in parts) <= whole
     for each in range(0, whole, max(1, whole // 7)):
-        told = Part(0.0)
-        told.update(0.0, {}, 0.0, {SET_UPS: each * grain_of(whole) / WHOLE})
-        if whole <= MOST_COUNTED:
+        told = BudgetShare(0.0)
+        told.update(0.0, {}, 0.0, {SET_UPS: each * parts_per_unit(whole) / WHOLE})
+        if whole <= MAX_COUNTED:
             assert told.whole_units(T, SET_UPS, whole) == each, "a whole unit counts as one"
-            assert parts_used(count(whole), each / whole) >= each * grain_of(whole)
-            assert parts_wanted(count(whole), each / whole) >= each * grain_of(whole)
+            assert parts_used(count(whole), each / whole) >= each * parts_per_unit(whole)
+            assert parts_wanted(count(whole), each / whole) >= each * parts_per_unit(whole)
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
@@ -130,13 +130,13 @@
     one: int, other: int, own_part: float, gateways: int, chance: random.Random
 ) -> None:
     names = names_of(gateways)
-    for lender, grain in ((one, grain_of(one)), (other, grain_of(other))):
+    for lender, grain in ((one, parts_per_unit(one)), (other, parts_per_unit(other))):
         left, total = may_be_lent(count(lender), own_part), 0
         for name in names:
             whole = chance.choice([one, other])
             loan = chance.choice([0, left, chance.randint(0, left)]) // grain * grain
             left -= loan
-            total += things(own_parts(count(whole), own_part, names)[name] + loan, whole)
+            total += whole_units(own_parts(count(whole), own_part, names)[name] + loan, whole)
         assert total <= max(one, other)
 
 
@@ -298,7 +298,7 @@
     each = []
     for g in gateways:
         rest, own = own_shares(some, g.name)
-        part = Part(1.0)
+        part = BudgetShare(1.0)
         part.update(rest, {}, 0.0, own)
         each.append(part.whole_units(T, SET_UPS, set_ups))
         assert rest == pytest.approx(1 / 9)
@@ -309,7 +309,7 @@
     """Of two a second, 550 gateways have a 275th each: one lets somebody in every 275 s. All that have been
     idle for so long let one in each: 550 at once, as the page of budgets says."""
     own = own_parts(RATE, 1.0, names_of(550))["g0"] / WHOLE
-    part, rates = Part(own), PackageRates()
+    part, rates = BudgetShare(own), PackageRates()
     rates.set_limits({"live": 2.0})
     assert rates.acquire(T, "live", part) == pytest.approx(275.0, rel=1e-3)
     let = [at for at in range(5, 1500, 5) if not rates.acquire(T + at, "live", part)]
