--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -35,14 +35,14 @@
 from ledgehitch.door.decide import DEMAND_HEADROOM
 from ledgehitch.door.limits import RequestRate
 from ledgehitch.door.part import BudgetShare
-from ledgehitch.door.rates import SET_UPS, PackageRates, budget_of
+from ledgehitch.door.rates import SET_UPS, PackageRateLimits, offers_budget
 from ledgehitch.owners.facts import BUDGETS
 from ledgehitch.owners.words import NOBODY
 from ledgehitch.rehearsal.fleet import FleetRig
 from tests.explore_budgets import CORNERS, explored, walked
 
 PACKAGE = "live"
-UNIT = Budget(budget_of(PACKAGE), "rate")
+UNIT = Budget(offers_budget(PACKAGE), "rate")
 TAKES = 0.05  # seconds of a set-up
 
 
@@ -71,14 +71,14 @@
         self.static, self.a_second = static, a_second
         self.borrowers: dict[int, Borrower] = {}
         self.parts: dict[int, BudgetShare] = {}
-        self.rates_of: dict[int, PackageRates] = {}
+        self.rates_of: dict[int, PackageRateLimits] = {}
         self.asked: dict[int, RequestRate] = {}
         self.lenders: dict[int, Lender] = {}
         self.load = [1.0] * members  # relative, of each member
         self.offers = 3.0 * a_second  # a second, of all
         self.let: list[tuple[float, int]] = []
         self.best: list[float] = []  # when one that sees all would have let in
-        self.single, self.all_of_it = PackageRates(), BudgetShare(1.0)
+        self.single, self.all_of_it = PackageRateLimits(), BudgetShare(1.0)
         self.single.set_limits({PACKAGE: a_second})
         self.largest = 0
         self.seconds = 0.0  # of this machine's CPU, in lenders
@@ -97,7 +97,7 @@
             self.parts[n] = BudgetShare(1.0 / self.n)
             if not self.static:
                 self._tell(n)
-            self.rates_of[n], self.asked[n] = PackageRates(), RequestRate()
+            self.rates_of[n], self.asked[n] = PackageRateLimits(), RequestRate()
             self.rates_of[n].set_limits({PACKAGE: self.a_second})
 
     def stop(self, n: int) -> None:
--- a/ledgehitch/budgets/facts.py
+++ b/ledgehitch/budgets/facts.py
@@ -8,7 +8,7 @@
 
 from ledgehitch.door.part import WHOLE as WHOLE
 from ledgehitch.door.part import parts_per_unit
-from ledgehitch.door.rates import SET_UPS, budget_of
+from ledgehitch.door.rates import SET_UPS, offers_budget
 
 OWN_PART = 0.1  # of the whole that is not lent; `docs/budgets.md` has the table it was chosen by
 OF_LEASE = 1.25  # of a lease that a loan lasts, from when the borrower asked
@@ -38,7 +38,7 @@
 def budgets_of(package_rates: Mapping[str, float], set_ups: float, patience: float) -> tuple[Budget, ...]:
     """Of a site's limits, in an order that all gateways share. `patience`: the longest that a set-up may be
     out, seconds. A further budget is one more record here."""
-    out = [Budget(budget_of(package), "rate") for package in sorted(package_rates)]
+    out = [Budget(offers_budget(package), "rate") for package in sorted(package_rates)]
     if set_ups >= 1:  # the last one, and never the one that is left out
         out = [*out[: MOST_BUDGETS - 1], Budget(SET_UPS, "count", patience, parts_per_unit(int(set_ups)))]
     return tuple(out[:MOST_BUDGETS])
--- a/ledgehitch/door/decide.py
+++ b/ledgehitch/door/decide.py
@@ -22,8 +22,8 @@
     RequestRate,
 )
 from ledgehitch.door.part import BudgetShare
-from ledgehitch.door.queue import FairQueue, Waiting
-from ledgehitch.door.rates import SET_UPS, ClientRates, PackageRates, budget_of
+from ledgehitch.door.queue import FairQueue, QueuedRequest
+from ledgehitch.door.rates import SET_UPS, ClientRateLimits, PackageRateLimits, offers_budget
 from ledgehitch.door.returns import Places, Tickets
 
 MIN_SETUP_TIME_S = 0.35  # a viewing must be admitted this long before its patience ends
@@ -95,8 +95,8 @@
         self.tickets = Tickets(rng.randrange(1 << 16), rng.randbytes(32))
         self.share, self.client_rates, self.package_rates = (
             BudgetShare(1.0 / gateways),
-            ClientRates(),
-            PackageRates(),
+            ClientRateLimits(),
+            PackageRateLimits(),
         )
         self.setup_time = 0.0  # moving average of the set-up time in seconds
         self.set_ups = 0.0  # concurrent set-ups of the whole fleet; 0: only the adaptive limit applies
@@ -147,7 +147,7 @@
         """
         used, wanted = self.uses(), dict[str, float]()
         for package, per_second in self.package_rates.per_second.items():
-            wanted[budget_of(package)] = self._request_rates[package].rate_at(now) / per_second
+            wanted[offers_budget(package)] = self._request_rates[package].rate_at(now) / per_second
         if self.set_ups:
             peak = min(DEMAND_HEADROOM * self._peak_load + 1.0, self.limit.limit) if self._peak_load else 0.0
             wanted[SET_UPS] = peak / self.set_ups
@@ -182,7 +182,7 @@
         # A returning viewer has missed its join target already, so its promise holds up to its patience.
         if not returns:
             until = min(until, now + MAX_WAIT_SHARE * self.targets.get(package, 1.0))
-        request = Waiting(conn, name, package, self.levels[0] / value, now, until)
+        request = QueuedRequest(conn, name, package, self.levels[0] / value, now, until)
         self.counts["returned"] += returns
         if self.client_rates.per_second and (wait := self.client_rates.acquire(now, name)) > 0:
             self._reject_over_rate(request, "client rate limit exceeded", wait)
@@ -262,13 +262,13 @@
             free = min(free, self.share.whole_units(now, SET_UPS, int(self.set_ups)) - len(self.in_progress))
         return free
 
-    def _reject_over_rate(self, request: Waiting, why: str, wait: float) -> None:
+    def _reject_over_rate(self, request: QueuedRequest, why: str, wait: float) -> None:
         """Rejects a request over a rate limit, with the wait that the limit gives and without a ticket."""
         self.counts["over_rate"] += 1
         advice = min(wait, self.longest_advice) if self.may_advise else 0.0
         self._due.append(Reject(request.conn, why, advice))
 
-    def _reject(self, now: float, request: Waiting, why: str) -> None:
+    def _reject(self, now: float, request: QueuedRequest, why: str) -> None:
         self.counts["turned_away"] += 1
         if why != "brown-out":
             value = self.values.get(request.package, self.levels[0])
@@ -317,7 +317,7 @@
             "share": {
                 budget: round(self.share.share(now, budget), 4)
                 for budget in [
-                    *map(budget_of, self.package_rates.per_second),
+                    *map(offers_budget, self.package_rates.per_second),
                     *([SET_UPS] if self.set_ups else []),
                 ]
             },
--- a/ledgehitch/door/queue.py
+++ b/ledgehitch/door/queue.py
@@ -13,14 +13,14 @@
 from ledgehitch.keyed import Cells
 
 CELLS = 1024
-IN_CELL = 64  # queued requests in one cell
-WAITING = 8192  # queued requests in all cells
+CELL_CAPACITY = 64  # queued requests in one cell
+QUEUE_CAPACITY = 8192  # queued requests in all cells
 ROUNDING = 1e-9  # rounding error of the deficit, for costs such as one third
-REKEY = 20.0  # seconds after which clients are assigned to cells anew
+REKEY_PERIOD_S = 20.0  # seconds after which clients are assigned to cells anew
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedRequest:
     """A queued request. Serving it takes `cost` of its cell's deficit: less for a package of more value."""
 
     conn: int
@@ -36,12 +36,12 @@
     __slots__ = ("requests", "deficit")
 
     def __init__(self, deficit: float) -> None:
-        self.requests: dict[int, Waiting] = {}
+        self.requests: dict[int, QueuedRequest] = {}
         self.deficit = deficit
 
 
 class FairQueue:
-    """The queue of one gateway, at most `WAITING` requests."""
+    """The queue of one gateway, at most `QUEUE_CAPACITY` requests."""
 
     def __init__(self, secret: bytes) -> None:
         self._cell_hash, self._epoch = Cells(secret, CELLS), -1
@@ -49,9 +49,9 @@
         # Cells that were idle until now, which are served first, and cells with a backlog.
         self._newly_active: OrderedDict[int, None] = OrderedDict()
         self._backlogged: OrderedDict[int, None] = OrderedDict()
-        self._priority: dict[int, Waiting] = {}  # the priority queue, served before all cells
-        self._by_length: list[dict[int, None]] = [{} for _ in range(IN_CELL + 1)]
-        self._queued: dict[int, Waiting] = {}
+        self._priority: dict[int, QueuedRequest] = {}  # the priority queue, served before all cells
+        self._by_length: list[dict[int, None]] = [{} for _ in range(CELL_CAPACITY + 1)]
+        self._queued: dict[int, QueuedRequest] = {}
         self._expiries: list[tuple[float, int]] = []
 
     def __len__(self) -> int:
@@ -61,19 +61,19 @@
         return self._cell_hash.of(name)
 
     def _update_epoch(self, now: float) -> None:
-        epoch = int(now // REKEY)
+        epoch = int(now // REKEY_PERIOD_S)
         if epoch <= self._epoch:  # also when the clock steps back
             return
         self._epoch = epoch
         self._cell_hash.era(epoch)
         queued = sorted(self._queued.values(), key=lambda w: (w.queued_at, w.conn))
         self._cells, self._newly_active, self._backlogged = {}, OrderedDict(), OrderedDict()
-        self._by_length = [{} for _ in range(IN_CELL + 1)]
+        self._by_length = [{} for _ in range(CELL_CAPACITY + 1)]
         for request in queued:
             if request.cell >= 0:
                 self._append(request, self._cell_number(request.name), fresh=False)
 
-    def _append(self, request: Waiting, number: int, fresh: bool) -> None:
+    def _append(self, request: QueuedRequest, number: int, fresh: bool) -> None:
         request.cell = number
         cell = self._cells.get(number)
         if cell is None:
@@ -85,14 +85,14 @@
     def _update_length(self, number: int, before: int) -> None:
         """Updates the index by length for a cell that held `before` requests.
 
-        After a key change, two cells that fall together may hold more than `IN_CELL` requests.
+        After a key change, two cells that fall together may hold more than `CELL_CAPACITY` requests.
         """
-        self._by_length[min(before, IN_CELL)].pop(number, None)
+        self._by_length[min(before, CELL_CAPACITY)].pop(number, None)
         now = len(self._cells[number].requests)
         if now:
-            self._by_length[min(now, IN_CELL)][number] = None
+            self._by_length[min(now, CELL_CAPACITY)][number] = None
 
-    def put(self, now: float, request: Waiting, first: bool = False) -> Waiting | None:
+    def put(self, now: float, request: QueuedRequest, first: bool = False) -> QueuedRequest | None:
         """Queues a request; `first` puts it into the priority queue.
 
         Returns the request that is dropped for it, if any, which may be the new one itself. When the queue is
@@ -101,10 +101,10 @@
         self._update_epoch(now)
         number = self._cell_number(request.name)
         cell = self._cells.get(number)
-        if not first and cell is not None and len(cell.requests) >= IN_CELL:
+        if not first and cell is not None and len(cell.requests) >= CELL_CAPACITY:
             return request
         dropped = None
-        if len(self._queued) >= WAITING:
+        if len(self._queued) >= QUEUE_CAPACITY:
             longest = next((next(iter(cells)) for cells in reversed(self._by_length) if cells), None)
             if longest is None or longest == number and not first:
                 return request
@@ -118,7 +118,7 @@
             self._append(request, number, fresh=True)
         return dropped
 
-    def remove(self, conn: int) -> Waiting | None:
+    def remove(self, conn: int) -> QueuedRequest | None:
         """Removes a request from the queue and returns it, or None if it is not queued."""
         request = self._queued.pop(conn, None)
         if request is not None and request.cell < 0:
@@ -129,7 +129,7 @@
             self._update_length(request.cell, len(requests) + 1)
         return request
 
-    def pop_expired(self, now: float) -> Iterator[Waiting]:
+    def pop_expired(self, now: float) -> Iterator[QueuedRequest]:
         """Removes and yields the requests that can no longer be set up in time."""
         while self._expiries and self._expiries[0][0] <= now:
             _, conn = heapq.heappop(self._expiries)
@@ -138,7 +138,7 @@
                 self.remove(conn)
                 yield request
 
-    def pop_next(self, now: float) -> Waiting | None:
+    def pop_next(self, now: float) -> QueuedRequest | None:
         """Removes and returns the request to admit next, or None if the queue is empty."""
         self._update_epoch(now)
         if self._priority:
--- a/ledgehitch/door/rates.py
+++ b/ledgehitch/door/rates.py
@@ -15,12 +15,12 @@
 SET_UPS = "set_ups"  # name of the fleet's budget for concurrent set-ups
 
 
-def budget_of(package: str) -> str:
+def offers_budget(package: str) -> str:
     """Returns the name of the fleet's budget for the offers of a package."""
     return f"offers.{package}"
 
 
-class ClientRates:
+class ClientRateLimits:
     """Limits the offers per second of each client, in a table whose size does not depend on their number.
 
     A client has one entry in each row, chosen by parts of its name (a keyed hash), and exceeds its rate if
@@ -52,7 +52,7 @@
         return 0.0
 
 
-class PackageRates:
+class PackageRateLimits:
     """Limits the offers per second of each package to this gateway's share of the fleet's rate.
 
     Over any interval all gateways together admit at most the rate times its length, plus one second's worth,
@@ -77,8 +77,8 @@
         """Adds tokens up to `now` at the share that was in force; call it before the share changes."""
         for package, per_second in self.per_second.items():
             tokens, updated_at = self._tokens.get(package, (0.0, now))
-            tokens += per_second * share.accumulated(updated_at, now, budget_of(package))
-            capacity = max(1.0, per_second * share.share(now, budget_of(package)) * self.BURST_S)
+            tokens += per_second * share.accumulated(updated_at, now, offers_budget(package))
+            capacity = max(1.0, per_second * share.share(now, offers_budget(package)) * self.BURST_S)
             self._tokens[package] = min(tokens, capacity), max(updated_at, now)
 
     def acquire(self, now: float, package: str, share: BudgetShare) -> float:
@@ -93,5 +93,5 @@
         if tokens >= 1.0 - ROUNDING:
             self._tokens[package] = max(0.0, tokens - 1.0), updated_at
             return 0.0
-        rate = self.per_second[package] * share.share(now, budget_of(package))
+        rate = self.per_second[package] * share.share(now, offers_budget(package))
         return (1.0 - tokens) / rate if rate > 0 else FOREVER
--- a/ledgehitch/scale/hollow.py
+++ b/ledgehitch/scale/hollow.py
@@ -20,7 +20,7 @@
 from ledgehitch.daemon.budgeting import Budgeting
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.daemon.owning import Owning, Work
-from ledgehitch.door.rates import SET_UPS, budget_of
+from ledgehitch.door.rates import SET_UPS, offers_budget
 from ledgehitch.gateway.doorman import Doorman
 from ledgehitch.http import Refused, Request, Response, Server
 from ledgehitch.keys.store import ring_in
@@ -38,7 +38,7 @@
     def __init__(self, site: Site, share: float) -> None:
         """`share`: of the whole fleet's limits, what this one wants."""
         self.look: Callable[[float], None] | None = None
-        self.wanted = {budget_of(package): share for package in site.door.package_rates}
+        self.wanted = {offers_budget(package): share for package in site.door.package_rates}
         if site.door.set_ups:
             self.wanted[SET_UPS] = share
         self.part: dict[str, float] = {}
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -18,8 +18,8 @@
 from ledgehitch.door.limits import MIN_LIMIT, AdaptiveLimit, AdmissionRate, FixedLimit
 from ledgehitch.door.names import name_of, prefix_of
 from ledgehitch.door.part import BudgetShare
-from ledgehitch.door.queue import IN_CELL, REKEY, WAITING, FairQueue, Waiting
-from ledgehitch.door.rates import ClientRates, PackageRates
+from ledgehitch.door.queue import CELL_CAPACITY, QUEUE_CAPACITY, REKEY_PERIOD_S, FairQueue, QueuedRequest
+from ledgehitch.door.rates import ClientRateLimits, PackageRateLimits
 from ledgehitch.door.returns import EARLY, LATE, Places, Tickets
 from ledgehitch.gateway.doorman import Doorman
 from ledgehitch.http import Limits, Request, Response
@@ -35,15 +35,15 @@
 T = 50_000.0
 
 
-def waiting(conn: int, name: str, cost: float = 1.0, until: float = 1e9, since: float = 0.0) -> Waiting:
-    return Waiting(conn, name.encode(), "p", cost, since, until)
+def waiting(conn: int, name: str, cost: float = 1.0, until: float = 1e9, since: float = 0.0) -> QueuedRequest:
+    return QueuedRequest(conn, name.encode(), "p", cost, since, until)
 
 
 def drained(some: Any, now: float) -> list[Any]:
     return list(iter(lambda: some.decide(now), None))
 
 
-def taken(q: FairQueue, now: float, most: int = 10**6) -> Iterator[Waiting]:
+def taken(q: FairQueue, now: float, most: int = 10**6) -> Iterator[QueuedRequest]:
     for _ in range(most):
         one = q.pop_next(now)
         if one is None:
@@ -86,13 +86,13 @@
 def test_a_flood_crowds_out_itself() -> None:
     q = FairQueue(SECRET)
     out = [q.put(T, waiting(n, "flood")) for n in range(1000)]
-    assert sum(one is None for one in out) == IN_CELL and out[-1] is not None and out[-1].conn == 999
+    assert sum(one is None for one in out) == CELL_CAPACITY and out[-1] is not None and out[-1].conn == 999
     n = 10_000
-    while len(q) < WAITING:
+    while len(q) < QUEUE_CAPACITY:
         n += 1
         q.put(T, waiting(n, f"c{n}"))
     victim = q.put(T, waiting(10**6, "innocent"))
-    assert victim is not None and victim.name != b"innocent" and len(q) == WAITING
+    assert victim is not None and victim.name != b"innocent" and len(q) == QUEUE_CAPACITY
 
 
 def test_who_shares_a_cell_by_chance_does_so_for_a_while_only() -> None:
@@ -106,7 +106,7 @@
     q.put(T, waiting(99, beside, since=T))
     before = [one.conn for one in taken(q, T, 3)]
     assert 99 not in before
-    after = [one.conn for one in taken(q, T + REKEY, 2)]
+    after = [one.conn for one in taken(q, T + REKEY_PERIOD_S, 2)]
     assert 99 in after
     assert next(taken(q, T - 1000.0)).name == b"flood", "a clock that steps back changes nothing"
 
@@ -172,7 +172,9 @@
         some.asked(now, n, n.to_bytes(8, "big"), "recorded", now + PATIENCE)
         drained(some, now)
     q = some.queue
-    assert len(q) <= WAITING and len(q._cells) <= 1024 and len(q._expiries) <= 2 * WAITING + 30_000
+    assert (
+        len(q) <= QUEUE_CAPACITY and len(q._cells) <= 1024 and len(q._expiries) <= 2 * QUEUE_CAPACITY + 30_000
+    )
     drained(some, 100.0)
     assert len(q) == 0 and not q._expiries and some.heavy_hitters.total() <= 40_000
 
@@ -363,7 +365,7 @@
         now = n * 0.01
         some.asked(now, n, b"flood-00", "recorded", now + PATIENCE)
         drained(some, now)
-    assert sum(len(cell.requests) for cell in some.queue._cells.values()) == len(some.queue) <= IN_CELL
+    assert sum(len(cell.requests) for cell in some.queue._cells.values()) == len(some.queue) <= CELL_CAPACITY
 
 
 def test_who_came_when_told_is_turned_away_in_time_though_no_turn_is_taken() -> None:
@@ -444,7 +446,7 @@
 @given(st.integers(0, 2**32))
 def test_no_client_is_let_over_its_rate_and_its_wait_is_exact(seed: int) -> None:
     chance = random.Random(seed)
-    rates, (a_second, burst) = ClientRates(), chance.choice([(2.0, 1.0), (5.0, 10.0), (0.5, 3.0)])
+    rates, (a_second, burst) = ClientRateLimits(), chance.choice([(2.0, 1.0), (5.0, 10.0), (0.5, 3.0)])
     rates.set_limit(a_second, burst)
     names = [chance.randbytes(8) for _ in range(5)]
     now, let = T, dict[bytes, list[float]]()
@@ -467,7 +469,7 @@
 
 
 def test_heavy_ones_by_the_hundred_do_not_use_up_an_innocents_rate() -> None:
-    rates, chance = ClientRates(), random.Random(3)
+    rates, chance = ClientRateLimits(), random.Random(3)
     rates.set_limit(1.0, 2.0)
     heavies = [chance.randbytes(8) for _ in range(400)]
     for heavy in heavies * 3:
@@ -482,7 +484,7 @@
 def test_parts_of_a_package_rate_hold_in_sum_over_any_time_however_they_move() -> None:
     """Loans go round among four, end by themselves in between; one starts anew each time."""
     own, chance, let = 0.1 / 4, random.Random(5), list[float]()
-    parts, rates = [BudgetShare(own) for _ in range(4)], [PackageRates() for _ in range(4)]
+    parts, rates = [BudgetShare(own) for _ in range(4)], [PackageRateLimits() for _ in range(4)]
     for rate in rates:
         rate.set_limits({"recorded": 40.0})
     for n in range(20_000):
@@ -493,7 +495,7 @@
                 rate.refill(now, part)
                 lent = {"offers.recorded": 0.9} if i == at else {}
                 part.update(own, lent, now + chance.choice([0.2, 0.7]))
-            rates[at - 1] = PackageRates()
+            rates[at - 1] = PackageRateLimits()
             rates[at - 1].set_limits({"recorded": 40.0})
         let += [
             now for rate, part in zip(rates, parts, strict=True) if not rate.acquire(now, "recorded", part)
--- a/tests/test_whole_units.py
+++ b/tests/test_whole_units.py
@@ -16,7 +16,7 @@
 from ledgehitch.budgets.units import lent_beside, may_be_lent, own_parts, smallest_own, spread
 from ledgehitch.config.site import GatewayRecord
 from ledgehitch.door.part import MAX_COUNTED, BudgetShare, parts_per_unit, whole_units
-from ledgehitch.door.rates import SET_UPS, PackageRates
+from ledgehitch.door.rates import SET_UPS, PackageRateLimits
 from ledgehitch.gateway.serve import own_shares
 from ledgehitch.owners.facts import Lists, promise_of
 from tests.rig import site
@@ -309,7 +309,7 @@
     """Of two a second, 550 gateways have a 275th each: one lets somebody in every 275 s. All that have been
     idle for so long let one in each: 550 at once, as the page of budgets says."""
     own = own_parts(RATE, 1.0, names_of(550))["g0"] / WHOLE
-    part, rates = BudgetShare(own), PackageRates()
+    part, rates = BudgetShare(own), PackageRateLimits()
     rates.set_limits({"live": 2.0})
     assert rates.acquire(T, "live", part) == pytest.approx(275.0, rel=1e-3)
     let = [at for at in range(5, 1500, 5) if not rates.acquire(T + at, "live", part)]
