--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -16,7 +16,7 @@
 from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
 from ledgehitch.door.decide import AdmissionController, Admit, Reject
 from ledgehitch.door.names import name_of
-from ledgehitch.door.returns import SHARE, Places
+from ledgehitch.door.returns import RETURN_SHARE, ReturnSlots
 
 SETUP = 0.05  # seconds of a set-up where nothing is scarce
 PATIENCE = 3.0
@@ -192,7 +192,7 @@
     return sum(values) ** 2 / (len(values) * sum(v * v for v in values))
 
 
-class Beside(Places):
+class Beside(ReturnSlots):
     """The door's places, and beside them those of one that knows the capacity of every second to come."""
 
     def __init__(self, capacity: Callable[[float], float]) -> None:
@@ -204,7 +204,7 @@
         told = super().book(now, pace, least, most)
         if told is not None:
             second = int(now + least)
-            while self.taken.get(second, 0.0) >= max(0.2, SHARE * self.capacity(second + 0.5)):
+            while self.taken.get(second, 0.0) >= max(0.2, RETURN_SHARE * self.capacity(second + 0.5)):
                 second += 1
             self.taken[second] = self.taken.get(second, 0.0) + 1.0
             self.pairs.append((now, told, max(least, second - now)))
--- a/ledgehitch/door/decide.py
+++ b/ledgehitch/door/decide.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ledgehitch.door.heavy import Heavy
+from ledgehitch.door.heavy import HeavyHitters
 from ledgehitch.door.limits import (
     MIN_LIMIT,
     NEW_WEIGHT,
@@ -24,7 +24,7 @@
 from ledgehitch.door.part import BudgetShare
 from ledgehitch.door.queue import FairQueue, QueuedRequest
 from ledgehitch.door.rates import SET_UPS, ClientRateLimits, PackageRateLimits, offers_budget
-from ledgehitch.door.returns import Places, Tickets
+from ledgehitch.door.returns import ReturnSlots, ReturnTickets
 
 MIN_SETUP_TIME_S = 0.35  # a viewing must be admitted this long before its patience ends
 SETUP_TIME_FACTOR = 1.3  # times the recent set-up time, within which nearly all set-ups finish
@@ -91,8 +91,12 @@
         self.may_advise, self.longest_advice = may_advise, longest_advice
         self.limit: ConcurrencyLimit = limit if limit is not None else AdaptiveLimit()
         self.queue = FairQueue(rng.randbytes(32))
-        self.heavy_hitters, self.admission_rate, self.return_slots = Heavy(), AdmissionRate(), Places()
-        self.tickets = Tickets(rng.randrange(1 << 16), rng.randbytes(32))
+        self.heavy_hitters, self.admission_rate, self.return_slots = (
+            HeavyHitters(),
+            AdmissionRate(),
+            ReturnSlots(),
+        )
+        self.tickets = ReturnTickets(rng.randrange(1 << 16), rng.randbytes(32))
         self.share, self.client_rates, self.package_rates = (
             BudgetShare(1.0 / gateways),
             ClientRateLimits(),
--- a/ledgehitch/door/heavy.py
+++ b/ledgehitch/door/heavy.py
@@ -3,10 +3,10 @@
 from datasketches import frequent_items_error_type, frequent_strings_sketch
 
 LOG_SIZE = 12  # binary logarithm of the table size: 4,096 entries
-PERIOD = 10.0  # seconds that one sketch covers; two sketches are held
+PERIOD_S = 10.0  # seconds that one sketch covers; two sketches are held
 
 
-class Heavy:
+class HeavyHitters:
     """Request counts by client over the last 10 to 20 s, each accurate to `error()`."""
 
     def __init__(self) -> None:
@@ -14,7 +14,7 @@
         self._current, self._previous = frequent_strings_sketch(LOG_SIZE), frequent_strings_sketch(LOG_SIZE)
 
     def on_request(self, now: float, name: bytes) -> None:
-        period = int(now // PERIOD)
+        period = int(now // PERIOD_S)
         if period > self._period:
             previous = self._current if period == self._period + 1 else frequent_strings_sketch(LOG_SIZE)
             self._previous, self._current, self._period = previous, frequent_strings_sketch(LOG_SIZE), period
@@ -45,4 +45,4 @@
 
     def restore(self, now: float, serialized: list[bytes]) -> None:
         self._current, self._previous = (frequent_strings_sketch.deserialize(raw) for raw in serialized)
-        self._period = int(now // PERIOD)
+        self._period = int(now // PERIOD_S)
--- a/ledgehitch/door/returns.py
+++ b/ledgehitch/door/returns.py
@@ -12,28 +12,28 @@
 
 from ledgehitch.keyed import Remembered
 
-AHEAD = 120  # seconds for which slots can be booked
-SHARE = 0.6  # share of the admission rate that may be promised to returning clients
-EARLY, LATE = 0.25, 3.0  # seconds before and after its time in which a ticket is valid
+HORIZON_S = 120  # seconds for which slots can be booked
+RETURN_SHARE = 0.6  # share of the admission rate that may be promised to returning clients
+EARLY_S, LATE_S = 0.25, 3.0  # seconds before and after its time in which a ticket is valid
 HEAD = struct.Struct(">Hd8sQ")  # key number, time, client name, serial number
 MAC_BYTES = 12
 USED_CAPACITY = 50_000  # used tickets that are remembered, at least
 
 
-class Places:
+class ReturnSlots:
     """Return slots in the coming seconds."""
 
     def __init__(self) -> None:
         self._first_second = 0
-        self._booked = [0.0] * AHEAD
+        self._booked = [0.0] * HORIZON_S
 
     def _advance(self, now: float) -> None:
         second = int(now)
         # After a step of the clock there are no bookings.
-        if second < self._first_second - 1 or second >= self._first_second + AHEAD:
-            self._first_second, self._booked = second, [0.0] * AHEAD
+        if second < self._first_second - 1 or second >= self._first_second + HORIZON_S:
+            self._first_second, self._booked = second, [0.0] * HORIZON_S
         while self._first_second < second:
-            self._booked[self._first_second % AHEAD] = 0.0
+            self._booked[self._first_second % HORIZON_S] = 0.0
             self._first_second += 1
 
     def book(self, now: float, pace: float, least: float, most: float) -> float | None:
@@ -42,21 +42,21 @@
         Returns the seconds until then, or None if all are booked.
         """
         self._advance(now)
-        capacity = max(0.2, SHARE * pace)
+        capacity = max(0.2, RETURN_SHARE * pace)
         spilled = 0.0  # booked slots of earlier seconds that will not be served in them
-        first, last = int(now + least), min(int(now + most), self._first_second + AHEAD - 1)
+        first, last = int(now + least), min(int(now + most), self._first_second + HORIZON_S - 1)
         for second in range(self._first_second, last + 1):
-            booked = self._booked[second % AHEAD] + spilled
+            booked = self._booked[second % HORIZON_S] + spilled
             # Slots booked at a higher admission rate spill over into the next seconds when the fleet gets
             # slower.
             if second >= first and booked < capacity:
-                self._booked[second % AHEAD] += 1.0
+                self._booked[second % HORIZON_S] += 1.0
                 return max(least, second - now)
             spilled = max(0.0, booked - capacity)
         return None
 
 
-class Tickets:
+class ReturnTickets:
     """Issues and checks return tickets."""
 
     def __init__(self, number: int, secret: bytes) -> None:
@@ -113,8 +113,8 @@
             return "forged"
         if ticket_name != name[:8].ljust(8, b"\0"):
             return "another's"
-        if now < at - EARLY:
+        if now < at - EARLY_S:
             return "early"
-        if now > at + LATE:
+        if now > at + LATE_S:
             return "late"
         return "used" if self._used.seen(mac) else ""
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -14,13 +14,13 @@
 from ledgehitch.config import read_day
 from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
 from ledgehitch.door.decide import MAX_WAIT_SHARE, AdmissionController, Admit, Reject
-from ledgehitch.door.heavy import Heavy
+from ledgehitch.door.heavy import HeavyHitters
 from ledgehitch.door.limits import MIN_LIMIT, AdaptiveLimit, AdmissionRate, FixedLimit
 from ledgehitch.door.names import name_of, prefix_of
 from ledgehitch.door.part import BudgetShare
 from ledgehitch.door.queue import CELL_CAPACITY, QUEUE_CAPACITY, REKEY_PERIOD_S, FairQueue, QueuedRequest
 from ledgehitch.door.rates import ClientRateLimits, PackageRateLimits
-from ledgehitch.door.returns import EARLY, LATE, Places, Tickets
+from ledgehitch.door.returns import EARLY_S, LATE_S, ReturnSlots, ReturnTickets
 from ledgehitch.gateway.doorman import Doorman
 from ledgehitch.http import Limits, Request, Response
 from ledgehitch.lab.facts import PORTS
@@ -183,7 +183,7 @@
 
 
 def test_the_heaviest_are_known_within_the_stated_error() -> None:
-    heavy, chance = Heavy(), random.Random(1)
+    heavy, chance = HeavyHitters(), random.Random(1)
     true: dict[bytes, int] = {}
     for n in range(60_000):
         name = (chance.randrange(50) if chance.random() < 0.3 else 1000 + n).to_bytes(8, "big")
@@ -193,7 +193,7 @@
     for name in top:
         assert true[name] - heavy.error() <= heavy.count(name) <= true[name]
     assert {name for name, _ in heavy.heaviest(50)} >= {name.hex() for name in top[:40]}
-    again = Heavy()
+    again = HeavyHitters()
     again.restore(T + 3, heavy.snapshot())
     assert [again.count(name) for name in top] == [heavy.count(name) for name in top]
     heavy.on_request(T + 100.0, b"later")
@@ -230,7 +230,7 @@
 
 
 def test_returns_are_spread_over_the_seconds_to_come() -> None:
-    places = Places()
+    places = ReturnSlots()
     advised = [places.book(T, 10.0, 1.0, 5.0) for _ in range(60)]
     told = [a for a in advised if a is not None]
     by_second = {s: sum(int(T + a) == s for a in told) for s in range(int(T) + 1, int(T) + 6)}
@@ -239,24 +239,24 @@
 
 
 def test_tickets_are_good_once_for_their_client_at_their_time() -> None:
-    tickets = Tickets(1, SECRET)
+    tickets = ReturnTickets(1, SECRET)
     one = tickets.issue(T, b"client-1")
-    assert not tickets.redeem(T - EARLY - 0.01, one, b"client-1")
+    assert not tickets.redeem(T - EARLY_S - 0.01, one, b"client-1")
     assert not tickets.redeem(T, one, b"client-2")
-    assert tickets.redeem(T - EARLY + 0.01, one, b"client-1")
+    assert tickets.redeem(T - EARLY_S + 0.01, one, b"client-1")
     assert not tickets.redeem(T, one, b"client-1"), "it was used"
     other = tickets.issue(T, b"client-1")
-    assert not tickets.redeem(T + LATE + 0.01, other, b"client-1")
-    assert not tickets.redeem(T, Tickets(1, bytes(32)).issue(T, b"client-1"), b"client-1")
+    assert not tickets.redeem(T + LATE_S + 0.01, other, b"client-1")
+    assert not tickets.redeem(T, ReturnTickets(1, bytes(32)).issue(T, b"client-1"), b"client-1")
     assert not tickets.redeem(T, "nonsense", b"client-1")
     tickets.rotate(2, bytes(32))
-    assert tickets.redeem(T + LATE - 0.01, other, b"client-1"), "the key before still checks"
+    assert tickets.redeem(T + LATE_S - 0.01, other, b"client-1"), "the key before still checks"
     third = tickets.issue(T, b"client-1")
     kept = msgspec.msgpack.decode(msgspec.msgpack.encode(tickets.snapshot()))
     tickets.rotate(3, SECRET)
     tickets.rotate(4, SECRET)
     assert not tickets.redeem(T, third, b"client-1")
-    again = Tickets(9, bytes(32))
+    again = ReturnTickets(9, bytes(32))
     again.restore(kept)
     assert again.redeem(T, third, b"client-1") and not again.redeem(T, other, b"client-1"), (
         "used in the life before"
