--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any
 
-from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
+from ledgehitch.door.baselines import AdmitAll, FifoQueue, TokenBuckets
 from ledgehitch.door.decide import AdmissionController, Admit, Reject
-from ledgehitch.door.names import name_of
+from ledgehitch.door.names import client_name
 from ledgehitch.door.returns import RETURN_SHARE, ReturnSlots
 
 SETUP = 0.05  # seconds of a set-up where nothing is scarce
@@ -83,7 +83,7 @@
                     self.number += 1
                     conn = self.number
                     self.asked_at[conn], self.who[conn] = self.now, (who, tries)
-                    name = name_of(bytes(32), who, "", "")
+                    name = client_name(bytes(32), who, "", "")
                     self.door.asked(self.now, conn, name, package, self.now + PATIENCE, ticket)
             while (decision := self.door.decide(self.now)) is not None:
                 if isinstance(decision, Admit):
@@ -317,7 +317,12 @@
 
 
 def main(names: int) -> dict[str, Any]:
-    doors: dict[str, Callable[[], Any]] = {"door": door, "none": NoDoor, "one line": Fifo, "buckets": Buckets}
+    doors: dict[str, Callable[[], Any]] = {
+        "door": door,
+        "none": AdmitAll,
+        "one line": FifoQueue,
+        "buckets": TokenBuckets,
+    }
     return {
         "cost_us": cost(),
         "flood": {name: flood(make()) for name, make in doors.items()},
--- a/benchmarks/doorway.py
+++ b/benchmarks/doorway.py
@@ -18,7 +18,7 @@
 from benchmarks import peers
 from benchmarks.gateway import Process, loaded
 from ledgehitch.config import Day, read_site
-from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
+from ledgehitch.door.baselines import AdmitAll, FifoQueue, TokenBuckets
 from ledgehitch.gateway.doorman import Doorman
 from ledgehitch.gateway.serve import Running, say_ready
 from ledgehitch.http import Client, ConnectFailed, Interrupted, NoAnswer, Request
@@ -29,7 +29,7 @@
 
 SETUP = 0.03  # seconds of a set-up where nothing is scarce
 TARGET, PATIENCE = 0.8, 3.0
-BASELINES: dict[str, type[NoDoor]] = {"none": NoDoor, "one line": Fifo, "buckets": Buckets}
+BASELINES: dict[str, type[AdmitAll]] = {"none": AdmitAll, "one line": FifoQueue, "buckets": TokenBuckets}
 
 
 def hosts(site_file: str, capacity: str) -> None:
--- a/ledgehitch/door/baselines.py
+++ b/ledgehitch/door/baselines.py
@@ -9,7 +9,7 @@
 RATE, BURST = 20.0, 20.0  # requests per second and at once of each client's token bucket
 
 
-class NoDoor:
+class AdmitAll:
     """Admits every request at once."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         return {}
 
 
-class Fifo(NoDoor):
+class FifoQueue(AdmitAll):
     """One queue for all clients, with a fixed number of set-ups at once."""
 
     def __init__(self, limit: float = 64.0) -> None:
@@ -89,7 +89,7 @@
         return self.queue[0][1] if self.queue else None
 
 
-class Buckets(NoDoor):
+class TokenBuckets(AdmitAll):
     """A token bucket for each client, without a bound on their number; rejects clients over their rate."""
 
     def __init__(self) -> None:
--- a/ledgehitch/door/names.py
+++ b/ledgehitch/door/names.py
@@ -10,12 +10,12 @@
 
 from blake3 import blake3
 
-By = Literal["token", "certificate", "address"]
-ORDER: tuple[By, ...] = ("token", "certificate", "address")
+Identity = Literal["token", "certificate", "address"]
+DEFAULT_ORDER: tuple[Identity, ...] = ("token", "certificate", "address")
 NAME_BYTES = 8
 
 
-def prefix_of(address: str) -> str:
+def address_prefix(address: str) -> str:
     """Returns the part of an IP address that identifies a client, or the text itself if it is no address."""
     try:
         ip = ipaddress.ip_address(address.partition("%")[0].strip("[]"))
@@ -28,12 +28,18 @@
     return str(ip)
 
 
-def name_of(secret: bytes, token: str, certificate: str, address: str, order: Sequence[By] = ORDER) -> bytes:
+def client_name(
+    secret: bytes, token: str, certificate: str, address: str, order: Sequence[Identity] = DEFAULT_ORDER
+) -> bytes:
     """Returns the client's keyed hash of `NAME_BYTES` bytes.
 
     `order` gives the precedence of the identities; the address is always the last resort.
     """
-    known = {"token": token, "certificate": certificate, "address": prefix_of(address) if address else ""}
+    known = {
+        "token": token,
+        "certificate": certificate,
+        "address": address_prefix(address) if address else "",
+    }
     for kind in (*order, "address"):
         if known[kind]:
             return blake3(f"{kind}\0{known[kind]}".encode(), key=secret).digest(NAME_BYTES)
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -15,7 +15,7 @@
 
 from ledgehitch import interface as say
 from ledgehitch.door.decide import Admit
-from ledgehitch.door.names import name_of
+from ledgehitch.door.names import client_name
 from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.gateway.doorman import Doorman
 from ledgehitch.gateway.joins import Joins
@@ -195,7 +195,7 @@
                 self._admit(now, viewing_id, cells, top, patience)
             else:
                 self._at_door[viewing_id] = cells, top, patience
-                name = name_of(self.doorman.secret, viewing.token, "", address, self.doorman.order)
+                name = client_name(self.doorman.secret, viewing.token, "", address, self.doorman.order)
                 self.doorman.asked(now, viewing_id, name, viewing.package.name, patience, ticket)
         else:
             self.counts.joined += 1
--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -12,7 +12,7 @@
 import structlog
 
 from ledgehitch.door.decide import AdmissionController, Decision
-from ledgehitch.door.names import ORDER, By
+from ledgehitch.door.names import DEFAULT_ORDER, Identity
 from ledgehitch.quality.keep import Keep
 
 KEPT_EVERY = 5.0  # seconds: tickets used since then may be used once more after a kill
@@ -42,7 +42,9 @@
 class Doorman:
     """Times are of the machine's monotonic clock, as patience must not depend on a clock that steps."""
 
-    def __init__(self, door: SomeDoor, keep: Keep | None = None, order: Sequence[By] = ORDER) -> None:
+    def __init__(
+        self, door: SomeDoor, keep: Keep | None = None, order: Sequence[Identity] = DEFAULT_ORDER
+    ) -> None:
         self.door, self.keep, self.order = door, keep, order
         # Looks whether what is lent is still in force; called before anybody is let in.
         self.look: Callable[[float], None] | None = None
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -22,7 +22,7 @@
 from ledgehitch.config import Site, facts_of
 from ledgehitch.config.site import lends, rack_name, stated
 from ledgehitch.door.decide import AdmissionController
-from ledgehitch.door.names import ORDER
+from ledgehitch.door.names import DEFAULT_ORDER
 from ledgehitch.gate import SendGuard
 from ledgehitch.gateway.carry import Carrier
 from ledgehitch.gateway.doorman import Doorman
@@ -128,7 +128,7 @@
                 gateways=terms.gateways,
             )
             kept_door = Keep(state_dir / f"{name}.door", private=True) if state_dir is not None else None
-            self.carrier.doorman = Doorman(door, kept_door, site.door.order or ORDER)
+            self.carrier.doorman = Doorman(door, kept_door, site.door.order or DEFAULT_ORDER)
             self._limit(site)
         front.tokens = Tokens(name, state_dir)
         front.playing = self.playing
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -11,7 +11,7 @@
 
 from ledgehitch import interface as say
 from ledgehitch.door.decide import AdmissionController, Admit
-from ledgehitch.door.names import name_of
+from ledgehitch.door.names import client_name
 from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.gateway.carry import PATIENCE_FOR_ORDERS, PROBE_WITHIN
 from ledgehitch.interface import Outcome, Package, Row
@@ -135,7 +135,7 @@
             self._admit(now, viewing_id, cells, top, patience)
             return
         self._at_door[viewing_id] = cells, top, patience
-        name = name_of(self.ground.secret, who, "", "")
+        name = client_name(self.ground.secret, who, "", "")
         self.door.asked(now, viewing_id, name, package, patience, ticket)
 
     def _admit(self, now: float, viewing_id: int, cells: tuple[int, int], top: int, patience: float) -> None:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -12,11 +12,11 @@
 
 from benchmarks.door import PATIENCE, door, flood, returns, shares, storm
 from ledgehitch.config import read_day
-from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
+from ledgehitch.door.baselines import AdmitAll, FifoQueue, TokenBuckets
 from ledgehitch.door.decide import MAX_WAIT_SHARE, AdmissionController, Admit, Reject
 from ledgehitch.door.heavy import HeavyHitters
 from ledgehitch.door.limits import MIN_LIMIT, AdaptiveLimit, AdmissionRate, FixedLimit
-from ledgehitch.door.names import name_of, prefix_of
+from ledgehitch.door.names import address_prefix, client_name
 from ledgehitch.door.part import BudgetShare
 from ledgehitch.door.queue import CELL_CAPACITY, QUEUE_CAPACITY, REKEY_PERIOD_S, FairQueue, QueuedRequest
 from ledgehitch.door.rates import ClientRateLimits, PackageRateLimits
@@ -55,15 +55,15 @@
 
 
 def test_clients_are_named_by_what_is_known_first_and_ipv6_by_its_64() -> None:
-    assert name_of(SECRET, "t", "c", "1.2.3.4") == name_of(SECRET, "t", "other", "5.6.7.8")
-    assert name_of(SECRET, "", "c", "1.2.3.4") != name_of(SECRET, "", "", "1.2.3.4")
-    assert name_of(SECRET, "t", "c", "1.2.3.4", ("certificate",)) == name_of(
+    assert client_name(SECRET, "t", "c", "1.2.3.4") == client_name(SECRET, "t", "other", "5.6.7.8")
+    assert client_name(SECRET, "", "c", "1.2.3.4") != client_name(SECRET, "", "", "1.2.3.4")
+    assert client_name(SECRET, "t", "c", "1.2.3.4", ("certificate",)) == client_name(
         SECRET, "u", "c", "", ("certificate",)
     )
-    assert name_of(SECRET, "", "", "2001:db8::1") == name_of(SECRET, "", "", "2001:db8::ffff:2")
-    assert name_of(SECRET, "", "", "2001:db8:0:1::1") != name_of(SECRET, "", "", "2001:db8::1")
-    assert prefix_of("::ffff:10.0.0.1") == "10.0.0.1" and prefix_of("fe80::1%eth0") == "fe80::/64"
-    assert name_of(SECRET, "t", "", "") != name_of(bytes(32), "t", "", ""), (
+    assert client_name(SECRET, "", "", "2001:db8::1") == client_name(SECRET, "", "", "2001:db8::ffff:2")
+    assert client_name(SECRET, "", "", "2001:db8:0:1::1") != client_name(SECRET, "", "", "2001:db8::1")
+    assert address_prefix("::ffff:10.0.0.1") == "10.0.0.1" and address_prefix("fe80::1%eth0") == "fe80::/64"
+    assert client_name(SECRET, "t", "", "") != client_name(bytes(32), "t", "", ""), (
         "nobody outside can make them fall together"
     )
 
@@ -317,21 +317,21 @@
 
 
 def test_one_client_at_a_hundred_times_its_share_does_not_keep_the_others_out() -> None:
-    ours, none, line = flood(door()), flood(NoDoor()), flood(Fifo())
+    ours, none, line = flood(door()), flood(AdmitAll()), flood(FifoQueue())
     assert ours["others_joined"] > 0.99 and ours["p99_ms"] < 800
     assert none["others_joined"] < 0.1 and line["others_joined"] < 0.5
     assert ours["flood_joined"] > 1000, "what is left over is the flood's"
 
 
 def test_clients_of_equal_weight_get_equal_shares() -> None:
-    assert shares(door()) > 0.95 > shares(NoDoor())
+    assert shares(door()) > 0.95 > shares(AdmitAll())
 
 
 def test_a_storm_of_returning_viewers_ends_with_the_overload() -> None:
     ours, none, buckets = (
         storm(door(), length=65.0),
-        storm(NoDoor(), length=65.0),
-        storm(Buckets(), length=65.0),
+        storm(AdmitAll(), length=65.0),
+        storm(TokenBuckets(), length=65.0),
     )
     assert ours["whole_after_s"] is not None and ours["whole_after_s"] <= 10 and ours["late"] < 100
     assert none["whole_after_s"] is None and buckets["whole_after_s"] is None, (
