--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -84,7 +84,7 @@
                     conn = self.number
                     self.asked_at[conn], self.who[conn] = self.now, (who, tries)
                     name = client_name(bytes(32), who, "", "")
-                    self.door.asked(self.now, conn, name, package, self.now + PATIENCE, ticket)
+                    self.door.on_request(self.now, conn, name, package, self.now + PATIENCE, ticket)
             while (decision := self.door.decide(self.now)) is not None:
                 if isinstance(decision, Admit):
                     self.work[decision.conn] = 1.0
@@ -93,7 +93,7 @@
 
     def _over(self, conn: int, late: bool) -> None:
         del self.work[conn]
-        self.door.settled(self.now, conn, late)
+        self.door.on_result(self.now, conn, late)
         who, tries = self.who.pop(conn)
         took = self.now - self.asked_at.pop(conn)
         if not late:
@@ -283,10 +283,10 @@
             name = chance.randrange(clients).to_bytes(8, "big")
             t0 = time.perf_counter()
             now = n * 0.001
-            some.asked(now, n, name, "recorded", now + PATIENCE)
+            some.on_request(now, n, name, "recorded", now + PATIENCE)
             while (decision := some.decide(now)) is not None:
                 if isinstance(decision, Admit):
-                    some.settled(now, decision.conn, False)
+                    some.on_result(now, decision.conn, False)
             took.append(time.perf_counter() - t0)
         found[str(clients)] = round(1e6 * sorted(took)[len(took) // 2], 1)
     return found
@@ -303,12 +303,12 @@
     out: list[int] = []
     for n in range(names):
         now = n * 60.0 / names
-        some.asked(now, n, n.to_bytes(8, "big"), "recorded", now + PATIENCE)
+        some.on_request(now, n, n.to_bytes(8, "big"), "recorded", now + PATIENCE)
         while (decision := some.decide(now)) is not None:
             if isinstance(decision, Admit):
                 out.append(decision.conn)
         if len(out) > 30 and n % 1000 == 0:
-            some.settled(now, out.pop(0), False)
+            some.on_result(now, out.pop(0), False)
         if n == names // 10:
             base = rss()
         if (n + 1) % (names // 5) == 0:
--- a/ledgehitch/door/baselines.py
+++ b/ledgehitch/door/baselines.py
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self._due: deque[Decision] = deque()
 
-    def asked(
+    def on_request(
         self,
         now: float,
         conn: int,
@@ -27,10 +27,10 @@
     ) -> None:
         self._due.append(Admit(conn))
 
-    def gone(self, now: float, conn: int) -> None:
+    def on_disconnect(self, now: float, conn: int) -> None:
         """Ignored: no state is held."""
 
-    def settled(self, now: float, conn: int, failed: bool) -> None:
+    def on_result(self, now: float, conn: int, failed: bool) -> None:
         """Ignored: the baseline does not adapt."""
 
     def decide(self, now: float) -> Decision | None:
@@ -53,7 +53,7 @@
         self.queue: deque[tuple[int, float]] = deque()
         self.disconnected: set[int] = set()
 
-    def asked(
+    def on_request(
         self,
         now: float,
         conn: int,
@@ -65,11 +65,11 @@
     ) -> None:
         self.queue.append((conn, patience))
 
-    def gone(self, now: float, conn: int) -> None:
+    def on_disconnect(self, now: float, conn: int) -> None:
         self.disconnected.add(conn)
         self.in_progress.discard(conn)
 
-    def settled(self, now: float, conn: int, failed: bool) -> None:
+    def on_result(self, now: float, conn: int, failed: bool) -> None:
         self.in_progress.discard(conn)
 
     def decide(self, now: float) -> Decision | None:
@@ -96,7 +96,7 @@
         super().__init__()
         self.buckets: dict[bytes, tuple[float, float]] = {}
 
-    def asked(
+    def on_request(
         self,
         now: float,
         conn: int,
--- a/ledgehitch/door/decide.py
+++ b/ledgehitch/door/decide.py
@@ -85,7 +85,7 @@
 
         `values` and `targets` hold the value and the join target in seconds of each package. `gateways` is
         the number of gateways that share the fleet's limits according to the site; each has an equal share
-        until `shared` sets another one.
+        until `set_share` sets another one.
         """
         self.rng, self.values, self.targets = rng, values, targets
         self.may_advise, self.longest_advice = may_advise, longest_advice
@@ -115,7 +115,7 @@
         self._period_start, self._calm_periods = now, 0
         self._queue_timeouts: dict[float, int] = {}  # queue time-outs in this period, by package value
 
-    def limited(
+    def set_limits(
         self, client_rate: float, client_burst: float, package_rates: Mapping[str, float], set_ups: float
     ) -> None:
         """Sets the site's limits, at start and at a reload.
@@ -128,7 +128,7 @@
         self._request_rates = {p: self._request_rates.get(p, RequestRate()) for p in package_rates}
         self.set_ups = set_ups
 
-    def shared(
+    def set_share(
         self,
         now: float,
         own: float,
@@ -143,13 +143,13 @@
         self.package_rates.refill(now, self.share)
         self.share.update(own, lent, until, by_budget)
 
-    def needs(self, now: float) -> tuple[dict[str, float], dict[str, float]]:
+    def demand(self, now: float) -> tuple[dict[str, float], dict[str, float]]:
         """Returns the shares of the fleet's limits that are in use here and that are wanted here.
 
-        For set-ups the wanted share follows the highest concurrency since `needs_told`. It is 0 where there
-        was none, since a set-up that may be started here cannot be started elsewhere.
+        For set-ups the wanted share follows the highest concurrency since `on_demand_reported`. It is 0 where
+        there was none, since a set-up that may be started here cannot be started elsewhere.
         """
-        used, wanted = self.uses(), dict[str, float]()
+        used, wanted = self.usage(), dict[str, float]()
         for package, per_second in self.package_rates.per_second.items():
             wanted[offers_budget(package)] = self._request_rates[package].rate_at(now) / per_second
         if self.set_ups:
@@ -159,7 +159,7 @@
 
     # ---- inputs --------------------------------------------------------------------------------------------
 
-    def asked(
+    def on_request(
         self,
         now: float,
         conn: int,
@@ -194,7 +194,7 @@
         if self.package_rates.per_second and not returns:
             wait = self.package_rates.acquire(now, package, self.share)
             if wait > 0:
-                self._reject_over_rate(request, f"fleet budget {budget_of(package)} exceeded", wait)
+                self._reject_over_rate(request, f"fleet budget {offers_budget(package)} exceeded", wait)
                 return
         if value < self.levels[self.level] and not returns:
             self._reject(now, request, "brown-out")
@@ -204,12 +204,12 @@
         if dropped is not None:
             self._reject(now, dropped, "the admission queue is full")
 
-    def gone(self, now: float, conn: int) -> None:
+    def on_disconnect(self, now: float, conn: int) -> None:
         """The client disconnected while it was queued or after it was admitted."""
         self.queue.remove(conn)
         self.in_progress.pop(conn, None)
 
-    def settled(self, now: float, conn: int, failed: bool) -> None:
+    def on_result(self, now: float, conn: int, failed: bool) -> None:
         """The decision module has answered: the viewing plays, or it was blocked or aborted (`failed`)."""
         set_up = self.in_progress.pop(conn, None)
         if set_up is not None:
@@ -221,15 +221,15 @@
                 now, len(self.in_progress) + 1, now - since, self.targets.get(package, 1.0), failed
             )
 
-    def given_up(self, now: float) -> None:
+    def on_tune_in_timeout(self, now: float) -> None:
         """A tune-in of an admitted viewing timed out."""
         self.limit.on_overload(now)
 
-    def needs_told(self) -> None:
+    def on_demand_reported(self) -> None:
         """The demand was reported: starts measuring the highest concurrency anew."""
         self._peak_load = len(self.in_progress) + len(self.queue)
 
-    def uses(self) -> dict[str, float]:
+    def usage(self) -> dict[str, float]:
         """Returns the share of the limit on concurrent set-ups that is in use here."""
         return {SET_UPS: len(self.in_progress) / self.set_ups} if self.set_ups else {}
 
@@ -255,7 +255,7 @@
         self.counts["let_in"] += 1
         return Admit(first.conn)
 
-    def has_room(self, now: float) -> bool:
+    def can_admit(self, now: float) -> bool:
         """Returns whether a queued request could be admitted now."""
         return len(self.queue) > 0 and self._free_slots(now) > 0
 
@@ -335,7 +335,7 @@
             "heaviest_error": round(self.heavy_hitters.error(), 1),
         }
 
-    def frozen(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """Returns what the next process restores: heavy clients, used tickets, limits."""
         return {
             "heavy": self.heavy_hitters.snapshot(),
@@ -344,7 +344,7 @@
             "level": self.level,
         }
 
-    def thawed(self, now: float, snapshot: Mapping[str, Any]) -> None:
+    def restore(self, now: float, snapshot: Mapping[str, Any]) -> None:
         """Restores a snapshot, with half the limit, since a wave of requests may follow a restart."""
         self.heavy_hitters.restore(now, list(snapshot["heavy"]))
         self.tickets.restore(snapshot["tickets"])
--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -22,7 +22,7 @@
 class SomeDoor(Protocol):
     """The door, or a baseline in its place."""
 
-    def asked(
+    def on_request(
         self,
         now: float,
         conn: int,
@@ -32,8 +32,8 @@
         ticket: str = "",
         wall_clock_offset: float = 0.0,
     ) -> None: ...
-    def gone(self, now: float, conn: int) -> None: ...
-    def settled(self, now: float, conn: int, failed: bool) -> None: ...
+    def on_disconnect(self, now: float, conn: int) -> None: ...
+    def on_result(self, now: float, conn: int, failed: bool) -> None: ...
     def decide(self, now: float) -> Decision | None: ...
     def wake_at(self) -> float | None: ...
     def state(self, now: float) -> dict[str, Any]: ...
@@ -61,7 +61,7 @@
         if held is None or not isinstance(self.door, AdmissionController):
             return
         try:
-            self.door.thawed(time.monotonic(), held["door"])
+            self.door.restore(time.monotonic(), held["door"])
             self.secret = bytes(held["secret"])
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError, RuntimeError) as wrong:
             log.error("what the door kept does not read, it starts anew", why=str(wrong))
@@ -69,7 +69,7 @@
     def write(self) -> None:
         if self.keep is not None and isinstance(self.door, AdmissionController):
             self._kept_at = time.monotonic()
-            self.keep.write({"door": self.door.frozen(), "secret": self.secret})
+            self.keep.write({"door": self.door.snapshot(), "secret": self.secret})
 
     def keep_now_and_then(self) -> None:
         if time.monotonic() - self._kept_at >= KEPT_EVERY:
@@ -80,7 +80,7 @@
     ) -> None:
         """The site's limits, at start and at a reload."""
         if isinstance(self.door, AdmissionController):
-            self.door.limited(client_rate, client_burst, package_rates, set_ups)
+            self.door.set_limits(client_rate, client_burst, package_rates, set_ups)
 
     def shared(
         self,
@@ -93,10 +93,10 @@
         """This gateway's part of the fleet's limits, and up to when what is lent of it is in force;
         `by_budget`: its own part of limits of which that is not `own`."""
         if isinstance(self.door, AdmissionController):
-            self.door.shared(now, own, lent, until, by_budget)
+            self.door.set_share(now, own, lent, until, by_budget)
 
     def needs(self, now: float) -> tuple[dict[str, float], dict[str, float]]:
-        return self.door.needs(now) if isinstance(self.door, AdmissionController) else ({}, {})
+        return self.door.demand(now) if isinstance(self.door, AdmissionController) else ({}, {})
 
     # ---- viewings ------------------------------------------------------------------------------------------
 
@@ -105,14 +105,14 @@
     ) -> None:
         if self.look is not None:
             self.look(now)
-        self.door.asked(now, viewing_id, name, package, patience, ticket, time.time() - now)
+        self.door.on_request(now, viewing_id, name, package, patience, ticket, time.time() - now)
 
     def needs_told(self) -> None:
         if isinstance(self.door, AdmissionController):
-            self.door.needs_told()
+            self.door.on_demand_reported()
 
     def uses(self) -> dict[str, float]:
-        return self.door.uses() if isinstance(self.door, AdmissionController) else {}
+        return self.door.usage() if isinstance(self.door, AdmissionController) else {}
 
     def decide(self, now: float) -> Decision | None:
         if self.look is not None:
@@ -120,15 +120,15 @@
         return self.door.decide(now)
 
     def gone(self, now: float, viewing_id: int) -> None:
-        self.door.gone(now, viewing_id)
+        self.door.on_disconnect(now, viewing_id)
 
     def settled(self, now: float, viewing_id: int, failed: bool) -> None:
-        self.door.settled(now, viewing_id, failed)
+        self.door.on_result(now, viewing_id, failed)
 
     def given_up(self, now: float) -> None:
         """A tune-in was not answered in its time."""
         if isinstance(self.door, AdmissionController):
-            self.door.given_up(now)
+            self.door.on_tune_in_timeout(now)
 
     def state(self) -> dict[str, Any]:
         return self.door.state(time.monotonic())
--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -221,12 +221,12 @@
             terms.longest_advice,
             gateways=terms.gateways,
         )
-        door.limited(d.client_rate, d.client_burst, d.package_rates, d.set_ups)
+        door.set_limits(d.client_rate, d.client_burst, d.package_rates, d.set_ups)
         budgets = budgets_of(d.package_rates, d.set_ups, max(p.patience for p in packages))
         own = {b.name: own_parts(b, 1.0, tuple(self._ordinals))[name] / WHOLE for b in budgets}
-        door.shared(self.agenda.now, 1.0 / terms.gateways, {}, 0.0, own)
+        door.set_share(self.agenda.now, 1.0 / terms.gateways, {}, 0.0, own)
         if name in self.kept_doors:
-            door.thawed(self.agenda.now, self.kept_doors[name])
+            door.restore(self.agenda.now, self.kept_doors[name])
         return door
 
     def tune_in(
@@ -350,7 +350,7 @@
         if step.do == "kill":
             self.write("gateway", gateway=step.gateway, how="killed")
             if front.door is not None:
-                self.kept_doors[step.gateway] = front.door.frozen()
+                self.kept_doors[step.gateway] = front.door.snapshot()
             self.kept[step.gateway] = list(self.lists.lines.values())
             front.die()
             self.stopped_at_gate += front.stopped_at_gate
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -136,7 +136,7 @@
             return
         self._at_door[viewing_id] = cells, top, patience
         name = client_name(self.ground.secret, who, "", "")
-        self.door.asked(now, viewing_id, name, package, patience, ticket)
+        self.door.on_request(now, viewing_id, name, package, patience, ticket)
 
     def _admit(self, now: float, viewing_id: int, cells: tuple[int, int], top: int, patience: float) -> None:
         v = self.viewings[viewing_id]
@@ -206,7 +206,7 @@
     def _settled(self, now: float, viewing_id: int, kind: Kind, advice: float = 0.0) -> None:
         self.desk.settled(now, viewing_id, kind, advice=advice)
         if self.door is not None:
-            self.door.settled(now, viewing_id, kind != "plays")
+            self.door.on_result(now, viewing_id, kind != "plays")
 
     def _pump(self) -> None:
         now, g = self.ground.agenda.now, self.ground
@@ -235,7 +235,7 @@
                     g.network.send(recipient, message)
                 case say.Subscribe():
                     pass
-        again = bool(self._at_door) and self.door is not None and self.door.has_room(now)
+        again = bool(self._at_door) and self.door is not None and self.door.can_admit(now)
         while (duty := self.desk.decide(now)) is not None:
             match duty:
                 case Answer(conn, viewing_id):
@@ -279,7 +279,7 @@
         if v is None:
             return
         if self.door is not None:
-            self.door.gone(now, viewing_id)
+            self.door.on_disconnect(now, viewing_id)
             if self._at_door.pop(viewing_id, None) is not None:
                 self.viewings.pop(viewing_id, None)
                 return
@@ -336,7 +336,7 @@
         v.out = -1
         self.gate.on_tune_in_outcome(viewing_id, code)
         if code == Outcome.TIMEOUT and self.door is not None:
-            self.door.given_up(now)
+            self.door.on_tune_in_timeout(now)
         if code == Outcome.OK and session is not None:
             v.session, v.in_force = session, v.rung
             self.brain.on_tune_in_success(now, viewing_id, v.host, number, now - sent)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -132,17 +132,17 @@
             name = bytes([chance.randrange(5)]) * 8
             ticket = chance.choice(tickets)[0] if tickets and chance.random() < 0.3 else ""
             asked[conn] = now + chance.choice([0.1, 3.0])
-            some.asked(now, conn, name, chance.choice("ab"), asked[conn], ticket)
+            some.on_request(now, conn, name, chance.choice("ab"), asked[conn], ticket)
         if asked and chance.random() < 0.2:
             one = chance.randrange(1, conn + 1)
             if one not in over:
                 gone.add(one)
                 inside.discard(one)
-                some.gone(now, one)
+                some.on_disconnect(now, one)
         for one in sorted(inside):
             if chance.random() < 0.3:
                 inside.discard(one)
-                some.settled(now, one, chance.random() < 0.2)
+                some.on_result(now, one, chance.random() < 0.2)
         for decision in drained(some, now):
             assert decision.conn not in over and (decision.conn not in gone or isinstance(decision, Reject))
             over.add(decision.conn)
@@ -159,7 +159,7 @@
     for decision in drained(some, now):
         over.add(decision.conn)
     for one in sorted(inside):
-        some.settled(now, one, False)
+        some.on_result(now, one, False)
     for decision in drained(some, now + 1):
         over.add(decision.conn)
     assert set(asked) - over <= gone, "nobody is forgotten"
@@ -169,7 +169,7 @@
     some = door()
     for n in range(30_000):
         now = n * 0.0005
-        some.asked(now, n, n.to_bytes(8, "big"), "recorded", now + PATIENCE)
+        some.on_request(now, n, n.to_bytes(8, "big"), "recorded", now + PATIENCE)
         drained(some, now)
     q = some.queue
     assert (
@@ -274,24 +274,24 @@
 
 def test_who_comes_when_told_is_let_in_before_others() -> None:
     some = door(limit=FixedLimit(1.0))
-    some.asked(0.0, 1, b"a" * 8, "recorded", 3.0)
+    some.on_request(0.0, 1, b"a" * 8, "recorded", 3.0)
     assert drained(some, 0.0) == [Admit(1)]
-    some.asked(0.0, 2, b"b" * 8, "recorded", 3.0)
+    some.on_request(0.0, 2, b"b" * 8, "recorded", 3.0)
     (turn,) = drained(some, MAX_WAIT_SHARE * 0.8 + 0.01)
     assert (
         isinstance(turn, Reject) and turn.why == "not admitted in time" and turn.ticket and turn.advice <= 5.0
     )
     then = MAX_WAIT_SHARE * 0.8 + 0.01 + turn.advice
     for n in range(10, 20):
-        some.asked(then, n, bytes([n]) * 8, "recorded", then + 3.0)
-    some.asked(then, 3, b"b" * 8, "recorded", then + 3.0, turn.ticket)
-    some.settled(then, 1, False)
+        some.on_request(then, n, bytes([n]) * 8, "recorded", then + 3.0)
+    some.on_request(then, 3, b"b" * 8, "recorded", then + 3.0, turn.ticket)
+    some.on_result(then, 1, False)
     assert drained(some, then) == [Admit(3)]
 
 
 def test_where_no_advice_is_allowed_none_is_given() -> None:
     some = AdmissionController(T, random.Random(1), {"p": 1.0}, {"p": 0.8}, False, 5.0, FixedLimit(0.0))
-    some.asked(T, 1, b"a" * 8, "p", T + 3)
+    some.on_request(T, 1, b"a" * 8, "p", T + 3)
     assert drained(some, T + 1) == [Reject(1, "not admitted in time")]
 
 
@@ -300,12 +300,12 @@
     now, got, late = 0.0, 0, 0
     for n in range(3000):
         now += 0.005
-        some.asked(now, 2 * n, n.to_bytes(8, "big"), "recorded", now + 3)
+        some.on_request(now, 2 * n, n.to_bytes(8, "big"), "recorded", now + 3)
         if n % 8 == 0 and n > 600:
-            some.asked(now, 2 * n + 1, n.to_bytes(8, "little"), "live", now + 3)
+            some.on_request(now, 2 * n + 1, n.to_bytes(8, "little"), "live", now + 3)
         if n % 4 == 0:
             for conn in list(some.in_progress)[:1]:
-                some.settled(now, conn, False)
+                some.on_result(now, conn, False)
         for decision in drained(some, now):
             if decision.conn % 2 and n > 1000:
                 got += isinstance(decision, Admit)
@@ -349,13 +349,13 @@
     some = door()
     some.limit.limit = 400.0
     for n in range(500):
-        some.asked(1.0, n, b"heavy-00", "recorded", 4.0)
-    held = msgspec.msgpack.decode(msgspec.msgpack.encode(some.frozen()))
+        some.on_request(1.0, n, b"heavy-00", "recorded", 4.0)
+    held = msgspec.msgpack.decode(msgspec.msgpack.encode(some.snapshot()))
     again = door(2)
-    again.thawed(2.0, held)
+    again.restore(2.0, held)
     assert again.heavy_hitters.count(b"heavy-00") == 500 and again.limit.limit == 200.0
     for n in range(5000):
-        again.asked(2.0, n, n.to_bytes(8, "big"), "recorded", 5.0)
+        again.on_request(2.0, n, n.to_bytes(8, "big"), "recorded", 5.0)
     assert sum(isinstance(d, Admit) for d in drained(again, 2.0)) == 200
 
 
@@ -363,7 +363,7 @@
     some = door(limit=FixedLimit(0.0))
     for n in range(20_000):
         now = n * 0.01
-        some.asked(now, n, b"flood-00", "recorded", now + PATIENCE)
+        some.on_request(now, n, b"flood-00", "recorded", now + PATIENCE)
         drained(some, now)
     assert sum(len(cell.requests) for cell in some.queue._cells.values()) == len(some.queue) <= CELL_CAPACITY
 
@@ -371,13 +371,13 @@
 def test_who_came_when_told_is_turned_away_in_time_though_no_turn_is_taken() -> None:
     some = door(limit=FixedLimit(0.0))
     ticket = some.tickets.issue(1.0 + 1e6, b"a" * 8)
-    some.asked(1.0, 7, b"a" * 8, "recorded", 1.0 + PATIENCE, ticket, 1e6)
+    some.on_request(1.0, 7, b"a" * 8, "recorded", 1.0 + PATIENCE, ticket, 1e6)
     assert some.counts["returned"] == 1 and drained(some, 1.1) == []
     wake = some.wake_at()
     assert wake is not None and wake <= 1.0 + PATIENCE
     (turn,) = drained(some, wake)
     assert isinstance(turn, Reject) and turn.conn == 7
-    some.asked(2.0, 8, b"b" * 8, "recorded", 2.0 + PATIENCE, ticket, -50.0)
+    some.on_request(2.0, 8, b"b" * 8, "recorded", 2.0 + PATIENCE, ticket, -50.0)
     (turn,) = drained(some, 2.0 + PATIENCE)
     assert turn.conn == 8, "a wall clock that steps moves nobody's turn"
 
@@ -515,38 +515,38 @@
     assert part.share(T, "offers.live") == 0.05
     assert part.accumulated(T + 19, T + 21, "set_ups") == pytest.approx(0.6)
     some = door(limit=FixedLimit(100.0))
-    some.limited(0.0, 1.0, {"live": 4.0}, 20.0)
-    some.shared(T, 0.05, {"set_ups": 0.5}, T + 20.0)
+    some.set_limits(0.0, 1.0, {"live": 4.0}, 20.0)
+    some.set_share(T, 0.05, {"set_ups": 0.5}, T + 20.0)
     for n in range(15):
-        some.asked(T + 0.1, n, n.to_bytes(8, "big"), "recorded", T + PATIENCE)
+        some.on_request(T + 0.1, n, n.to_bytes(8, "big"), "recorded", T + PATIENCE)
     assert len(drained(some, T + 0.1)) == 11, "of twenty at once"
-    used, wanted = some.needs(T + 0.2)
+    used, wanted = some.demand(T + 0.2)
     assert used == {"set_ups": 0.55} and wanted["set_ups"] == pytest.approx(19.75 / 20)
     for n in range(15):
-        some.gone(T + 0.2, n)
-    assert some.needs(T + 0.2)[1]["set_ups"] == pytest.approx(19.75 / 20), "the most since it was told"
-    some.needs_told()
-    assert some.needs(T + 0.2)[1]["set_ups"] == 0.0, "a set-up that nobody asks for here is for others"
-    some.asked(T + 0.2, 99, b"x", "live", T + PATIENCE)
+        some.on_disconnect(T + 0.2, n)
+    assert some.demand(T + 0.2)[1]["set_ups"] == pytest.approx(19.75 / 20), "the most since it was told"
+    some.on_demand_reported()
+    assert some.demand(T + 0.2)[1]["set_ups"] == 0.0, "a set-up that nobody asks for here is for others"
+    some.on_request(T + 0.2, 99, b"x", "live", T + PATIENCE)
     turned = [d for d in drained(some, T + 0.2) if isinstance(d, Reject)]
     assert [t.why for t in turned] == ["fleet budget offers.live exceeded"]
 
 
 def test_a_limit_that_a_reload_lowers_is_reached_by_letting_nobody_in() -> None:
     some = door(limit=FixedLimit(100.0))
-    some.limited(0.0, 1.0, {}, 8.0)
+    some.set_limits(0.0, 1.0, {}, 8.0)
     for n in range(20):
-        some.asked(0.0, n, n.to_bytes(8, "big"), "recorded", PATIENCE)
+        some.on_request(0.0, n, n.to_bytes(8, "big"), "recorded", PATIENCE)
     assert len(drained(some, 0.0)) == 8
-    some.limited(0.0, 1.0, {}, 3.0)
+    some.set_limits(0.0, 1.0, {}, 3.0)
     for n in range(5):
-        some.settled(0.1, n, False)
+        some.on_result(0.1, n, False)
         assert drained(some, 0.1) == [], "six to three are out, the limit is three"
-    some.settled(0.2, 5, False)
+    some.on_result(0.2, 5, False)
     assert drained(some, 0.2) == [Admit(8)]
-    some.limited(2.0, 2.0, {}, 0.0)
+    some.set_limits(2.0, 2.0, {}, 0.0)
     for n in range(100, 104):
-        some.asked(0.3, n, b"the same", "recorded", 0.3 + PATIENCE)
+        some.on_request(0.3, n, b"the same", "recorded", 0.3 + PATIENCE)
     turned = [d for d in drained(some, 0.3) if isinstance(d, Reject)]
     assert [(t.conn, t.why, t.ticket) for t in turned] == [
         (n, "client rate limit exceeded", "") for n in (102, 103)
