--- a/benchmarks/data_path.py
+++ b/benchmarks/data_path.py
@@ -25,7 +25,7 @@
 KEPT = ROOT / "docs" / "capacity" / "kept"
 BLOB = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\r\nm=audio\r\n"
 HOSTS = 14
-DEAF = hostline.written("NOTICE", "f" * 16, {"note": "none", "value": 0}, None)  # a gateway passes over it
+DEAF = hostline.encode("NOTICE", "f" * 16, {"note": "none", "value": 0}, None)  # a gateway passes over it
 SETTINGS: dict[str, Any] = {
     "categories": [{"name": "clip", "onTime": 800.0, "deadline": 3000, "worth": 1.5, "effect": "repeatable"}],
     "familyInfo": {
@@ -104,10 +104,10 @@
                 for verb, tag, *_ in reader.feed(data):
                     if verb == "START":
                         self.plays.append(tag)
-                        stream.send(hostline.written("STARTED", tag, {"load": "x0:0.1;active:1"}, None, BLOB))
+                        stream.send(hostline.encode("STARTED", tag, {"load": "x0:0.1;active:1"}, None, BLOB))
                     elif verb == "ECHO":
                         self.tests += 1
-                        stream.send(hostline.written("ECHOED", tag, {"load": "x0:0.1;active:1"}, 1))
+                        stream.send(hostline.encode("ECHOED", tag, {"load": "x0:0.1;active:1"}, 1))
                     elif verb == "RATE":
                         self.rates += 1
         except OSError:
@@ -284,7 +284,7 @@
             cpu = cpu_of(pid)
             for host in self.hosts:
                 tag = host.plays[0]
-                host.say(hostline.written("NOTICE", tag, {"note": "wire", "value": level}, None))
+                host.say(hostline.encode("NOTICE", tag, {"note": "wire", "value": level}, None))
             self.loop.sleep(3.0)
             spent += cpu_of(pid) - cpu
         rates = sum(h.rates for h in self.hosts) - before
@@ -309,7 +309,7 @@
         ]
         cpu, began, took = cpu_of(pid), time.monotonic(), list[float]()
         for number, (host, tag) in enumerate(playing[:each]):
-            host.say(hostline.written("FINISH", tag, {}, 16))
+            host.say(hostline.encode("FINISH", tag, {}, 16))
             self.loop.sleep(max(0.0, began + (number + 1) * 0.004 - time.monotonic()))
         self._until(lambda: len(self.over) == each, 20.0)
         seconds = time.monotonic() - began
@@ -320,7 +320,7 @@
         rest = playing[each:]
         cpu, began = cpu_of(pid), time.monotonic()
         for host in self.hosts:
-            host.say(b"".join(hostline.written("FINISH", tag, {}, 16) for h, tag in rest if h is host))
+            host.say(b"".join(hostline.encode("FINISH", tag, {}, 16) for h, tag in rest if h is host))
         self._until(lambda: len(self.over) == len(rest), 60.0)
         took = sorted(t - began for t in self.over)
         spent = cpu_of(pid) - cpu
--- a/ledgehitch/hostline/__init__.py
+++ b/ledgehitch/hostline/__init__.py
@@ -3,6 +3,6 @@
 It never touches a socket and knows no viewing. Start reading at `codec.py`.
 """
 
-from ledgehitch.hostline.codec import MOST, Malformed, Reader, loads_of, written
+from ledgehitch.hostline.codec import MAX_LINE_BYTES, Malformed, Reader, encode, parse_loads
 
-__all__ = ["MOST", "Malformed", "Reader", "loads_of", "written"]
+__all__ = ["MAX_LINE_BYTES", "Malformed", "Reader", "encode", "parse_loads"]
--- a/ledgehitch/hostline/codec.py
+++ b/ledgehitch/hostline/codec.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-MOST = 16384  # bytes of one line, by the platform's page
+MAX_LINE_BYTES = 16384  # bytes of one line, by the platform's page
 VERBS = frozenset(
     ("START", "PENDING", "STARTED", "FINISH", "FINISHED", "ECHO", "ECHOED", "NOTICE", "MOVE", "RATE")
 )
@@ -25,7 +25,7 @@
 class Reader:
     """Feed it bytes as they come. `feed` gives verb, tag, fields, cause (None without one) and description
     (None without one) of each line that became whole, and raises `Malformed` at the first that is none; it
-    keeps no more than `MOST` bytes."""
+    keeps no more than `MAX_LINE_BYTES` bytes."""
 
     __slots__ = ("_rest", "_broken")
 
@@ -41,8 +41,8 @@
         try:
             for line in lines:
                 yield _read(line)
-            if len(rest) >= MOST:
-                raise Malformed(f"a line of more than {MOST} bytes")
+            if len(rest) >= MAX_LINE_BYTES:
+                raise Malformed(f"a line of more than {MAX_LINE_BYTES} bytes")
             self._rest = rest
         except Malformed:
             self._broken = True
@@ -50,8 +50,8 @@
 
 
 def _read(line: bytes) -> Message:
-    if len(line) >= MOST:
-        raise Malformed(f"a line of more than {MOST} bytes")
+    if len(line) >= MAX_LINE_BYTES:
+        raise Malformed(f"a line of more than {MAX_LINE_BYTES} bytes")
     try:
         thing = msgspec.json.decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as why:
@@ -76,7 +76,7 @@
     return verb, tag, fields, cause, blob
 
 
-def written(
+def encode(
     verb: str,
     tag: str,
     fields: Mapping[str, str | int | float],
@@ -92,7 +92,7 @@
     return msgspec.json.encode(thing) + b"\n"
 
 
-def loads_of(fields: Fields, names: Sequence[str]) -> list[float]:
+def parse_loads(fields: Fields, names: Sequence[str]) -> list[float]:
     """A report such as `x0:0.4;active:12` in the order of `names`; -1 stands for what is not in it, or is no
     number. Empty where no report came along."""
     report = fields.get("load")
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -160,10 +160,10 @@
                 except rtsp.Malformed as why:
                     self.refused += 1
                     log("unreadable", peer=stream.peer, why=str(why)[:80])
-                    conn.pipe.write(rtsp.answer(why.status, "", ""))
+                    conn.pipe.write(rtsp.response(why.status, "", ""))
                     self._see_out(conn)
                     return
-                conn.pace.read(self.loop.now, whole, conn.reader.within)
+                conn.pace.read(self.loop.now, whole, conn.reader.has_partial)
                 pause = conn.pace.pause(self.loop.now, self.carrier.desk.waits_on(conn.number))
                 if pause:
                     # Guards against counting a request's time from when it is read, long after it has come.
@@ -206,7 +206,7 @@
                 cseq = ""
                 raise Wrong(400, "CSeq is no number")
             if method == "OPTIONS":
-                conn.pipe.write(rtsp.answer(200 if self.life.passes else 503, cseq, sid))
+                conn.pipe.write(rtsp.response(200 if self.life.passes else 503, cseq, sid))
                 return
             if SID.match(sid) is None:
                 sid = ""
@@ -218,16 +218,16 @@
                     # Guards against slowing down a connection whose viewers' words cross our releases.
                     if not self.carrier.desk.crossed(sid):
                         conn.pace.fault(now)
-                    conn.pipe.write(rtsp.answer(454, cseq, sid))
+                    conn.pipe.write(rtsp.response(454, cseq, sid))
                     return
-                conn.pipe.write(rtsp.answer(200, cseq, sid))
+                conn.pipe.write(rtsp.response(200, cseq, sid))
             else:
                 raise Wrong(405, f"{method} is not done here")
         except Wrong as why:
             self.refused += 1
             conn.pace.fault(now)
             log("refused", peer=conn.stream.peer, why=why)
-            conn.pipe.write(rtsp.answer(why.status, cseq, sid))
+            conn.pipe.write(rtsp.response(why.status, cseq, sid))
 
     def _set_up(
         self, now: float, conn: Conn, cseq: str, sid: str, target: str, fields: dict[str, str], body: bytes
@@ -253,7 +253,7 @@
             raise Wrong(400, "the description is not UTF-8") from None
         desk = self.carrier.desk
         if self.bounds.full(desk.waiting, len(desk.by_vw)) or not self.life.takes:
-            conn.pipe.write(rtsp.answer(503, cseq, sid))
+            conn.pipe.write(rtsp.response(503, cseq, sid))
             return
         if not self.carrier.asked(now, conn.number, sid, cseq, *sold, now + int(left) / 1000, blob):
             raise Wrong(400, "the id is open already")
@@ -283,7 +283,9 @@
             return False
         advice = [("Retry-After", f"{decision.advice:.3f}")] if decision.advice > 0 else []
         body = decision.description.encode()
-        return conn.pipe.write(rtsp.answer(STATUS[decision.kind], decision.cseq, decision.sid, advice, body))
+        return conn.pipe.write(
+            rtsp.response(STATUS[decision.kind], decision.cseq, decision.sid, advice, body)
+        )
 
     def gone(self, number: int, sid: str) -> bool:
         """Whether the viewer of a set-up that waits on this connection has hung up or given it up, though it
@@ -322,5 +324,5 @@
                 self.close(conn)
             else:
                 if conn.pace.begun_at is not None:
-                    conn.pipe.write(rtsp.answer(408, "", ""))
+                    conn.pipe.write(rtsp.response(408, "", ""))
                 self.close(conn)
--- a/ledgehitch/platform/hosts.py
+++ b/ledgehitch/platform/hosts.py
@@ -137,7 +137,7 @@
         if line.pipe is None or line.pipe.unsent or line.held:
             line.held.append((tag, fields, blob))
         else:
-            line.pipe.write(hostline.written("START", tag, fields, None, blob))
+            line.pipe.write(hostline.encode("START", tag, fields, None, blob))
         return line
 
     def _flush(self, line: Line) -> None:
@@ -154,7 +154,7 @@
                 continue
             line.used_at = self.loop.now
             fields["left"] = str(max(1, int(left * 1000)))
-            line.pipe.write(hostline.written("START", tag, fields, None, blob))
+            line.pipe.write(hostline.encode("START", tag, fields, None, blob))
 
     def give_up(self, line: Line, tag: str, late: bool) -> bool:
         """Gives up a set-up that has no outcome; `late` when it ran out of time. Whether it had left."""
@@ -164,15 +164,15 @@
             line.open.pop(tag, None)
         elif line.over(tag) and not line.closed:
             line.doubted |= late
-            line.write(hostline.written("FINISH", tag, {}, 16))
+            line.write(hostline.encode("FINISH", tag, {}, 16))
         return not unsent
 
     def release(self, host: str, tag: str, line: Line | None) -> None:
         """Ends a viewing that stands."""
-        self._say(host, line, hostline.written("FINISH", tag, {}, 31))
+        self._say(host, line, hostline.encode("FINISH", tag, {}, 31))
 
     def set_rung(self, host: str, tag: str, line: Line | None, rung: int) -> None:
-        self._say(host, line, hostline.written("RATE", tag, {"rung": rung}))
+        self._say(host, line, hostline.encode("RATE", tag, {"rung": rung}))
 
     def probe(self, host: str) -> bool:
         line = self._fit(host)
@@ -182,7 +182,7 @@
         tag = f"{self._probes:016x}"
         line.probes[tag] = time.monotonic()
         line.used_at = self.loop.now
-        line.write(hostline.written("ECHO", tag, {}, 1))
+        line.write(hostline.encode("ECHO", tag, {}, 1))
         return True
 
     def keep(self, host: str) -> None:
@@ -307,7 +307,7 @@
             carrier.started(now, tag, line.host, line, blob or "")
         elif verb == "FINISH":
             line.over(tag)
-            loads = hostline.loads_of(fields, self.load_fields)
+            loads = hostline.parse_loads(fields, self.load_fields)
             carrier.finished(now, tag, line.host, line, 0 if cause is None else cause, loads)
         elif verb == "NOTICE":
             value = fields.get("value", "")
@@ -318,7 +318,7 @@
         elif verb == "ECHOED":
             sent = line.probes.pop(tag, None)
             if sent is not None:
-                loads = hostline.loads_of(fields, self.load_fields)
+                loads = hostline.parse_loads(fields, self.load_fields)
                 carrier.probed(now, line.host, cause == 1, now - sent, loads)
 
     def close(self, line: Line) -> None:
--- a/ledgehitch/rtsp/__init__.py
+++ b/ledgehitch/rtsp/__init__.py
@@ -3,6 +3,6 @@
 It never touches a socket and knows no viewing. Start reading at `codec.py`.
 """
 
-from ledgehitch.rtsp.codec import MOST, Malformed, Reader, answer, request
+from ledgehitch.rtsp.codec import MAX_MESSAGE_BYTES, Malformed, Reader, request, response
 
-__all__ = ["MOST", "Malformed", "Reader", "answer", "request"]
+__all__ = ["MAX_MESSAGE_BYTES", "Malformed", "Reader", "request", "response"]
--- a/ledgehitch/rtsp/codec.py
+++ b/ledgehitch/rtsp/codec.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterator
 
-MOST = 16384  # bytes of one message, by the platform's page
+MAX_MESSAGE_BYTES = 16384  # bytes of one message, by the platform's page
 VERSION = "RTSP/1.0"
 REASONS = {
     200: "OK",
@@ -38,7 +38,7 @@
 class Reader:
     """Feed it bytes as they come. `feed` gives what became whole: method, address, fields (names in lower
     case) and body of a request; "" and the status for an answer. It raises `Malformed` at the first bytes
-    that cannot be a message, after giving those before; it keeps no more than `MOST` bytes."""
+    that cannot be a message, after giving those before; it keeps no more than `MAX_MESSAGE_BYTES` bytes."""
 
     __slots__ = ("_rest", "_head", "_broken")
 
@@ -48,7 +48,7 @@
         self._broken = False
 
     @property
-    def within(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether a message has begun and is not whole."""
         return bool(self._rest)
 
@@ -60,10 +60,10 @@
         try:
             while at < len(rest):
                 if self._head is None:
-                    end = rest.find(b"\r\n\r\n", at, at + MOST)
+                    end = rest.find(b"\r\n\r\n", at, at + MAX_MESSAGE_BYTES)
                     if end < 0:
-                        if len(rest) - at >= MOST:
-                            raise Malformed(413, f"a head of more than {MOST} bytes")
+                        if len(rest) - at >= MAX_MESSAGE_BYTES:
+                            raise Malformed(413, f"a head of more than {MAX_MESSAGE_BYTES} bytes")
                         break
                     self._head = self._headed(rest[at:end].decode("latin-1"), end + 4 - at)
                 method, target, fields, begin, size = self._head
@@ -99,8 +99,8 @@
         length = fields.get("content-length")
         if length is None or LENGTH.match(length) is None:
             raise Malformed(400, f"the length is {length!r:.40}")
-        if begin + int(length) > MOST:
-            raise Malformed(413, f"a message of more than {MOST} bytes")
+        if begin + int(length) > MAX_MESSAGE_BYTES:
+            raise Malformed(413, f"a message of more than {MAX_MESSAGE_BYTES} bytes")
         method, target = (asked[1], asked[2]) if asked else ("", answered[1] if answered else "")
         return method, target, fields, begin, begin + int(length)
 
@@ -110,7 +110,7 @@
     return "\r\n".join(lines).encode("latin-1", "replace") + b"\r\n\r\n" + body
 
 
-def answer(
+def response(
     status: int, cseq: str, session: str, fields: list[tuple[str, str]] | None = None, body: bytes = b""
 ) -> bytes:
     """An answer; an empty `cseq` or `session` is left out."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -155,7 +155,7 @@
     if stage == "refused":  # and it waits for another media host to try
         for one in ids:
             world.log.append(("end", sid(one), first.name))
-            first.streams[-1].send(hostline.written("FINISH", sid(one), {"load": "x0:1.5;active:40"}, 34))
+            first.streams[-1].send(hostline.encode("FINISH", sid(one), {"load": "x0:1.5;active:40"}, 34))
     loop.sleep(0.1)
     way(v, mine)
     loop.sleep(GONE)
@@ -166,13 +166,13 @@
         held.release(world, first)
     elif stage == "sent":
         world.log.append(("end", sid(mine), first.name))
-        first.streams[-1].send(hostline.written("FINISH", sid(mine), {}, ERROR))
+        first.streams[-1].send(hostline.encode("FINISH", sid(mine), {}, ERROR))
     for host in world.hosts:
-        host.how = lambda tag: hostline.written("STARTED", tag, {}, None, BLOB)
+        host.how = lambda tag: hostline.encode("STARTED", tag, {}, None, BLOB)
     feed.send(world.told(3, (second, "ready")))
     if shared and way is cancels:
         if stage == "sent":
-            first.streams[-1].send(hostline.written("STARTED", sid(ids[1]), {}, None, BLOB))
+            first.streams[-1].send(hostline.encode("STARTED", sid(ids[1]), {}, None, BLOB))
         while v.next()[2].get("session") != sid(ids[1]):
             pass  # of the cancelled one
     else:
@@ -340,7 +340,7 @@
                 with Stopped(world):
                     if viewer_first:
                         way(v, n)
-                    stream.send(hostline.written("FINISH", sid(n), {}, 16))
+                    stream.send(hostline.encode("FINISH", sid(n), {}, 16))
                     if not viewer_first:
                         way(v, n)
                     loop.sleep(0.05)
@@ -555,19 +555,19 @@
     """The copy came on the connection on which the same id was out again, and a third one went out beside."""
     with running(loop, hosts=1) as (world, v):
         host = world.hosts[0]
-        answers = [hostline.written("FINISH", sid(1), {}, ERROR)]
+        answers = [hostline.encode("FINISH", sid(1), {}, ERROR)]
         host.how = lambda tag: answers.pop(0) if answers else None
         v.set_up(1)
         world.until(lambda: len(starts(world, 1)) == 2)
-        host.streams[0].send(hostline.written("FINISH", sid(1), {}, ERROR))  # once more, late
+        host.streams[0].send(hostline.encode("FINISH", sid(1), {}, ERROR))  # once more, late
         loop.sleep(0.2)
         assert len(starts(world, 1)) == 2 and not judge(world.log + [("answer", sid(1), "-")])
-        host.streams[-1].send(hostline.written("STARTED", sid(1), {}, None, BLOB))
+        host.streams[-1].send(hostline.encode("STARTED", sid(1), {}, None, BLOB))
         assert v.answer() == ("200", sid(1), BLOB)
-        host.streams[0].send(hostline.written("FINISH", sid(1), {}, ERROR))  # and once more
+        host.streams[0].send(hostline.encode("FINISH", sid(1), {}, ERROR))  # and once more
         with pytest.raises(TimedOut):
             v.next(0.3)  # it plays on
-        host.streams[-1].send(hostline.written("FINISH", sid(1), {}, 16))
+        host.streams[-1].send(hostline.encode("FINISH", sid(1), {}, 16))
         assert v.next()[0] == "TEARDOWN"
 
 
@@ -588,9 +588,9 @@
         other.set_up(1)  # right after
         world.until(lambda: len(starts(world, 1)) == 2)
         for late in (("STARTED", None, "of the former one"), ("FINISH", ERROR, None)):
-            host.streams[0].send(hostline.written(late[0], sid(1), {}, late[1], late[2]))
+            host.streams[0].send(hostline.encode(late[0], sid(1), {}, late[1], late[2]))
         loop.sleep(0.2)
-        host.streams[-1].send(hostline.written("STARTED", sid(1), {}, None, BLOB))
+        host.streams[-1].send(hostline.encode("STARTED", sid(1), {}, None, BLOB))
         assert other.answer() == ("200", sid(1), BLOB)
         assert len(starts(world, 1)) == 2
 
@@ -793,7 +793,7 @@
         blob = "x" * 12000
         for host in world.hosts:
             host.how = lambda tag: (
-                hostline.written("STARTED", tag, {}, None, blob) + hostline.written("FINISH", tag, {}, 16)
+                hostline.encode("STARTED", tag, {}, None, blob) + hostline.encode("FINISH", tag, {}, 16)
             )
         slow = world.viewers()
         # As much as the two sockets' buffers take, and half of what the gateway keeps beyond.
@@ -1050,7 +1050,7 @@
             assert time.monotonic() - began < 3.5 and sum(answers.values()) == 600
             v.got.clear()
             for host in world.hosts:
-                host.how = lambda tag: hostline.written("STARTED", tag, {}, None, BLOB)
+                host.how = lambda tag: hostline.encode("STARTED", tag, {}, None, BLOB)
             # One answer each. Whether two were out at once cannot be told here: what crosses on connections
             # to several media hosts is read in any order, so late in a flood.
             told = [entry[1] for entry in world.log if entry[0] == "answer" and entry[1] != sid(1)]
@@ -1151,7 +1151,7 @@
                 v.send("TEARDOWN", n, "2")
                 v.answer()
             for host in world.hosts:
-                host.how = lambda tag: hostline.written("FINISH", tag, {}, 102)  # it never left: harmless
+                host.how = lambda tag: hostline.encode("FINISH", tag, {}, 102)  # it never left: harmless
             assert asks(4)[0] == "453", "refused, also where it is paid for at set-up: nothing ran"
             for host in world.hosts:
                 host.how = nothing
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -86,15 +86,15 @@
 
 
 def half(tag: str) -> bytes:
-    return hostline.written("STARTED", tag, {}, None, BLOB)[:40]
+    return hostline.encode("STARTED", tag, {}, None, BLOB)[:40]
 
 
 def pending(tag: str) -> bytes:
-    return hostline.written("PENDING", tag, {})
+    return hostline.encode("PENDING", tag, {})
 
 
 def of_another(tag: str) -> bytes:
-    return hostline.written("STARTED", sid(99), {}, None, BLOB)
+    return hostline.encode("STARTED", sid(99), {}, None, BLOB)
 
 
 OUT: dict[str, Callable[[str], bytes | None]] = {
@@ -181,8 +181,8 @@
             host.how = nothing
             v.set_up(1)
             world.until(lambda: starts(world, 1))
-            over = hostline.written("FINISH", sid(1), {}, cause)
-            answer = hostline.written("STARTED", sid(1), {}, None, BLOB)
+            over = hostline.encode("FINISH", sid(1), {}, cause)
+            answer = hostline.encode("STARTED", sid(1), {}, None, BLOB)
             if apart:
                 host.streams[-1].send(answer)
                 loop.sleep(apart)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -32,7 +32,7 @@
 GOOD = [
     rtsp.request("SETUP", "rtsp://media/7f3a", "1", SID, [("X-Tier", "paid")], b"9d41\r\n\r\nc=IN\r\n"),
     rtsp.request("OPTIONS", "rtsp://media/ping", "3", SID),
-    rtsp.answer(200, "2", SID),
+    rtsp.response(200, "2", SID),
     rtsp.request("TEARDOWN", "rtsp://media/x", "2", SID, [("Reason", "cause=16")]),
 ]
 
@@ -63,9 +63,9 @@
 
 
 LINES = [
-    hostline.written("STARTED", SID, {"load": "x0:0.4;active:12"}, None, "a\r\nb\u00e9"),
-    hostline.written("FINISH", SID, {}, 34),
-    hostline.written("NOTICE", SID, {"note": "wire", "value": 0.5}),
+    hostline.encode("STARTED", SID, {"load": "x0:0.4;active:12"}, None, "a\r\nb\u00e9"),
+    hostline.encode("FINISH", SID, {}, 34),
+    hostline.encode("NOTICE", SID, {"note": "wire", "value": 0.5}),
 ]
 
 
@@ -83,7 +83,7 @@
 def test_no_input_raises_more_than_the_codecs_error_or_is_kept_beyond_the_limit(parts: list[bytes]) -> None:
     for reader in (rtsp.Reader(), hostline.Reader()):
         fed(reader, parts)
-        assert len(reader._rest) <= rtsp.MOST
+        assert len(reader._rest) <= rtsp.MAX_MESSAGE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -97,7 +97,7 @@
         (b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 99999999999999\r\n\r\n", 400),
         (b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", 400),
         (b"SETUP rtsp://media/a RTSP/1.0\r\nno colon\r\nContent-Length: 0\r\n\r\n", 400),
-        (b"A" * rtsp.MOST, 413),
+        (b"A" * rtsp.MAX_MESSAGE_BYTES, 413),
     ],
 )
 def test_what_is_no_message_is_refused_at_once(data: bytes, status: int) -> None:
@@ -121,7 +121,7 @@
         b'{"verb":"NOTICE","tag":"%s","opts":{"a":[]}}\n' % SID.encode(),
         b"\xff\xfe\n",
         b"[" * 9000 + b"\n",
-        b"x" * hostline.MOST,
+        b"x" * hostline.MAX_LINE_BYTES,
     ],
 )
 def test_what_is_no_line_is_told_at_once(line: bytes) -> None:
@@ -131,9 +131,9 @@
 
 def test_a_report_is_read_in_the_order_of_the_settings() -> None:
     fields: hostline.codec.Fields = {"load": "x0:0.4;active:12;odd:nan"}
-    assert hostline.loads_of(fields, ("active", "x0")) == [12.0, 0.4]
-    assert hostline.loads_of(fields, ("odd", "x1")) == [-1.0, -1.0]
-    assert hostline.loads_of({}, ("active",)) == []
+    assert hostline.parse_loads(fields, ("active", "x0")) == [12.0, 0.4]
+    assert hostline.parse_loads(fields, ("odd", "x1")) == [-1.0, -1.0]
+    assert hostline.parse_loads({}, ("active",)) == []
 
 
 # ---- who is owed what --------------------------------------------------------------------------------------
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -74,7 +74,7 @@
 
     def __init__(self, world: "World", name: str) -> None:
         self.world, self.name = world, name
-        self.how: Callable[[str], bytes | None] = lambda tag: hostline.written("STARTED", tag, {}, None, BLOB)
+        self.how: Callable[[str], bytes | None] = lambda tag: hostline.encode("STARTED", tag, {}, None, BLOB)
         self.heard: list[hostline.codec.Message] = []
         self.streams: list[Stream] = []
         self.accepted = 0
@@ -110,7 +110,7 @@
                     elif verb == "FINISH":
                         self.world.log.append(("end", tag, self.name))
                     elif verb == "ECHO" and self.echoes:
-                        stream.send(hostline.written("ECHOED", tag, {"load": "x0:0.1;active:1"}, 1))
+                        stream.send(hostline.encode("ECHOED", tag, {"load": "x0:0.1;active:1"}, 1))
         except OSError:
             pass
         for tag, out in list(self.out().items()):
@@ -127,7 +127,7 @@
         return state
 
     def say(self, verb: str, tag: str, fields: Any = None, cause: int | None = None) -> None:
-        self.streams[-1].send(hostline.written(verb, tag, fields or {}, cause))
+        self.streams[-1].send(hostline.encode(verb, tag, fields or {}, cause))
 
     def reset(self) -> None:
         for stream in self.streams:
@@ -426,16 +426,16 @@
         spoilt = [
             b"noise\n",
             b'{"verb":"STARTED","tag":"%s","blob":"' % sid(1).encode() + b"x" * 40000,
-            hostline.written("FINISH", sid(1), {}, 47),
+            hostline.encode("FINISH", sid(1), {}, 47),
         ]
         for h in world.hosts:
-            h.how = lambda tag: spoilt.pop(0) if spoilt else hostline.written("STARTED", tag, {}, None, BLOB)
+            h.how = lambda tag: spoilt.pop(0) if spoilt else hostline.encode("STARTED", tag, {}, None, BLOB)
         v.set_up(1)
         status, who, body = v.answer()
         assert who == sid(1) and (status, body) in (("200", BLOB), ("453", "")) and not judge(world.log)
-        stranger = hostline.written("STARTED", sid(99), {}, None, BLOB)
+        stranger = hostline.encode("STARTED", sid(99), {}, None, BLOB)
         for h in world.hosts:
-            h.how = lambda tag: stranger + 2 * hostline.written("STARTED", tag, {}, None, BLOB)
+            h.how = lambda tag: stranger + 2 * hostline.encode("STARTED", tag, {}, None, BLOB)
         v.set_up(2)
         assert v.answer() == ("200", sid(2), BLOB)
         world.until(lambda: any(m[:2] == ("FINISH", sid(99)) for h in world.hosts for m in h.heard))
@@ -566,7 +566,7 @@
 
 
 def turned_away(tag: str) -> bytes:
-    return hostline.written("FINISH", tag, {"load": "x0:1.2;active:30"}, 34)
+    return hostline.encode("FINISH", tag, {"load": "x0:1.2;active:30"}, 34)
 
 
 @on_loop
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -38,7 +38,7 @@
 
     def _note(self, tag: str) -> bytes:
         self.came.append(time.monotonic())
-        return hostline.written("STARTED", tag, {}, None, BLOB)
+        return hostline.encode("STARTED", tag, {}, None, BLOB)
 
     def lately(self, seconds: float) -> int:
         return sum(at > time.monotonic() - seconds for at in self.came)
