--- a/ledgehitch/hostline/__init__.py
+++ b/ledgehitch/hostline/__init__.py
@@ -1,6 +1,6 @@
-"""The platform's JSON lines between gateways and media hosts as a codec: bytes in, messages out, bounded.
+"""Codec of the platform's JSON lines between gateways and media hosts: bytes in, messages out, bounded.
 
-It never touches a socket and knows no viewing. Start reading at `codec.py`.
+It uses no sockets and holds no state of viewings.
 """
 
 from ledgehitch.hostline.codec import MAX_LINE_BYTES, Malformed, Reader, encode, parse_loads
--- a/ledgehitch/hostline/codec.py
+++ b/ledgehitch/hostline/codec.py
@@ -1,5 +1,5 @@
-"""One JSON object a line: type (`verb`), id (`tag`), fields (`opts`), cause (`rc`), description (`blob`).
-Free of I/O. No line is longer than 16 KiB.
+"""JSON lines of at most 16 KiB, one object each: type (`verb`), id (`tag`), fields (`opts`), cause (`rc`) and
+description (`blob`). Free of I/O.
 """
 
 import math
@@ -8,7 +8,7 @@
 
 import msgspec
 
-MAX_LINE_BYTES = 16384  # bytes of one line, by the platform's page
+MAX_LINE_BYTES = 16384  # by the platform's specification
 VERBS = frozenset(
     ("START", "PENDING", "STARTED", "FINISH", "FINISHED", "ECHO", "ECHOED", "NOTICE", "MOVE", "RATE")
 )
@@ -19,13 +19,15 @@
 
 
 class Malformed(ValueError):
-    """Bytes that are no line of the protocol; nothing after them can be relied on."""
+    """Bytes that are not a line of the protocol; nothing after them can be relied on."""
 
 
 class Reader:
-    """Feed it bytes as they come. `feed` gives verb, tag, fields, cause (None without one) and description
-    (None without one) of each line that became whole, and raises `Malformed` at the first that is none; it
-    keeps no more than `MAX_LINE_BYTES` bytes."""
+    """Incremental parser, which is fed bytes as they arrive.
+
+    `feed` yields verb, tag, fields, cause and description of each complete line, the last two None where they
+    are missing. It raises `Malformed` at the first invalid line. It buffers at most `MAX_LINE_BYTES` bytes.
+    """
 
     __slots__ = ("_rest", "_broken")
 
@@ -40,40 +42,40 @@
         self._rest = b""
         try:
             for line in lines:
-                yield _read(line)
+                yield _decode(line)
             if len(rest) >= MAX_LINE_BYTES:
-                raise Malformed(f"a line of more than {MAX_LINE_BYTES} bytes")
+                raise Malformed(f"the line is longer than {MAX_LINE_BYTES} bytes")
             self._rest = rest
         except Malformed:
             self._broken = True
             raise
 
 
-def _read(line: bytes) -> Message:
+def _decode(line: bytes) -> Message:
     if len(line) >= MAX_LINE_BYTES:
-        raise Malformed(f"a line of more than {MAX_LINE_BYTES} bytes")
+        raise Malformed(f"the line is longer than {MAX_LINE_BYTES} bytes")
     try:
-        thing = msgspec.json.decode(line)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as why:
-        raise Malformed(f"no JSON: {why}") from None
-    if not isinstance(thing, dict):
-        raise Malformed("no object")
-    verb, tag, fields = thing.get("verb"), thing.get("tag"), thing.get("opts", {})
-    cause, blob = thing.get("rc"), thing.get("blob")
+        message = msgspec.json.decode(line)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise Malformed(f"the line is not valid JSON: {error}") from None
+    if not isinstance(message, dict):
+        raise Malformed("the line is not a JSON object")
+    verb, tag, fields = message.get("verb"), message.get("tag"), message.get("opts", {})
+    cause, description = message.get("rc"), message.get("blob")
     if not isinstance(verb, str) or verb not in VERBS:
-        raise Malformed(f"no type: {verb!r:.40}")
+        raise Malformed(f"verb {verb!r:.40} is unknown")
     if not isinstance(tag, str) or TAG.match(tag) is None:
-        raise Malformed(f"no id: {tag!r:.40}")
+        raise Malformed(f"tag {tag!r:.40} is not an id of 16 lower-case hex digits")
     if not isinstance(fields, dict):
-        raise Malformed("the fields are no object")
+        raise Malformed("opts is not an object")
     for value in fields.values():
         if isinstance(value, bool) or not isinstance(value, (str, int, float)):
-            raise Malformed("a field is neither text nor a number")
+            raise Malformed("a value of opts is neither text nor a number")
     if cause is not None and (isinstance(cause, bool) or not isinstance(cause, int)):
-        raise Malformed(f"the cause is no number: {cause!r:.40}")
-    if blob is not None and not isinstance(blob, str):
-        raise Malformed("the description is no text")
-    return verb, tag, fields, cause, blob
+        raise Malformed(f"rc {cause!r:.40} is not an integer")
+    if description is not None and not isinstance(description, str):
+        raise Malformed("blob is not text")
+    return verb, tag, fields, cause, description
 
 
 def encode(
@@ -81,20 +83,22 @@
     tag: str,
     fields: Mapping[str, str | int | float],
     cause: int | None = None,
-    blob: str | None = None,
+    description: str | None = None,
 ) -> bytes:
-    """One line, its line feed included."""
-    thing: dict[str, object] = {"verb": verb, "tag": tag, "opts": dict(fields)}
+    """Returns one line, its line feed included."""
+    message: dict[str, object] = {"verb": verb, "tag": tag, "opts": dict(fields)}
     if cause is not None:
-        thing["rc"] = cause
-    if blob is not None:
-        thing["blob"] = blob
-    return msgspec.json.encode(thing) + b"\n"
+        message["rc"] = cause
+    if description is not None:
+        message["blob"] = description
+    return msgspec.json.encode(message) + b"\n"
 
 
 def parse_loads(fields: Fields, names: Sequence[str]) -> list[float]:
-    """A report such as `x0:0.4;active:12` in the order of `names`; -1 stands for what is not in it, or is no
-    number. Empty where no report came along."""
+    """Returns the values of a load report such as `x0:0.4;active:12` in the order of `names`.
+
+    A value that is missing or not a finite number is -1. The list is empty where there is no report.
+    """
     report = fields.get("load")
     if not isinstance(report, str) or not report:
         return []
--- a/ledgehitch/rtsp/__init__.py
+++ b/ledgehitch/rtsp/__init__.py
@@ -1,6 +1,6 @@
-"""The platform's RTSP between viewers and gateways as a codec: bytes in, messages out, strict and bounded.
+"""Codec of the platform's RTSP between viewers and gateways: bytes in, messages out, strict and bounded.
 
-It never touches a socket and knows no viewing. Start reading at `codec.py`.
+It uses no sockets and holds no state of viewings.
 """
 
 from ledgehitch.rtsp.codec import MAX_MESSAGE_BYTES, Malformed, Reader, request, response
--- a/ledgehitch/rtsp/codec.py
+++ b/ledgehitch/rtsp/codec.py
@@ -1,11 +1,11 @@
-"""RTSP/1.0 messages (RFC 2326, sections 4 to 7) as the platform uses them: each has a `Content-Length`, none
+"""RTSP/1.0 messages (RFC 2326, sections 4 to 7) in the platform's subset: each has a `Content-Length`, none
 is longer than 16 KiB. Free of I/O.
 """
 
 import re
 from collections.abc import Iterator
 
-MAX_MESSAGE_BYTES = 16384  # bytes of one message, by the platform's page
+MAX_MESSAGE_BYTES = 16384  # by the platform's specification
 VERSION = "RTSP/1.0"
 REASONS = {
     200: "OK",
@@ -19,37 +19,41 @@
     500: "Internal Server Error",
     503: "Service Unavailable",
 }
-START = re.compile(r"([A-Z_]{1,32}) (rtsp://[\x21-\x7e]{1,1024}) RTSP/1\.0\Z")
-ANSWER = re.compile(r"RTSP/1\.0 ([1-5][0-9][0-9])(?: [\x20-\x7e]*)?\Z")
-FIELD = re.compile(r"([A-Za-z0-9-]{1,64}):[ \t]*([\x20-\x7e]*)\Z")
-LENGTH = re.compile(r"[0-9]{1,9}\Z")
+REQUEST_LINE = re.compile(r"([A-Z_]{1,32}) (rtsp://[\x21-\x7e]{1,1024}) RTSP/1\.0\Z")
+STATUS_LINE = re.compile(r"RTSP/1\.0 ([1-5][0-9][0-9])(?: [\x20-\x7e]*)?\Z")
+HEADER_FIELD = re.compile(r"([A-Za-z0-9-]{1,64}):[ \t]*([\x20-\x7e]*)\Z")
+CONTENT_LENGTH = re.compile(r"[0-9]{1,9}\Z")
 
 Message = tuple[str, str, dict[str, str], bytes]
 
 
 class Malformed(ValueError):
-    """Bytes that are no message; nothing after them can be read. `status` is what is answered."""
+    """Bytes that are not a message; nothing after them can be read. `status` is the status of the response."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class Reader:
-    """Feed it bytes as they come. `feed` gives what became whole: method, address, fields (names in lower
-    case) and body of a request; "" and the status for an answer. It raises `Malformed` at the first bytes
-    that cannot be a message, after giving those before; it keeps no more than `MAX_MESSAGE_BYTES` bytes."""
+    """Incremental parser, which is fed bytes as they arrive.
+
+    `feed` yields each complete message: method, address, fields (names in lower case) and body of a request,
+    or "", the status, fields and body of a response. It raises `Malformed` at the first bytes that cannot be
+    a message, after the messages before them. It buffers at most `MAX_MESSAGE_BYTES` bytes.
+    """
 
     __slots__ = ("_rest", "_head", "_broken")
 
     def __init__(self) -> None:
         self._rest = b""
-        self._head: tuple[str, str, dict[str, str], int, int] | None = None  # with start of body, end
+        # Method, address and fields of a message whose body is incomplete, start of the body, size in total.
+        self._head: tuple[str, str, dict[str, str], int, int] | None = None
         self._broken = False
 
     @property
     def has_partial(self) -> bool:
-        """Whether a message has begun and is not whole."""
+        """Whether a message has begun and is not complete."""
         return bool(self._rest)
 
     def feed(self, data: bytes) -> Iterator[Message]:
@@ -63,13 +67,13 @@
                     end = rest.find(b"\r\n\r\n", at, at + MAX_MESSAGE_BYTES)
                     if end < 0:
                         if len(rest) - at >= MAX_MESSAGE_BYTES:
-                            raise Malformed(413, f"a head of more than {MAX_MESSAGE_BYTES} bytes")
+                            raise Malformed(413, f"the head is longer than {MAX_MESSAGE_BYTES} bytes")
                         break
-                    self._head = self._headed(rest[at:end].decode("latin-1"), end + 4 - at)
-                method, target, fields, begin, size = self._head
+                    self._head = self._parse_head(rest[at:end].decode("latin-1"), end + 4 - at)
+                method, target, fields, body_start, size = self._head
                 if len(rest) - at < size:
                     break
-                body = rest[at + begin : at + size]
+                body = rest[at + body_start : at + size]
                 at += size
                 self._head = None
                 yield method, target, fields, body
@@ -81,31 +85,35 @@
                 self._rest = rest[at:]
 
     @staticmethod
-    def _headed(head: str, begin: int) -> tuple[str, str, dict[str, str], int, int]:
+    def _parse_head(head: str, body_start: int) -> tuple[str, str, dict[str, str], int, int]:
         start, *lines = head.split("\r\n")
-        asked = START.match(start)
-        answered = None if asked else ANSWER.match(start)
-        if asked is None and answered is None:
-            raise Malformed(400, f"no start line: {start[:40]!r}")
+        request_line = REQUEST_LINE.match(start)
+        status_line = None if request_line else STATUS_LINE.match(start)
+        if request_line is None and status_line is None:
+            raise Malformed(400, f"{start[:40]!r} is neither a request line nor a status line")
         fields: dict[str, str] = {}
         for line in lines:
-            field = FIELD.match(line)
+            field = HEADER_FIELD.match(line)
             if field is None:
-                raise Malformed(400, f"no header field: {line[:40]!r}")
+                raise Malformed(400, f"{line[:40]!r} is not a header field")
             name = field[1].lower()
             if name in fields:
-                raise Malformed(400, f"{name} came twice")
+                raise Malformed(400, f"header field {name} occurs twice")
             fields[name] = field[2].rstrip()
         length = fields.get("content-length")
-        if length is None or LENGTH.match(length) is None:
-            raise Malformed(400, f"the length is {length!r:.40}")
-        if begin + int(length) > MAX_MESSAGE_BYTES:
-            raise Malformed(413, f"a message of more than {MAX_MESSAGE_BYTES} bytes")
-        method, target = (asked[1], asked[2]) if asked else ("", answered[1] if answered else "")
-        return method, target, fields, begin, begin + int(length)
-
-
-def _written(start: str, fields: list[tuple[str, str]], body: bytes) -> bytes:
+        if length is None or CONTENT_LENGTH.match(length) is None:
+            raise Malformed(400, f"Content-Length is {length!r:.40}, expected a number of at most 9 digits")
+        if body_start + int(length) > MAX_MESSAGE_BYTES:
+            raise Malformed(413, f"the message is longer than {MAX_MESSAGE_BYTES} bytes")
+        method, target = (
+            (request_line[1], request_line[2])
+            if request_line
+            else ("", status_line[1] if status_line else "")
+        )
+        return method, target, fields, body_start, body_start + int(length)
+
+
+def _serialize(start: str, fields: list[tuple[str, str]], body: bytes) -> bytes:
     lines = [start, *(f"{name}: {value}" for name, value in fields), f"Content-Length: {len(body)}"]
     return "\r\n".join(lines).encode("latin-1", "replace") + b"\r\n\r\n" + body
 
@@ -113,10 +121,12 @@
 def response(
     status: int, cseq: str, session: str, fields: list[tuple[str, str]] | None = None, body: bytes = b""
 ) -> bytes:
-    """An answer; an empty `cseq` or `session` is left out."""
-    named = [("CSeq", cseq)] if cseq else []
-    named += [("Session", session)] if session else []
-    return _written(f"{VERSION} {status} {REASONS.get(status, 'Status')}", [*named, *(fields or [])], body)
+    """Returns the bytes of a response; an empty `cseq` or `session` is left out."""
+    headers = [("CSeq", cseq)] if cseq else []
+    headers += [("Session", session)] if session else []
+    return _serialize(
+        f"{VERSION} {status} {REASONS.get(status, 'Status')}", [*headers, *(fields or [])], body
+    )
 
 
 def request(
@@ -127,5 +137,6 @@
     fields: list[tuple[str, str]] | None = None,
     body: bytes = b"",
 ) -> bytes:
-    named = [("CSeq", cseq), ("Session", session), *(fields or [])]
-    return _written(f"{method} {target} {VERSION}", named, body)
+    """Returns the bytes of a request."""
+    headers = [("CSeq", cseq), ("Session", session), *(fields or [])]
+    return _serialize(f"{method} {target} {VERSION}", headers, body)
