--- a/ledgehitch/platform/__init__.py
+++ b/ledgehitch/platform/__init__.py
@@ -1,5 +1,6 @@
-"""The platform's door to the decisions: viewers over RTSP, media hosts over JSON lines, a journal, peers.
+"""A gateway on the operators' platform: viewers over RTSP, media hosts over JSON lines, a journal, peers.
 
-It never chooses a media host, a rung or who is turned away: `brain.py` does, through the calls of `simhost`.
-Start reading at `carry.py`; `desk`, `lost`, `lines`, `pace`, `bounds` and `life` decide what is new here.
+Which media host and rung a viewing gets, and which viewer is turned away, is decided in `brain.py` alone.
+`carry.py` connects that module with the network. `desk`, `lost`, `lines`, `pace`, `bounds` and `life` hold
+the decisions that only this platform needs, free of I/O.
 """
--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ledgehitch.platform`: one gateway on the platform, as its environment tells it."""
+"""`python -m ledgehitch.platform`: one gateway on the platform, configured by the file in `ROUTER_CONFIG`."""
 
 import gc
 import os
@@ -13,153 +13,177 @@
 from ledgehitch.interface import Row
 from ledgehitch.loop.kernel import Event, Loop
 from ledgehitch.loop.sockets import Listener, endpoint
-from ledgehitch.platform.bounds import bounds_of
-from ledgehitch.platform.carry import Carrier
-from ledgehitch.platform.desk import Desk
-from ledgehitch.platform.front import Front
-from ledgehitch.platform.hosts import Hosts
-from ledgehitch.platform.journal import Journal
-from ledgehitch.platform.life import Life
+from ledgehitch.platform.bounds import limits_for
+from ledgehitch.platform.carry import Controller
+from ledgehitch.platform.desk import SessionTable
+from ledgehitch.platform.front import ViewerServer
+from ledgehitch.platform.hosts import HostConnections
+from ledgehitch.platform.journal import JournalClient
+from ledgehitch.platform.life import Lifecycle
 from ledgehitch.platform.log import log
-from ledgehitch.platform.lost import Watch
-from ledgehitch.platform.peers import Peers
-from ledgehitch.platform.told import Told, read, rows_of
+from ledgehitch.platform.lost import FailureDetector
+from ledgehitch.platform.peers import PeerChannel
+from ledgehitch.platform.told import Configuration, parse_configuration, parse_host_list
 
-SWEEP = 0.25  # seconds between looks for connections to close
-SAY = 5.0  # seconds between lines of counts in the log
+SWEEP_INTERVAL_S = 0.25  # between two sweeps for connections to close
+COUNTS_INTERVAL_S = 5.0  # between two lines of counts in the log
 
 
-def told_from(path: str) -> Told:
-    """Raises `BadFact`, or `OSError` for a file that is not there."""
+def load_configuration(path: str) -> Configuration:
+    """Returns the configuration in a file; raises `BadFact`, or `OSError` for a file that cannot be read."""
     with open(path, "rb") as file:
-        told = read(file.read())
-    # Guards against a reload that takes addresses from a file whose settings no gateway would start with.
-    facts_from(told.settings)
-    reach_of(told.settings)
-    return told
+        configuration = parse_configuration(file.read())
+    # A reload must not take addresses from a file with whose settings no gateway would start.
+    facts_from(configuration.settings)
+    reach_of(configuration.settings)
+    return configuration
 
 
-class Running:
-    def __init__(self, loop: Loop, told: Told, path: str) -> None:
+class RunningGateway:
+    def __init__(self, loop: Loop, configuration: Configuration, path: str) -> None:
         now = time.monotonic()
         self.loop, self.path = loop, path
-        facts = facts_from(told.settings)
+        facts = facts_from(configuration.settings)
         ladder, packages, fleet, terms = facts
-        # Guards against a machine that allows fewer descriptors than the configuration says.
+        # The machine may allow fewer descriptors than the configuration says.
         allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        sockets = told.sockets if allowed < 0 else min(told.sockets, allowed)
-        reach, bounds = reach_of(told.settings), bounds_of(told.memory_mb, sockets)
-        brain = Gateway(told.seed, now, *facts)
-        self.life = Life(max((p.patience for p in packages), default=0.0))
-        watch, desk = Watch(fleet.told_every), Desk()
-        hosts = Hosts(loop, reach, watch, bounds.host_lines, bounds.out_bytes, fleet.load_fields)
-        self.peers: Peers | None = None
-        self.carrier = Carrier(loop, brain, desk, Gate(terms.drain_grace), watch, hosts, self._tell)
-        if told.peer_listen and terms.may_tell:
-            self.peers = Peers(loop, told.peer_listen, told.peers, self.carrier.peer_said)
-        hosts.carrier = self.carrier
-        front = Front(loop, self.carrier, self.life, {p.name: p for p in packages}, fleet, ladder, bounds)
-        self.carrier.front = front
-        self.journal = Journal(loop, self.carrier, told.journal, self._known(now, told), told.seed)
-        self.journal.home = hosts.home = front.home = loop.first
-        self.listener = Listener(loop, endpoint(told.listen))
-
-    def _tell(self, words: bytes, to: int) -> None:
+        sockets = configuration.sockets if allowed < 0 else min(configuration.sockets, allowed)
+        reach, limits = reach_of(configuration.settings), limits_for(configuration.memory_mb, sockets)
+        brain = Gateway(configuration.seed, now, *facts)
+        self.lifecycle = Lifecycle(max((package.patience for package in packages), default=0.0))
+        detector, sessions = FailureDetector(fleet.told_every), SessionTable()
+        hosts = HostConnections(
+            loop, reach, detector, limits.host_connections, limits.send_buffer_bytes, fleet.load_fields
+        )
+        self.peers: PeerChannel | None = None
+        self.controller = Controller(
+            loop, brain, sessions, Gate(terms.drain_grace), detector, hosts, self._send_to_peer
+        )
+        if configuration.peer_listen and terms.may_tell:
+            self.peers = PeerChannel(
+                loop, configuration.peer_listen, configuration.peers, self.controller.on_peer_message
+            )
+        hosts.controller = self.controller
+        viewers = ViewerServer(
+            loop,
+            self.controller,
+            self.lifecycle,
+            {package.name: package for package in packages},
+            fleet,
+            ladder,
+            limits,
+        )
+        self.controller.viewers = viewers
+        self.journal = JournalClient(
+            loop,
+            self.controller,
+            configuration.journal,
+            self._apply_known_events(now, configuration),
+            configuration.seed,
+        )
+        self.journal.owner = hosts.owner = viewers.owner = loop.first
+        self.listener = Listener(loop, endpoint(configuration.listen))
+
+    def _send_to_peer(self, message: bytes, recipient: int) -> None:
         if self.peers is not None:
-            self.peers.tell(words, to)
+            self.peers.send(message, recipient)
 
-    def _known(self, now: float, told: Told) -> int:
-        """Takes in what the journal had told before this start, as one list; gives the last number."""
-        held: dict[str, tuple[Row, str]] = {}
+    def _apply_known_events(self, now: float, configuration: Configuration) -> int:
+        """Applies the journal events before this start as one list; returns the position of the last."""
+        by_host: dict[str, tuple[Row, str]] = {}
         last = 0
-        for pos, entry in told.known:
+        for pos, entry in configuration.known_events:
             last = max(last, pos)
-            news = rows_of(entry, time.time() - time.monotonic())
-            if news is None:
+            host_list = parse_host_list(entry, time.time() - time.monotonic())
+            if host_list is None:
                 continue
-            how, rows = news
+            how, rows = host_list
             if how == "total":
-                held = {}
+                by_host = {}
             for row, address in rows:
-                held[row.host] = (row, address)
-        rows = [(row, at) for row, at in held.values() if row.state != "terminated"]
-        self.carrier.listed(now, "warm_copy", rows)
+                by_host[row.host] = (row, address)
+        rows = [(row, address) for row, address in by_host.values() if row.state != "terminated"]
+        self.controller.on_host_list(now, "warm_copy", rows)
         return last
 
     def start(self) -> None:
-        front, spawn = self.carrier.front, self.loop.spawn
-        spawn(front.serve, self.listener, name="front")
+        viewers, spawn = self.controller.viewers, self.loop.spawn
+        spawn(viewers.serve, self.listener, name="front")
         self.journal.start()
         if self.peers is not None:
             spawn(self.peers.run, name="peers")
-        self.life.serves()
-        self.said_at = self.loop.now
-        self.loop.call_at(self.loop.now + SWEEP, self._sweep)
+        self.lifecycle.on_serving()
+        self.counts_logged_at = self.loop.now
+        self.loop.call_at(self.loop.now + SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
         now = self.loop.now
-        self.loop.call_at(now + SWEEP, self._sweep)  # first, so that a fault does not end the sweeping
-        self.carrier.sweep(now)
-        if now - self.said_at >= SAY:
-            self.said_at = now
-            self.say()
-
-    def say(self) -> None:
-        c, f, h = self.carrier, self.carrier.front, self.carrier.hosts
-        aside = sum(x.aside_until > self.loop.now for x in c.brain.hosts.values())
+        self.loop.call_at(
+            now + SWEEP_INTERVAL_S, self._sweep
+        )  # first, so that an error does not end the sweeps
+        self.controller.sweep(now)
+        if now - self.counts_logged_at >= COUNTS_INTERVAL_S:
+            self.counts_logged_at = now
+            self.log_counts()
+
+    def log_counts(self) -> None:
+        controller, viewers, hosts = self.controller, self.controller.viewers, self.controller.hosts
+        aside = sum(host.aside_until > self.loop.now for host in controller.brain.hosts.values())
         try:
             with open("/proc/self/statm") as pages:
-                held = int(pages.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") >> 10
-        except OSError:  # no descriptor is free: the counts matter most then
-            held = -1
+                resident_kb = int(pages.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") >> 10
+        except OSError:  # without a free descriptor the other counts are still needed
+            resident_kb = -1
         log(
             "counts",
-            waiting=c.desk.waiting,
-            playing=len(c.desk.by_vw) - c.desk.waiting,
-            conns=len(f.conns),
+            waiting=controller.sessions.pending,
+            playing=len(controller.sessions.by_viewing_id) - controller.sessions.pending,
+            conns=len(viewers.connections),
             aside=aside,
-            lines=h.count,
-            opened=h.opened,
-            spoilt=h.spoilt,
-            refused=f.refused,
-            off=f.turned_off,
-            room=f.made_room,
+            lines=hosts.count,
+            opened=hosts.opened,
+            spoilt=hosts.malformed,
+            refused=viewers.refused,
+            off=viewers.rejected_connections,
+            room=viewers.evicted,
             calls=self.journal.calls,
-            doubled=self.journal.doubled,
-            unread=self.journal.unread,
+            doubled=self.journal.duplicates,
+            unread=self.journal.unreadable,
             pos=self.journal.pos,
             strangers=self.peers.refused if self.peers is not None else 0,
-            kb=held,
+            kb=resident_kb,
             cpu=f"{time.process_time():.2f}",
             lag=f"{self.loop.lag.quantile(0.99)}/{self.loop.lag.worst:.3f}",
-            **c.counts,
+            **controller.counts,
         )
         self.loop.lag.worst = 0.0
 
     def reload(self) -> None:
-        """Reads the configuration anew: another journal address or other peers are used at once."""
+        """Reads the configuration again; a new journal address and new peers are used at once."""
         try:
-            told = told_from(self.path)
-        except (OSError, BadFact) as why:
-            log("reload-failed", why=str(why))
+            configuration = load_configuration(self.path)
+        except (OSError, BadFact) as error:
+            log("reload-failed", why=str(error))
             return
-        log("reloaded", journal=told.journal)
-        self.journal.move(told.journal)
+        log("reloaded", journal=configuration.journal)
+        self.journal.move(configuration.journal)
         if self.peers is not None:
-            self.peers.told(told.peers)
+            self.peers.set_peers(configuration.peers)
 
-    def ends(self) -> None:
-        """After SIGTERM: until all that was taken is answered, and what plays has had its time."""
-        self.life.term(self.loop.now)
+    def shut_down(self) -> None:
+        """Returns when each accepted set-up has its response and the time for playing viewings is over."""
+        self.lifecycle.on_sigterm(self.loop.now)
         log("ends")
-        carrier, called = self.carrier, False
+        controller, expired = self.controller, False
         while True:
-            now, waiting = time.monotonic(), carrier.desk.waiting
-            if self.life.last_call(now) and not called:
-                called = True
-                carrier.last_call(now)
-            unsent = carrier.front.unsent + carrier.hosts.unsent
-            if self.life.exits(now, waiting, len(carrier.desk.by_vw) - waiting, unsent):
+            now, pending = time.monotonic(), controller.sessions.pending
+            if self.lifecycle.final_responses_due(now) and not expired:
+                expired = True
+                controller.expire_waiting(now)
+            unsent = controller.viewers.unsent + controller.hosts.unsent
+            if self.lifecycle.may_exit(
+                now, pending, len(controller.sessions.by_viewing_id) - pending, unsent
+            ):
                 return
             self.loop.sleep(0.05)
 
@@ -169,39 +193,39 @@
     try:
         if not path:
             raise BadFact("ROUTER_CONFIG is not set")
-        told = told_from(path)
-    except (OSError, BadFact) as why:
-        print(f"ledgehitch.platform: {path}: {why}", file=sys.stderr)
+        configuration = load_configuration(path)
+    except (OSError, BadFact) as error:
+        print(f"ledgehitch.platform: {path}: {error}", file=sys.stderr)
         return 2
     loop = Loop()
 
     def run() -> int:
-        over = Event(loop)
-        running: list[Running] = []
+        terminated = Event(loop)
+        running: list[RunningGateway] = []
 
-        def on(number: int) -> None:
+        def on_signal(number: int) -> None:
             if number == signal.SIGHUP:
                 if running:
                     running[0].reload()
             else:
-                over.set(number)
+                terminated.set(number)
 
-        loop.on_signals([signal.SIGTERM, signal.SIGINT, signal.SIGHUP], on)
+        loop.on_signals([signal.SIGTERM, signal.SIGINT, signal.SIGHUP], on_signal)
         try:
-            running.append(Running(loop, told, path))
-        except (OSError, BadFact) as why:
-            print(f"ledgehitch.platform: {path}: {why}", file=sys.stderr)
+            running.append(RunningGateway(loop, configuration, path))
+        except (OSError, BadFact) as error:
+            print(f"ledgehitch.platform: {path}: {error}", file=sys.stderr)
             return 2
-        # Guards against pauses of the collector that grow with the viewings held: what is here now stays.
+        # Exempts the objects that exist now from collection, so that its pauses stay short as viewings grow.
         gc.collect()
         gc.freeze()
         running[0].start()
-        log("serves", gateway=told.name, at=told.listen, pid=os.getpid())
-        over.wait()
-        running[0].ends()
-        running[0].say()
+        log("serves", gateway=configuration.name, at=configuration.listen, pid=os.getpid())
+        terminated.wait()
+        running[0].shut_down()
+        running[0].log_counts()
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            # Guards against a signal at the very last, whose handler is gone by then, that ends the process.
+            # A signal that arrives when the loop's handlers are gone must not end the process as a crash.
             signal.signal(number, signal.SIG_IGN)
         return 0
 
--- a/ledgehitch/platform/bounds.py
+++ b/ledgehitch/platform/bounds.py
@@ -1,37 +1,40 @@
-"""How much of everything a gateway on the platform holds at most, from its machine's limits. Free of I/O."""
+"""Resource limits of a gateway on the platform, derived from the limits of its machine. Free of I/O."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
-class Bounds:
-    viewer_conns: int
-    host_lines: int
-    out_bytes: int  # unsent bytes of one connection
-    waiting: int  # set-ups without an answer
+class ResourceLimits:
+    viewer_connections: int
+    host_connections: int
+    send_buffer_bytes: int  # unsent bytes of one connection
+    pending: int  # set-ups without a response
     viewings: int
 
-    def full(self, waiting: int, viewings: int) -> bool:
-        """Whether no further set-up is taken."""
-        return waiting >= self.waiting or viewings >= self.viewings
+    def reached(self, pending: int, viewings: int) -> bool:
+        """Whether no further set-up is accepted."""
+        return pending >= self.pending or viewings >= self.viewings
 
 
 # Descriptors for the program itself: three standard ones, two for signals, the listener, peers, two for the
-# list while it moves, one being accepted, one for a look at the memory, one to spare.
-OWN = 12
+# journal while its address changes, one being accepted, one for reading the memory use, one to spare.
+RESERVED_DESCRIPTORS = 12
 
 
-def bounds_of(memory_mb: float, sockets: int) -> Bounds:
-    """Viewers hold up to a third of the descriptors, bad clients the like; the rest is for media hosts and
-    the program, which keeps its own however many clients come. A set-up that waits holds up to 16 KiB, one
-    that plays far less; each may fill an eighth of the memory, as may what is unsent."""
+def limits_for(memory_mb: float, sockets: int) -> ResourceLimits:
+    """Returns the limits for a machine with this memory and number of descriptors.
+
+    Up to a third of the descriptors is for viewers and as many for misbehaving clients. The rest is for media
+    hosts and the program, whose share does not depend on the number of clients. A pending set-up holds up to
+    16 KiB, a playing one far less. Each of the two may fill an eighth of the memory, and so may unsent data.
+    """
     eighth = memory_mb * (1 << 20) / 8
-    shared = sockets - max(OWN, sockets // 8)
-    conns = max(1, shared * 5 // 7)
-    return Bounds(
-        viewer_conns=conns,
-        host_lines=max(1, shared - conns),
-        out_bytes=max(65536, int(eighth / conns)),
-        waiting=max(64, int(eighth / 16384)),
+    shared = sockets - max(RESERVED_DESCRIPTORS, sockets // 8)
+    viewer_connections = max(1, shared * 5 // 7)
+    return ResourceLimits(
+        viewer_connections=viewer_connections,
+        host_connections=max(1, shared - viewer_connections),
+        send_buffer_bytes=max(65536, int(eighth / viewer_connections)),
+        pending=max(64, int(eighth / 16384)),
         viewings=max(256, int(eighth / 2048)),
     )
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -1,8 +1,9 @@
-"""Carries out what the module decides, over the platform's two protocols, and hands in what comes back.
+"""Executes the decisions of the module over the platform's two protocols and reports the outcomes back.
 
-Every input goes to the module (`brain.Gateway`), the desk (who is owed which answer) and the watch (which
-viewings a media host took along) at once; one pump a turn of the loop then pulls all three dry. A decision
-that cannot be carried out becomes an outcome.
+Each input goes at once to the module (`brain.Gateway`), to the session table (which viewer is owed which
+response) and to the failure detector (which media hosts lost their viewings). Once a turn of the loop all
+three are then asked for their decisions until none is left. A decision that cannot be executed becomes an
+outcome.
 """
 
 import math
@@ -16,207 +17,220 @@
 from ledgehitch.loop.kernel import Loop
 from ledgehitch.loop.pump import Pump
 from ledgehitch.loop.timers import Timer
-from ledgehitch.platform.desk import Answer, Desk, Release
-from ledgehitch.platform.front import Front
-from ledgehitch.platform.hosts import Hosts, Line
+from ledgehitch.platform.desk import Release, Response, SessionTable
+from ledgehitch.platform.front import ViewerServer
+from ledgehitch.platform.hosts import HostConnection, HostConnections
 from ledgehitch.platform.log import log
-from ledgehitch.platform.lost import Open, Watch
+from ledgehitch.platform.lost import FailureDetector, OpenConnection
 
-CAUSES = {
+OUTCOMES = {
     16: Outcome.OK,
     31: Outcome.CANCELLED,
     34: Outcome.FULL,
     41: Outcome.RESET,
     47: Outcome.ERROR,
     102: Outcome.MOOT,
-}
-NOTES = {"kept_up": 1, "tier": 2, "wire": 3, "trunk": 4}
-CUT = 41  # cause in releases to viewers whose media host was lost
+}  # by the cause that a media host gives
+REPORT_KINDS = {"kept_up": 1, "tier": 2, "wire": 3, "trunk": 4}
+CAUSE_HOST_LOST = 41  # in releases to viewers whose media host was lost
 
 
 class Viewing:
-    """What carrying out needs to know of a viewing; let go with its end."""
+    """State of a viewing that is needed to execute decisions, dropped when it ends."""
 
     __slots__ = (
-        "sid",
+        "session_id",
         "package",
         "title",
-        "blob",
+        "description",
         "rung",
         "tune_ins",
         "host",
-        "line",
+        "connection",
         "sent_at",
-        "until",
+        "deadline",
         "timer",
-        "out",
+        "in_flight",
         "plays",
-        "began",
+        "started_at",
     )
 
-    def __init__(self, sid: str, package: Package, title: str, blob: str) -> None:
-        self.sid, self.package, self.title, self.blob = sid, package, title, blob
+    def __init__(self, session_id: str, package: Package, title: str, description: str) -> None:
+        self.session_id, self.package, self.title, self.description = session_id, package, title, description
         self.rung = package.floor
         self.tune_ins = 0
         self.host = ""
-        self.line: Line | None = None
-        self.sent_at = self.until = self.began = 0.0
+        self.connection: HostConnection | None = None
+        self.sent_at = self.deadline = self.started_at = 0.0
         self.timer: Timer | None = None
-        self.out = self.plays = False
+        self.in_flight = self.plays = False
 
 
-class Carrier:
+class Controller:
     def __init__(
         self,
         loop: Loop,
         brain: Gateway,
-        desk: Desk,
+        sessions: SessionTable,
         gate: Gate,
-        watch: Watch,
-        hosts: Hosts,
-        tell: Callable[[bytes, int], None],
+        detector: FailureDetector,
+        hosts: HostConnections,
+        send_to_peer: Callable[[bytes, int], None],
     ) -> None:
-        self.loop, self.brain, self.desk, self.gate, self.watch = loop, brain, desk, gate, watch
-        self.hosts, self.tell = hosts, tell
-        self.front: Front
+        self.loop, self.brain, self.sessions, self.gate, self.detector = loop, brain, sessions, gate, detector
+        self.hosts, self.send_to_peer = hosts, send_to_peer
+        self.viewers: ViewerServer
         self.viewings: dict[int, Viewing] = {}
         self.counts: dict[str, int] = {}
-        self._undone: list[Callable[[], None]] = []  # outcomes of decisions that could not be carried out
-        self.stir = Pump(loop, self._pull).stir  # something was told
+        self._failed: list[Callable[[], None]] = []  # outcomes of decisions that could not be executed
+        self.schedule = Pump(loop, self._execute_decisions).stir  # to be called after each input
 
-    def count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, event: str) -> None:
+        self.counts[event] = self.counts.get(event, 0) + 1
 
-    # ---- the pump ------------------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
-    def _pull(self) -> float:
+    def _execute_decisions(self) -> float:
+        """Executes all decisions that are due and returns when it has to run again."""
         while True:
             now = time.monotonic()
             while (decision := self.brain.decide(now)) is not None:
-                self._carry_out(now, decision)
-            done = not self._undone
-            undone, self._undone = self._undone, []
-            for outcome in undone:
-                outcome()
-            while (owed := self.watch.decide(now)) is not None:
-                if isinstance(owed, Open):
-                    self.hosts.keep(owed.host)
+                self._execute(now, decision)
+            done = not self._failed
+            failed, self._failed = self._failed, []
+            for report_outcome in failed:
+                report_outcome()
+            while (action := self.detector.decide(now)) is not None:
+                if isinstance(action, OpenConnection):
+                    self.hosts.open(action.host)
                 else:
-                    self._lost(now, owed.host, owed.before)
+                    self._on_host_lost(now, action.host, action.before)
                     done = False
-            while (due := self.desk.decide()) is not None:
+            while (due := self.sessions.decide()) is not None:
                 match due:
-                    case Answer():
+                    case Response():
                         self.count(due.kind)
-                        entry = self.desk.by_sid.get(due.sid)
-                        if not self.front.answer(due) and entry is not None and entry.plays:
-                            # Guards against one that plays on for a viewer who hung up as it came up.
+                        session = self.sessions.by_session_id.get(due.session_id)
+                        if not self.viewers.send_response(due) and session is not None and session.plays:
+                            # Its viewer hung up as it began to play: it must not play on.
                             self.count("unheard")
-                            self.torn(now, due.sid)
+                            self.on_teardown(now, due.session_id)
                             done = False
                     case Release():
-                        if not self.front.release(due):
-                            self.desk.undelivered(due)
+                        if not self.viewers.send_release(due):
+                            self.sessions.on_release_failed(due)
             if done:
                 break
-        return min(self.brain.wake_at() or math.inf, self.watch.wake_at())
+        return min(self.brain.wake_at() or math.inf, self.detector.wake_at())
 
-    def _carry_out(self, now: float, decision: say.Decision) -> None:
+    def _execute(self, now: float, decision: say.Decision) -> None:
         match decision:
-            case say.TuneIn(vw, host, within):
-                self._tune_in(now, vw, host, within)
-            case say.SetRung(vw, rung):
-                v = self.viewings[vw]
-                v.rung = rung
-                if v.plays:
-                    self.hosts.set_rung(v.host, v.sid, v.line, rung)
-            case say.Block(vw, stay_away):
-                self._done(vw)
-                self.desk.blocked(vw, stay_away)
-            case say.Abort(vw):
-                self._done(vw)
-                self.desk.aborted(vw)
+            case say.TuneIn(viewing_id, host, within):
+                self._tune_in(now, viewing_id, host, within)
+            case say.SetRung(viewing_id, rung):
+                viewing = self.viewings[viewing_id]
+                viewing.rung = rung
+                if viewing.plays:
+                    self.hosts.set_rung(viewing.host, viewing.session_id, viewing.connection, rung)
+            case say.Block(viewing_id, stay_away):
+                self._remove(viewing_id)
+                self.sessions.on_blocked(viewing_id, stay_away)
+            case say.Abort(viewing_id):
+                self._remove(viewing_id)
+                self.sessions.on_aborted(viewing_id)
             case say.Probe(host):
                 self.count("probes")
                 if not self.hosts.probe(host):
                     failed = Outcome.CONNECT_FAILED
-                    self._undone.append(lambda: self.brain.probed(now, host, failed, 0.0))
-            case say.Tell(words, to):
-                self.tell(words, to)
+                    self._failed.append(lambda: self.brain.probed(now, host, failed, 0.0))
+            case say.Tell(message, recipient):
+                self.send_to_peer(message, recipient)
             case say.Subscribe():
-                pass  # the journal service is listened to all the time
+                pass  # the journal is followed all the time
 
-    def _tune_in(self, now: float, vw: int, host: str, within: float) -> None:
-        v = self.viewings[vw]
-        number = v.tune_ins
-        v.tune_ins += 1
+    def _tune_in(self, now: float, viewing_id: int, host: str, within: float) -> None:
+        viewing = self.viewings[viewing_id]
+        number = viewing.tune_ins
+        viewing.tune_ins += 1
         try:
-            self.gate.sending(now, vw, host, within)
-        except Shut as why:
-            log("stopped", vw=vw, host=host, why=why)
-            self._undone.append(lambda: self._ended(now, vw, False, Outcome.MOOT, host, 0.0, number))
+            self.gate.sending(now, viewing_id, host, within)
+        except Shut as error:
+            log("send-refused", vw=viewing_id, host=host, why=error)
+            self._failed.append(
+                lambda: self._on_tune_in_end(now, viewing_id, False, Outcome.MOOT, host, 0.0, number)
+            )
             return
-        if self.front.gone(self.desk.by_vw[vw].conn, v.sid):
-            self._undone.append(lambda: self._gone(now, vw, host, number))
+        if self.viewers.has_left(self.sessions.by_viewing_id[viewing_id].conn, viewing.session_id):
+            self._failed.append(lambda: self._on_viewer_gone(now, viewing_id, host, number))
             return
-        left = f"{max(1, int(within * 1000))}"
-        fields: dict[str, str | int | float] = {"class": v.package.name, "key": v.title, "left": left}
-        fields["rung"] = v.rung
-        v.out, v.host, v.sent_at = True, host, now
-        v.line = self.hosts.set_up(v.sid, host, fields, v.blob)
-        if v.line is None:
-            # Nothing is known against the host: there was no room for a connection here.
-            self._undone.append(lambda: self.broke(now, v.sid, host, Outcome.MOOT))
+        time_left = f"{max(1, int(within * 1000))}"
+        fields: dict[str, str | int | float] = {
+            "class": viewing.package.name,
+            "key": viewing.title,
+            "left": time_left,
+        }
+        fields["rung"] = viewing.rung
+        viewing.in_flight, viewing.host, viewing.sent_at = True, host, now
+        viewing.connection = self.hosts.set_up(viewing.session_id, host, fields, viewing.description)
+        if viewing.connection is None:
+            # The gateway has no connection to spare, which says nothing about the host.
+            self._failed.append(lambda: self.on_connection_lost(now, viewing.session_id, host, Outcome.MOOT))
             return
-        v.until = now + within
-        v.timer = self.loop.call_at(v.until, lambda: self._timed_out(vw))
+        viewing.deadline = now + within
+        viewing.timer = self.loop.call_at(viewing.deadline, lambda: self._on_timeout(viewing_id))
 
-    def _gone(self, now: float, vw: int, host: str, number: int) -> None:
-        """A tune-in was wanted for a viewer who has gone: it never left, and there is no other."""
+    def _on_viewer_gone(self, now: float, viewing_id: int, host: str, number: int) -> None:
+        """Drops a tune-in that was not sent because its viewer has gone, and cancels the viewing."""
         self.count("gone")
-        entry = self.desk.by_vw.get(vw)
-        if entry is not None:
-            self._ended(now, vw, False, Outcome.MOOT, host, 0.0, number)
-            self.torn(now, entry.sid)
-
-    def leaves(self, now: float, sid: str, line: Line) -> float | None:
-        """A set-up that was held until its connection could take it is about to leave: the seconds left for
-        it; None where it must not leave any more, which is its outcome."""
-        found = self._of(sid)
-        if found is None or not found[1].out or found[1].line is not line:
+        session = self.sessions.by_viewing_id.get(viewing_id)
+        if session is not None:
+            self._on_tune_in_end(now, viewing_id, False, Outcome.MOOT, host, 0.0, number)
+            self.on_teardown(now, session.session_id)
+
+    def confirm_delayed_send(self, now: float, session_id: str, connection: HostConnection) -> float | None:
+        """Returns the seconds left for a set-up that waited for its connection and is about to be sent.
+
+        Returns None, and reports the outcome, where it must not be sent any more.
+        """
+        found = self._find(session_id)
+        if found is None or not found[1].in_flight or found[1].connection is not connection:
             return None
-        vw, v = found
-        number = v.tune_ins - 1
-        if self.front.gone(self.desk.by_vw[vw].conn, sid):
-            self._gone(now, vw, line.host, number)
+        viewing_id, viewing = found
+        number = viewing.tune_ins - 1
+        if self.viewers.has_left(self.sessions.by_viewing_id[viewing_id].conn, session_id):
+            self._on_viewer_gone(now, viewing_id, connection.host, number)
             return None
         try:
-            self.gate.leaving(now, vw, line.host)
-            if not self.brain.leaves(now, vw):
-                raise Shut(4, f"{line.host} takes no more of it now")
-        except Shut as why:
-            log("held-too-long", vw=vw, host=line.host, why=why)
-            self._ended(now, vw, False, Outcome.MOOT, line.host, now - v.sent_at, number)
+            self.gate.leaving(now, viewing_id, connection.host)
+            if not self.brain.leaves(now, viewing_id):
+                raise Shut(4, f"{connection.host} accepts no further set-up now")
+        except Shut as error:
+            log("held-too-long", vw=viewing_id, host=connection.host, why=error)
+            self._on_tune_in_end(
+                now, viewing_id, False, Outcome.MOOT, connection.host, now - viewing.sent_at, number
+            )
             return None
-        return v.until - now
+        return viewing.deadline - now
 
-    def _timed_out(self, vw: int) -> None:
-        v = self.viewings.get(vw)
-        if v is None or not v.out:
+    def _on_timeout(self, viewing_id: int) -> None:
+        viewing = self.viewings.get(viewing_id)
+        if viewing is None or not viewing.in_flight:
             return
-        if v.line is not None:
-            left = self.hosts.give_up(v.line, v.sid, True)
-            code = Outcome.TIMEOUT if left else Outcome.CONNECT_FAILED
+        if viewing.connection is not None:
+            sent = self.hosts.cancel(viewing.connection, viewing.session_id, True)
+            outcome = Outcome.TIMEOUT if sent else Outcome.CONNECT_FAILED
             now = time.monotonic()
-            self._ended(now, vw, False, code, v.host, now - v.sent_at, v.tune_ins - 1)
+            self._on_tune_in_end(
+                now, viewing_id, False, outcome, viewing.host, now - viewing.sent_at, viewing.tune_ins - 1
+            )
 
-    # ---- what viewers want ---------------------------------------------------------------------------------
+    # ---- viewers' requests ---------------------------------------------------------------------------------
 
-    def asked(
+    def on_setup(
         self,
         now: float,
         conn: int,
-        sid: str,
+        session_id: str,
         cseq: str,
         package: Package,
         title: str,
@@ -224,23 +238,24 @@
         spread: int,
         top: int,
         patience: float,
-        blob: str,
+        description: str,
     ) -> bool:
-        vw = self.desk.asked(conn, sid, cseq)
-        if vw is None:
+        """Accepts a set-up; returns False if its id is open already."""
+        viewing_id = self.sessions.on_setup(conn, session_id, cseq)
+        if viewing_id is None:
             return False
         self.count("asked")
-        self.viewings[vw] = Viewing(sid, package, title, blob)
-        self.gate.asked(vw, package, patience)
-        self.brain.asked(now, vw, package.name, title, first, spread, top, patience)
-        self.stir()
+        self.viewings[viewing_id] = Viewing(session_id, package, title, description)
+        self.gate.asked(viewing_id, package, patience)
+        self.brain.asked(now, viewing_id, package.name, title, first, spread, top, patience)
+        self.schedule()
         return True
 
-    def held(
+    def on_handover(
         self,
         now: float,
         conn: int,
-        sid: str,
+        session_id: str,
         package: Package,
         title: str,
         first: int,
@@ -248,203 +263,245 @@
         top: int,
         host: str,
     ) -> bool:
-        """One that plays already; whether its media host is one that is there."""
-        if host not in self.hosts.at:
+        """Accepts a viewing that plays already; returns False if its media host is not listed."""
+        if host not in self.hosts.addresses:
             return False
-        vw = self.desk.held(conn, sid)
-        if vw is None:
+        viewing_id = self.sessions.on_handover(conn, session_id)
+        if viewing_id is None:
             return True
         self.count("handed_over")
-        v = self.viewings[vw] = Viewing(sid, package, title, "")
-        v.host, v.plays, v.began, v.tune_ins = host, True, now, 1
-        self.gate.asked(vw, package, now + package.patience)
-        self.watch.stands(now, host)
-        self.brain.handed_over(now, vw, package.name, title, first, spread, top, host)
-        self.stir()
+        viewing = self.viewings[viewing_id] = Viewing(session_id, package, title, "")
+        viewing.host, viewing.plays, viewing.started_at, viewing.tune_ins = host, True, now, 1
+        self.gate.asked(viewing_id, package, now + package.patience)
+        self.detector.on_viewing_started(now, host)
+        self.brain.handed_over(now, viewing_id, package.name, title, first, spread, top, host)
+        self.schedule()
         return True
 
-    def torn(self, now: float, sid: str) -> bool:
-        """The viewer gives up or ends a viewing; whether it was known."""
-        found = self.desk.torn(sid)
+    def on_teardown(self, now: float, session_id: str) -> bool:
+        """The viewer cancels or ends a viewing; returns whether it was known."""
+        found = self.sessions.on_teardown(session_id)
         if found is None:
             return False
-        vw, played = found
+        viewing_id, played = found
         if played:
             self.count("ended_by_viewer")
-            v = self.viewings[vw]
-            self.hosts.release(v.host, sid, v.line)
-            self._over(now, vw, Outcome.CANCELLED)
+            viewing = self.viewings[viewing_id]
+            self.hosts.release(viewing.host, session_id, viewing.connection)
+            self._on_viewing_end(now, viewing_id, Outcome.CANCELLED)
         else:
-            self._left(now, vw)
-        self.stir()
+            self._on_viewer_left(now, viewing_id)
+        self.schedule()
         return True
 
-    def last_call(self, now: float) -> None:
-        """The process is about to be killed: what is out is given up, what waits gets its final answer."""
-        for vw, v in list(self.viewings.items()):
-            if v.out and v.line is not None:
-                self._timed_out(vw)
+    def expire_waiting(self, now: float) -> None:
+        """Cancels all tune-ins and has each pending set-up answered; called shortly before SIGKILL."""
+        for viewing_id, viewing in list(self.viewings.items()):
+            if viewing.in_flight and viewing.connection is not None:
+                self._on_timeout(viewing_id)
         self.brain.last_call(now)
-        self.stir()
+        self.schedule()
 
-    def hung_up(self, conn: int) -> None:
-        """Guards against a tune-in for a viewer who has gone: the module hears of it before it is asked."""
+    def on_connection_closed(self, conn: int) -> None:
+        """A viewers' connection ended. The module is told before its next decision, so that no tune-in begins
+        for a viewer who has gone."""
         now = time.monotonic()
-        for vw in self.desk.hung_up(conn):
-            self._left(now, vw)
-        self.stir()
+        for viewing_id in self.sessions.on_connection_closed(conn):
+            self._on_viewer_left(now, viewing_id)
+        self.schedule()
 
-    def _left(self, now: float, vw: int) -> None:
+    def _on_viewer_left(self, now: float, viewing_id: int) -> None:
         self.count("left")
-        v = self.viewings.get(vw)
-        if v is None:
+        viewing = self.viewings.get(viewing_id)
+        if viewing is None:
             return
-        self.brain.left(now, vw)
-        if v.out and v.line is not None:
-            self.hosts.give_up(v.line, v.sid, False)
-            self._ended(now, vw, True, Outcome.CANCELLED, v.host, now - v.sent_at, v.tune_ins - 1)
-        self._done(vw)
-
-    # ---- what media hosts say ------------------------------------------------------------------------------
-
-    def _of(self, sid: str) -> tuple[int, Viewing] | None:
-        entry = self.desk.by_sid.get(sid)
-        v = self.viewings.get(entry.vw) if entry is not None else None
-        return (entry.vw, v) if entry is not None and v is not None else None
-
-    def started(self, now: float, sid: str, host: str, line: Line, blob: str) -> None:
-        found = self._of(sid)
-        if found is None or found[1].host != host or not (found[1].out or found[1].plays):
-            # Guards against an answer after its time, or one that nobody asked for: what may stand is ended.
+        self.brain.left(now, viewing_id)
+        if viewing.in_flight and viewing.connection is not None:
+            self.hosts.cancel(viewing.connection, viewing.session_id, False)
+            self._on_tune_in_end(
+                now,
+                viewing_id,
+                True,
+                Outcome.CANCELLED,
+                viewing.host,
+                now - viewing.sent_at,
+                viewing.tune_ins - 1,
+            )
+        self._remove(viewing_id)
+
+    # ---- messages of media hosts ---------------------------------------------------------------------------
+
+    def _find(self, session_id: str) -> tuple[int, Viewing] | None:
+        session = self.sessions.by_session_id.get(session_id)
+        viewing = self.viewings.get(session.viewing_id) if session is not None else None
+        return (session.viewing_id, viewing) if session is not None and viewing is not None else None
+
+    def on_started(
+        self, now: float, session_id: str, host: str, connection: HostConnection, description: str
+    ) -> None:
+        found = self._find(session_id)
+        if found is None or found[1].host != host or not (found[1].in_flight or found[1].plays):
+            # A late or unsolicited answer: the viewing that may play at the host is ended.
             self.count("late_answers")
-            self.hosts.release(host, sid, line)
+            self.hosts.release(host, session_id, connection)
             return
-        vw, v = found
-        if not v.out or v.line is not line:
-            # Of a former set-up of this id: given up there by its id, which is that of the one that is out.
+        viewing_id, viewing = found
+        if not viewing.in_flight or viewing.connection is not connection:
+            # Of an earlier set-up, which was cancelled at its host by the id that the current one has, too.
             self.count("second_answers")
             return
-        self._in(v)
-        v.plays, v.began, v.blob = True, v.sent_at, ""
-        self.gate.came_back(vw, Outcome.OK)
-        self.watch.stands(now, host)
-        self.brain.opened(now, vw, host, v.tune_ins - 1, now - v.sent_at)
-        self.desk.plays(vw, blob)
-        self.stir()
-
-    def finished(self, now: float, sid: str, host: str, line: Line, cause: int, loads: list[float]) -> None:
-        found = self._of(sid)
-        if found is None or found[1].host != host or not (found[1].out or found[1].plays):
+        self._clear_in_flight(viewing)
+        viewing.plays, viewing.started_at, viewing.description = True, viewing.sent_at, ""
+        self.gate.came_back(viewing_id, Outcome.OK)
+        self.detector.on_viewing_started(now, host)
+        self.brain.opened(now, viewing_id, host, viewing.tune_ins - 1, now - viewing.sent_at)
+        self.sessions.on_playing(viewing_id, description)
+        self.schedule()
+
+    def on_finished(
+        self,
+        now: float,
+        session_id: str,
+        host: str,
+        connection: HostConnection,
+        cause: int,
+        loads: list[float],
+    ) -> None:
+        found = self._find(session_id)
+        if found is None or found[1].host != host or not (found[1].in_flight or found[1].plays):
             return
-        vw, v = found
-        code = CAUSES.get(cause, Outcome.RESET)
-        if v.line is not line and (v.out or code in (Outcome.FULL, Outcome.ERROR, Outcome.MOOT)):
-            # Guards against a second copy, come late, of how a former set-up of this id ended: it would be
-            # taken for the end of the one that is out, and another would go out beside it.
+        viewing_id, viewing = found
+        outcome = OUTCOMES.get(cause, Outcome.RESET)
+        if viewing.connection is not connection and (
+            viewing.in_flight or outcome in (Outcome.FULL, Outcome.ERROR, Outcome.MOOT)
+        ):
+            # A late duplicate of the outcome of an earlier set-up of this id. Taken for the outcome of the
+            # current one, it would make another go out while that is still in flight.
             self.count("second_ends")
             return
-        if v.plays:
-            self.count(f"over_{code.name.lower()}")  # by code: causes are any number a media host likes
-            self._over(now, vw, code, loads)
-            self.desk.over(vw, cause, owed=code != Outcome.CANCELLED)
+        if viewing.plays:
+            # Counted by outcome: causes are arbitrary numbers of the media host.
+            self.count(f"over_{outcome.name.lower()}")
+            self._on_viewing_end(now, viewing_id, outcome, loads)
+            self.sessions.on_ended(viewing_id, cause, notify=outcome != Outcome.CANCELLED)
         else:
-            if code in (Outcome.OK, Outcome.CANCELLED):
-                code = Outcome.RESET  # no answer came before
-            self._ended(now, vw, False, code, host, now - v.sent_at, v.tune_ins - 1, loads)
-        self.stir()
-
-    def broke(self, now: float, sid: str, host: str, how: Outcome) -> None:
+            if outcome in (Outcome.OK, Outcome.CANCELLED):
+                outcome = Outcome.RESET  # it never played
+            self._on_tune_in_end(
+                now, viewing_id, False, outcome, host, now - viewing.sent_at, viewing.tune_ins - 1, loads
+            )
+        self.schedule()
+
+    def on_connection_lost(self, now: float, session_id: str, host: str, outcome: Outcome) -> None:
         """The connection of a set-up ended before its outcome."""
-        found = self._of(sid)
-        if found is not None and found[1].out and found[1].host == host:
-            vw, v = found
-            self._ended(now, vw, False, how, host, now - v.sent_at, v.tune_ins - 1)
-
-    def noticed(self, now: float, sid: str, host: str, note: str, value: float) -> None:
-        found = self._of(sid)
-        kind = NOTES.get(note)
+        found = self._find(session_id)
+        if found is not None and found[1].in_flight and found[1].host == host:
+            viewing_id, viewing = found
+            self._on_tune_in_end(
+                now, viewing_id, False, outcome, host, now - viewing.sent_at, viewing.tune_ins - 1
+            )
+
+    def on_notice(self, now: float, session_id: str, host: str, note: str, value: float) -> None:
+        found = self._find(session_id)
+        kind = REPORT_KINDS.get(note)
         if kind is not None:
             self.brain.told(now, found[0] if found is not None else 0, host, kind, value)
-            self.stir()
+            self.schedule()
 
-    def probed(self, now: float, host: str, passed: bool, took: float, loads: list[float]) -> None:
-        code = Outcome.OK if passed else Outcome.RESET
-        self.brain.probed(now, host, code, took, loads)
-        self.stir()
+    def on_probe_result(self, now: float, host: str, passed: bool, took: float, loads: list[float]) -> None:
+        outcome = Outcome.OK if passed else Outcome.RESET
+        self.brain.probed(now, host, outcome, took, loads)
+        self.schedule()
 
-    # ---- what the list and others say ----------------------------------------------------------------------
+    # ---- the list of media hosts, and peers ----------------------------------------------------------------
 
-    def listed(self, now: float, how: str, rows: list[tuple[Row, str]]) -> None:
+    def on_host_list(self, now: float, how: str, rows: list[tuple[Row, str]]) -> None:
         if how != "incr":
             named = {row.host for row, _ in rows}
-            for host in [host for host in self.hosts.at if host not in named]:
-                self.hosts.listed(host, "", True)
-                self.watch.listed(now, host, True, 0.0)
+            for host in [host for host in self.hosts.addresses if host not in named]:
+                self.hosts.on_host_listed(host, "", True)
+                self.detector.on_host_listed(now, host, True, 0.0)
             self.gate.unlisted(now, named)
         for row, address in rows:
             gone = row.state == "terminated"
             self.gate.listed(now, row.host, row.state == "in_service")
-            self.hosts.listed(row.host, address, gone, row.started)
-            self.watch.listed(now, row.host, gone, row.started)
+            self.hosts.on_host_listed(row.host, address, gone, row.started)
+            self.detector.on_host_listed(now, row.host, gone, row.started)
         self.brain.listed(now, how, [row for row, _ in rows])
-        self.stir()
+        self.schedule()
 
-    def peer_said(self, now: float, words: bytes) -> None:
-        self.brain.peer_said(now, words)
-        self.stir()
+    def on_peer_message(self, now: float, message: bytes) -> None:
+        self.brain.peer_said(now, message)
+        self.schedule()
 
     # ---- ends ----------------------------------------------------------------------------------------------
 
-    def _in(self, v: Viewing) -> None:
-        v.out = False
-        if v.timer is not None:
-            self.loop.timers.cancel(v.timer)
-            v.timer = None
+    def _clear_in_flight(self, viewing: Viewing) -> None:
+        viewing.in_flight = False
+        if viewing.timer is not None:
+            self.loop.timers.cancel(viewing.timer)
+            viewing.timer = None
 
-    def _ended(
+    def _on_tune_in_end(
         self,
         now: float,
-        vw: int,
+        viewing_id: int,
         closed: bool,
-        code: Outcome,
+        outcome: Outcome,
         host: str,
         latency: float,
         tune_in: int,
         loads: list[float] | None = None,
     ) -> None:
-        """A tune-in that did not come to play has its outcome."""
-        v = self.viewings.get(vw)
-        if v is not None:
-            self._in(v)
-            v.line = None
-        self.count(code.name.lower())
-        self.gate.came_back(vw, code)
-        self.brain.ended(now, vw, closed, code, host, latency, tune_in, loads or ())
-        self.stir()
-
-    def _over(self, now: float, vw: int, code: Outcome, loads: list[float] | None = None) -> None:
+        """A tune-in that did not lead to playing has its outcome."""
+        viewing = self.viewings.get(viewing_id)
+        if viewing is not None:
+            self._clear_in_flight(viewing)
+            viewing.connection = None
+        self.count(outcome.name.lower())
+        self.gate.came_back(viewing_id, outcome)
+        self.brain.ended(now, viewing_id, closed, outcome, host, latency, tune_in, loads or ())
+        self.schedule()
+
+    def _on_viewing_end(
+        self, now: float, viewing_id: int, outcome: Outcome, loads: list[float] | None = None
+    ) -> None:
         """A viewing that played has ended."""
-        v = self.viewings[vw]
-        self.watch.over(v.host)
-        self.brain.ended(now, vw, True, code, v.host, now - v.sent_at, v.tune_ins - 1, loads or ())
-        self._done(vw)
-
-    def _lost(self, now: float, host: str, before: float) -> None:
-        gone = [(vw, v) for vw, v in self.viewings.items() if v.plays and v.host == host and v.began < before]
-        log("lost", host=host, viewings=len(gone))
-        for vw, v in gone:
+        viewing = self.viewings[viewing_id]
+        self.detector.on_viewing_ended(viewing.host)
+        self.brain.ended(
+            now,
+            viewing_id,
+            True,
+            outcome,
+            viewing.host,
+            now - viewing.sent_at,
+            viewing.tune_ins - 1,
+            loads or (),
+        )
+        self._remove(viewing_id)
+
+    def _on_host_lost(self, now: float, host: str, before: float) -> None:
+        lost = [
+            (viewing_id, viewing)
+            for viewing_id, viewing in self.viewings.items()
+            if viewing.plays and viewing.host == host and viewing.started_at < before
+        ]
+        log("host-lost", host=host, viewings=len(lost))
+        for viewing_id, viewing in lost:
             self.count("lost")
-            # Guards against one that plays on behind a cut: it is ended should the host ever hear it.
-            if host in self.hosts.lines:
-                self.hosts.release(host, v.sid, v.line)
-            self._over(now, vw, Outcome.RESET)
-            self.desk.over(vw, CUT)
-        self.stir()
+            # The viewing may play on at a host that is only unreachable: it is ended if this arrives there.
+            if host in self.hosts.connections:
+                self.hosts.release(host, viewing.session_id, viewing.connection)
+            self._on_viewing_end(now, viewing_id, Outcome.RESET)
+            self.sessions.on_ended(viewing_id, CAUSE_HOST_LOST)
+        self.schedule()
 
-    def _done(self, vw: int) -> None:
-        self.viewings.pop(vw, None)
-        self.gate.done(vw)
+    def _remove(self, viewing_id: int) -> None:
+        self.viewings.pop(viewing_id, None)
+        self.gate.done(viewing_id)
 
     def sweep(self, now: float) -> None:
+        """Closes connections that are no longer needed."""
         self.hosts.sweep(now)
-        self.front.sweep(now)
+        self.viewers.sweep(now)
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -1,7 +1,7 @@
-"""Viewers' connections: reads their messages, checks each field, writes answers and releases.
+"""Viewers' connections: reads and validates their requests, writes responses and releases.
 
-It decides nothing. Field by field a set-up is checked here and handed on; what is wrong gets a refusal and
-leaves the viewings that stand unharmed.
+Each field of a set-up is checked here before the request is passed on to the controller, which decides. An
+invalid request is refused and does not affect other viewings.
 """
 
 import math
@@ -13,39 +13,45 @@
 from ledgehitch.interface import Fleet, Ladder, Package
 from ledgehitch.loop.kernel import Loop, Task, TimedOut
 from ledgehitch.loop.sockets import Listener, Stream
-from ledgehitch.platform.bounds import Bounds
-from ledgehitch.platform.desk import Answer, Desk, Release
-from ledgehitch.platform.life import Life
+from ledgehitch.platform.bounds import ResourceLimits
+from ledgehitch.platform.desk import Release, Response, SessionTable
+from ledgehitch.platform.life import Lifecycle
 from ledgehitch.platform.log import log
-from ledgehitch.platform.pace import HEARD, IDLE, MOST_FAULTS, Pace, first_to_go
-from ledgehitch.platform.pipe import Pipe
-
-MOST_READ = 16384
-MOST_LOOKS = 8  # connections looked at for one that makes room
+from ledgehitch.platform.pace import (
+    IDLE_TIMEOUT_S,
+    MAX_FAULTS,
+    MAX_PAUSE_PENDING_S,
+    Throttle,
+    eviction_candidate,
+)
+from ledgehitch.platform.pipe import BufferedWriter
+
+READ_BYTES = 16384  # of one read
+MAX_EVICTION_CHECKS = 8  # connections examined to find one that can be closed for a new one
 STATUS = {"plays": 200, "blocked": 453, "aborted": 500}
-SID = re.compile(r"[0-9a-f]{16}\Z")
+SESSION_ID = re.compile(r"[0-9a-f]{16}\Z")
 NUMBER = re.compile(r"[0-9]{1,9}\Z")
 TITLE = re.compile(r"rtsp://media/([A-Za-z0-9._~-]{1,64})\Z")
 
 
-class Wrong(ValueError):
-    """A field that cannot be taken; `status` is what is answered."""
+class InvalidRequest(ValueError):
+    """A request with an invalid field; `status` is the status of its response."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
-class Carrier(Protocol):
-    """Who is told what viewers want."""
+class ViewerEvents(Protocol):
+    """Receiver of viewers' requests."""
 
-    desk: Desk
+    sessions: SessionTable
 
-    def asked(
+    def on_setup(
         self,
         now: float,
         conn: int,
-        sid: str,
+        session_id: str,
         cseq: str,
         package: Package,
         title: str,
@@ -53,13 +59,13 @@
         spread: int,
         top: int,
         patience: float,
-        blob: str,
+        description: str,
     ) -> bool: ...
-    def held(
+    def on_handover(
         self,
         now: float,
         conn: int,
-        sid: str,
+        session_id: str,
         package: Package,
         title: str,
         first: int,
@@ -67,262 +73,305 @@
         top: int,
         host: str,
     ) -> bool: ...
-    def torn(self, now: float, sid: str) -> bool: ...
-    def hung_up(self, conn: int) -> None: ...
+    def on_teardown(self, now: float, session_id: str) -> bool: ...
+    def on_connection_closed(self, conn: int) -> None: ...
 
 
-class Conn:
-    __slots__ = ("number", "stream", "pipe", "pace", "reader", "task", "heard")
+class ViewerConnection:
+    __slots__ = ("number", "stream", "writer", "throttle", "reader", "task", "last_heard_at")
 
     def __init__(self, number: int, stream: Stream, now: float) -> None:
         self.number, self.stream = number, stream
-        self.pipe: Pipe
-        self.pace = Pace(now)
+        self.writer: BufferedWriter
+        self.throttle = Throttle(now)
         self.reader = rtsp.Reader()
         self.task: Task | None = None
-        self.heard = now
+        self.last_heard_at = now
 
 
-class Front:
+class ViewerServer:
     def __init__(
         self,
         loop: Loop,
-        carrier: Carrier,
-        life: Life,
+        controller: ViewerEvents,
+        lifecycle: Lifecycle,
         packages: Mapping[str, Package],
         fleet: Fleet,
         ladder: Ladder,
-        bounds: Bounds,
+        limits: ResourceLimits,
     ) -> None:
-        self.loop, self.carrier, self.life, self.packages = loop, carrier, life, packages
+        self.loop, self.controller, self.lifecycle, self.packages = loop, controller, lifecycle, packages
         self.cells, self.rungs = fleet.cells, len(ladder.kb)
-        self.bounds = bounds
-        self.conns: dict[int, Conn] = {}
-        self.home: Task | None = None
-        self.refused = self.turned_off = self.made_room = 0
-        self._next = 0
+        self.limits = limits
+        self.connections: dict[int, ViewerConnection] = {}
+        self.owner: Task | None = None
+        self.refused = self.rejected_connections = self.evicted = 0
+        self._last_number = 0
 
     def serve(self, listener: Listener) -> None:
-        """Accepts for good; runs as a task."""
+        """Accepts connections until it is cancelled; runs as a task."""
         while True:
             stream = listener.accept()
-            if len(self.conns) >= self.bounds.viewer_conns and not self._make_room():
-                # Guards against descriptors running out for media hosts: the newest is turned off.
-                self.turned_off += 1
+            if len(self.connections) >= self.limits.viewer_connections and not self._make_room():
+                # The new connection is closed, so that descriptors are left for media hosts.
+                self.rejected_connections += 1
                 stream.close()
                 continue
-            self._next += 1
-            conn = self.conns[self._next] = Conn(self._next, stream, self.loop.now)
-            conn.pipe = Pipe(self.loop, stream, self.bounds.out_bytes, lambda c=conn: self.close(c))  # type: ignore[misc]
-            self.carrier.desk.opened(conn.number, stream.peer)
-            conn.task = self.loop.spawn(self._run, conn, name="viewers", owner=self.home)
+            self._last_number += 1
+            conn = self.connections[self._last_number] = ViewerConnection(
+                self._last_number, stream, self.loop.now
+            )
+            conn.writer = BufferedWriter(
+                self.loop,
+                stream,
+                self.limits.send_buffer_bytes,
+                lambda c=conn: self.close(c),  # type: ignore[misc]
+            )
+            self.controller.sessions.on_connection_opened(conn.number, stream.peer)
+            conn.task = self.loop.spawn(self._run, conn, name="viewers", owner=self.owner)
 
     def _make_room(self) -> bool:
-        desk = self.carrier.desk
-        may = [
-            (c.number, c.pace.spoke, desk.on(c.number), desk.waits_on(c.number), c.heard)
-            for c in self.conns.values()
-            if c.task is None or not c.task.cancelled
+        """Closes a connection for a new one; returns False where none can be closed."""
+        sessions = self.controller.sessions
+        candidates = [
+            (
+                conn.number,
+                conn.throttle.has_sent,
+                sessions.sessions_on(conn.number),
+                sessions.has_pending(conn.number),
+                conn.last_heard_at,
+            )
+            for conn in self.connections.values()
+            if conn.task is None or not conn.task.cancelled
         ]
-        for _ in range(MOST_LOOKS):
-            number = first_to_go(self.loop.now, may)
+        for _ in range(MAX_EVICTION_CHECKS):
+            number = eviction_candidate(self.loop.now, candidates)
             if number is None:
                 break
-            if self.conns[number].stream.quiet():
-                self.made_room += 1
-                self.close(self.conns[number])
+            if self.connections[number].stream.quiet():
+                self.evicted += 1
+                self.close(self.connections[number])
                 return True
-            may = [row for row in may if row[0] != number]  # a set-up may have come that is not read yet
+            # A set-up may have arrived on it that is not read yet.
+            candidates = [candidate for candidate in candidates if candidate[0] != number]
         return False
 
-    def close(self, conn: Conn) -> None:
-        """At once, not as its task runs: a request that comes later in this turn would be taken unread."""
+    def close(self, conn: ViewerConnection) -> None:
+        """Closes the socket at once, not when the task runs: a request that the kernel accepts later in this
+        turn would be lost unread."""
         if conn.task is not None:
             conn.task.cancel()
         conn.stream.close()
 
-    def _run(self, conn: Conn) -> None:
+    def _run(self, conn: ViewerConnection) -> None:
         stream = conn.stream
-        # What came along with the connection may have waited as long as that did.
-        came = math.inf if stream.quiet() else stream.since
+        # Data that came with the connection may have waited for as long as the connection.
+        arrived_at = math.inf if stream.quiet() else stream.since
         try:
             while True:
-                data = stream.receive(MOST_READ, likely_empty=True)
+                data = stream.receive(READ_BYTES, likely_empty=True)
                 if not data:
                     return
-                now, came = min(self.loop.now, stream.since, came), math.inf
-                conn.heard = self.loop.now
-                whole = False
+                now, arrived_at = min(self.loop.now, stream.since, arrived_at), math.inf
+                conn.last_heard_at = self.loop.now
+                complete = False
                 try:
                     for method, target, fields, body in conn.reader.feed(data):
-                        whole = True
-                        self._message(now, conn, method, target, fields, body)
-                except rtsp.Malformed as why:
+                        complete = True
+                        self._on_message(now, conn, method, target, fields, body)
+                except rtsp.Malformed as error:
                     self.refused += 1
-                    log("unreadable", peer=stream.peer, why=str(why)[:80])
-                    conn.pipe.write(rtsp.response(why.status, "", ""))
-                    self._see_out(conn)
+                    log("unreadable", peer=stream.peer, why=str(error)[:80])
+                    conn.writer.write(rtsp.response(error.status, "", ""))
+                    self._wait_for_responses(conn)
                     return
-                conn.pace.read(self.loop.now, whole, conn.reader.has_partial)
-                pause = conn.pace.pause(self.loop.now, self.carrier.desk.waits_on(conn.number))
+                conn.throttle.on_data(self.loop.now, complete, conn.reader.has_partial)
+                pause = conn.throttle.pause(self.loop.now, self.controller.sessions.has_pending(conn.number))
                 if pause:
-                    # Guards against counting a request's time from when it is read, long after it has come.
+                    # A request's time counts from its arrival, which may be long before it is read.
                     until = self.loop.now + pause
                     self.loop.wait_readable(stream.fd)
-                    came = self.loop.seen_from
+                    arrived_at = self.loop.seen_from
                     if until > self.loop.now:
                         self.loop.sleep(until - self.loop.now)
         except OSError:
             return
         finally:
-            self.conns.pop(conn.number, None)
+            self.connections.pop(conn.number, None)
             stream.close()
-            self.carrier.hung_up(conn.number)
+            self.controller.on_connection_closed(conn.number)
 
-    def _see_out(self, conn: Conn) -> None:
-        """Reads on without a look at it until what was taken on this connection is answered, or the client is
-        gone.
+    def _wait_for_responses(self, conn: ViewerConnection) -> None:
+        """Discards input until each pending set-up of this connection has its response or the client is gone.
 
-        Guards against requests being lost with a connection that is closed for what came after them."""
-        while self.carrier.desk.waits_on(conn.number):
+        A connection that is closed for malformed bytes must not take with it the set-ups that came before.
+        """
+        while self.controller.sessions.has_pending(conn.number):
             try:
-                with self.loop.deadline(HEARD):
-                    if not conn.stream.receive(MOST_READ, likely_empty=True):
+                with self.loop.deadline(MAX_PAUSE_PENDING_S):
+                    if not conn.stream.receive(READ_BYTES, likely_empty=True):
                         return
             except TimedOut:
                 continue
-            self.loop.sleep(HEARD)
+            self.loop.sleep(MAX_PAUSE_PENDING_S)
 
-    # ---- messages ------------------------------------------------------------------------------------------
+    # ---- requests ------------------------------------------------------------------------------------------
 
-    def _message(
-        self, now: float, conn: Conn, method: str, target: str, fields: dict[str, str], body: bytes
+    def _on_message(
+        self,
+        now: float,
+        conn: ViewerConnection,
+        method: str,
+        target: str,
+        fields: dict[str, str],
+        body: bytes,
     ) -> None:
         if not method:
-            return  # an answer to a release: it wants nothing
-        cseq, sid = fields.get("cseq", ""), fields.get("session", "")
+            return  # the response to a release
+        cseq, session_id = fields.get("cseq", ""), fields.get("session", "")
         try:
             if NUMBER.match(cseq) is None:
                 cseq = ""
-                raise Wrong(400, "CSeq is no number")
+                raise InvalidRequest(400, "CSeq is not a number of at most 9 digits")
             if method == "OPTIONS":
-                conn.pipe.write(rtsp.response(200 if self.life.passes else 503, cseq, sid))
+                conn.writer.write(rtsp.response(200 if self.lifecycle.healthy else 503, cseq, session_id))
                 return
-            if SID.match(sid) is None:
-                sid = ""
-                raise Wrong(400, "Session is no id of 16 hex digits")
+            if SESSION_ID.match(session_id) is None:
+                session_id = ""
+                raise InvalidRequest(400, "Session is not an id of 16 lower-case hex digits")
             if method == "SETUP":
-                self._set_up(now, conn, cseq, sid, target, fields, body)
+                self._set_up(now, conn, cseq, session_id, target, fields, body)
             elif method == "TEARDOWN":
-                if not self.carrier.torn(now, sid):
-                    # Guards against slowing down a connection whose viewers' words cross our releases.
-                    if not self.carrier.desk.crossed(sid):
-                        conn.pace.fault(now)
-                    conn.pipe.write(rtsp.response(454, cseq, sid))
+                if not self.controller.on_teardown(now, session_id):
+                    # A request that crossed a release on the way is not a fault of its client.
+                    if not self.controller.sessions.was_open(session_id):
+                        conn.throttle.on_fault(now)
+                    conn.writer.write(rtsp.response(454, cseq, session_id))
                     return
-                conn.pipe.write(rtsp.response(200, cseq, sid))
+                conn.writer.write(rtsp.response(200, cseq, session_id))
             else:
-                raise Wrong(405, f"{method} is not done here")
-        except Wrong as why:
+                raise InvalidRequest(405, f"{method} is not supported")
+        except InvalidRequest as error:
             self.refused += 1
-            conn.pace.fault(now)
-            log("refused", peer=conn.stream.peer, why=why)
-            conn.pipe.write(rtsp.response(why.status, cseq, sid))
+            conn.throttle.on_fault(now)
+            log("refused", peer=conn.stream.peer, why=error)
+            conn.writer.write(rtsp.response(error.status, cseq, session_id))
 
     def _set_up(
-        self, now: float, conn: Conn, cseq: str, sid: str, target: str, fields: dict[str, str], body: bytes
+        self,
+        now: float,
+        conn: ViewerConnection,
+        cseq: str,
+        session_id: str,
+        target: str,
+        fields: dict[str, str],
+        body: bytes,
     ) -> None:
         title = TITLE.match(target)
         if title is None:
-            raise Wrong(400, "the address names no title")
+            raise InvalidRequest(400, "the address names no title")
         package = self.packages.get(fields.get("x-tier", ""))
         if package is None:
-            raise Wrong(451, "X-Tier is no package")
-        first, spread, top, host = self._figures(fields.get("x-attrs", ""))
-        sold = package, title[1], first, spread, top
+            raise InvalidRequest(451, "X-Tier is not a known package")
+        first, spread, top, host = self._parse_attributes(fields.get("x-attrs", ""))
+        wanted = package, title[1], first, spread, top
         if host:
-            if not self.carrier.held(now, conn.number, sid, *sold, host):
-                raise Wrong(454, "at names no media host that is there")
+            if not self.controller.on_handover(now, conn.number, session_id, *wanted, host):
+                raise InvalidRequest(454, "at in X-Attrs is not a listed media host")
             return
-        left = fields.get("x-deadline", "")
-        if NUMBER.match(left) is None or not 0 < int(left) <= package.patience * 2000:
-            raise Wrong(451, "X-Deadline is out of range")
+        time_left = fields.get("x-deadline", "")
+        if NUMBER.match(time_left) is None or not 0 < int(time_left) <= package.patience * 2000:
+            raise InvalidRequest(451, "X-Deadline is out of range")
         try:
-            blob = body.decode("utf-8")
+            description = body.decode("utf-8")
         except UnicodeDecodeError:
-            raise Wrong(400, "the description is not UTF-8") from None
-        desk = self.carrier.desk
-        if self.bounds.full(desk.waiting, len(desk.by_vw)) or not self.life.takes:
-            conn.pipe.write(rtsp.response(503, cseq, sid))
+            raise InvalidRequest(400, "the description is not UTF-8") from None
+        sessions = self.controller.sessions
+        if (
+            self.limits.reached(sessions.pending, len(sessions.by_viewing_id))
+            or not self.lifecycle.accepts_setups
+        ):
+            conn.writer.write(rtsp.response(503, cseq, session_id))
             return
-        if not self.carrier.asked(now, conn.number, sid, cseq, *sold, now + int(left) / 1000, blob):
-            raise Wrong(400, "the id is open already")
-
-    def _figures(self, text: str) -> tuple[int, int, int, str]:
-        """First cell, number of cells and highest rung; the media host where it plays already, or nothing."""
-        held: dict[str, str] = {}
+        if not self.controller.on_setup(
+            now, conn.number, session_id, cseq, *wanted, now + int(time_left) / 1000, description
+        ):
+            raise InvalidRequest(400, "the id is already open")
+
+    def _parse_attributes(self, text: str) -> tuple[int, int, int, str]:
+        """Returns the first cell, the number of cells, the highest rung, and the media host at which the
+        viewing plays already ("" for none); raises `InvalidRequest`."""
+        values: dict[str, str] = {}
         for part in text.split(";"):
             name, colon, value = part.partition(":")
-            if not colon or name in held:
-                raise Wrong(451, "X-Attrs is no list of figures")
-            held[name] = value
-        numbers = [held.get(name, "") for name in ("home", "copies", "top")]
+            if not colon or name in values:
+                raise InvalidRequest(451, "X-Attrs is not a list of distinct name:value pairs")
+            values[name] = value
+        numbers = [values.get(name, "") for name in ("home", "copies", "top")]
         if any(NUMBER.match(number) is None for number in numbers):
-            raise Wrong(451, "X-Attrs lacks a figure")
+            raise InvalidRequest(451, "home, copies or top of X-Attrs is missing or not a number")
         first, spread, top = map(int, numbers)
         if first >= max(1, self.cells) or not 1 <= spread <= max(1, self.cells) or top >= max(1, self.rungs):
-            raise Wrong(451, "a figure of X-Attrs is out of range")
-        return first, spread, top, held.get("at", "")
+            raise InvalidRequest(451, "home, copies or top of X-Attrs is out of range")
+        return first, spread, top, values.get("at", "")
 
-    # ---- what is owed --------------------------------------------------------------------------------------
+    # ---- output --------------------------------------------------------------------------------------------
 
-    def answer(self, decision: Answer) -> bool:
-        """Whether it was sent or kept; not where the connection is gone, read or not."""
-        conn = self.conns.get(decision.conn)
+    def send_response(self, response: Response) -> bool:
+        """Returns whether it was sent or buffered; False where the connection has ended, read or not."""
+        conn = self.connections.get(response.conn)
         if conn is None or conn.stream.ended():
             return False
-        advice = [("Retry-After", f"{decision.advice:.3f}")] if decision.advice > 0 else []
-        body = decision.description.encode()
-        return conn.pipe.write(
-            rtsp.response(STATUS[decision.kind], decision.cseq, decision.sid, advice, body)
+        advice = [("Retry-After", f"{response.advice:.3f}")] if response.advice > 0 else []
+        body = response.description.encode()
+        return conn.writer.write(
+            rtsp.response(STATUS[response.kind], response.cseq, response.session_id, advice, body)
         )
 
-    def gone(self, number: int, sid: str) -> bool:
-        """Whether the viewer of a set-up that waits on this connection has hung up or given it up, though it
+    def has_left(self, number: int, session_id: str) -> bool:
+        """Whether the viewer of a set-up pending on this connection has hung up or cancelled it, though that
         is not read yet.
 
-        Guards against a turn of the loop that takes long, in a flood: decisions come before the next read."""
-        conn = self.conns.get(number)
-        ahead = b"" if conn is None else conn.stream.peek(MOST_READ)
-        return ahead == b"" or ahead is not None and b"TEARDOWN" in ahead and sid.encode() in ahead
+        In a flood a turn of the loop takes long, and decisions are made before the next read.
+        """
+        conn = self.connections.get(number)
+        ahead = b"" if conn is None else conn.stream.peek(READ_BYTES)
+        return ahead == b"" or ahead is not None and b"TEARDOWN" in ahead and session_id.encode() in ahead
 
     @property
     def unsent(self) -> int:
-        """Bytes that are kept until viewers read."""
-        return sum(conn.pipe.unsent for conn in self.conns.values())
+        """Number of bytes that are buffered until viewers read."""
+        return sum(conn.writer.unsent for conn in self.connections.values())
 
-    def release(self, decision: Release) -> bool:
-        """Whether it was sent or kept; not where the connection is gone, read or not."""
-        conn = self.conns.get(decision.conn)
+    def send_release(self, release: Release) -> bool:
+        """Returns whether it was sent or buffered; False where the connection has ended, read or not."""
+        conn = self.connections.get(release.conn)
         if conn is None or conn.stream.ended():
             return False
-        fields = [("Reason", f"cause={decision.cause}")]
-        return conn.pipe.write(rtsp.request("TEARDOWN", "rtsp://media/over", "2", decision.sid, fields))
+        fields = [("Reason", f"cause={release.cause}")]
+        return conn.writer.write(
+            rtsp.request("TEARDOWN", "rtsp://media/over", "2", release.session_id, fields)
+        )
 
     def sweep(self, now: float) -> None:
-        """Closes what is silent, never became whole, sent nothing but faults or is long without a viewing;
-        not one that is owed an answer, nor one on which something came that is not read yet.
+        """Closes connections that are silent, never completed a message, sent nothing but faults or have been
+        without a viewing for long.
 
-        Guards against a set-up that crosses the close: after a stall of ours this runs before the reading.
+        Not closed are those that are owed a response and those with unread data: after a stall of this
+        process the sweep runs before the reading, and a set-up may have arrived.
         """
-        for conn in list(self.conns.values()):
-            idle = now - conn.heard > IDLE and not self.carrier.desk.on(conn.number)
-            overdue = conn.pace.overdue(now) and not self.carrier.desk.waits_on(conn.number)
-            if not (idle or overdue) or conn.pace.faults <= MOST_FAULTS and not conn.stream.quiet():
+        for conn in list(self.connections.values()):
+            idle = now - conn.last_heard_at > IDLE_TIMEOUT_S and not self.controller.sessions.sessions_on(
+                conn.number
+            )
+            overdue = conn.throttle.should_close(now) and not self.controller.sessions.has_pending(
+                conn.number
+            )
+            if not (idle or overdue) or conn.throttle.faults <= MAX_FAULTS and not conn.stream.quiet():
                 continue
             if idle:
                 self.close(conn)
             else:
-                if conn.pace.begun_at is not None:
-                    conn.pipe.write(rtsp.response(408, "", ""))
+                if conn.throttle.message_began_at is not None:
+                    conn.writer.write(rtsp.response(408, "", ""))
                 self.close(conn)
--- a/ledgehitch/platform/hosts.py
+++ b/ledgehitch/platform/hosts.py
@@ -1,6 +1,6 @@
-"""Connections to media hosts: opened as needed, shared by set-ups, let go when idle. Decides nothing.
+"""Connections to media hosts: opened when needed, shared by set-ups, closed when idle.
 
-What comes in is handed to the carrier at once. Which connection takes a set-up is decided in `lines.py`.
+Messages are passed on to the controller at once. Which connection takes a set-up is decided in `lines.py`.
 """
 
 import errno
@@ -12,343 +12,402 @@
 from ledgehitch.interface import Outcome
 from ledgehitch.loop.kernel import Cancelled, Loop, Task, TimedOut
 from ledgehitch.loop.sockets import Stream, connect, endpoint
-from ledgehitch.platform.lines import first_to_go, fittest, over
+from ledgehitch.platform.lines import choose, eviction_candidate, expired
 from ledgehitch.platform.log import log
-from ledgehitch.platform.lost import Watch
-from ledgehitch.platform.pipe import Pipe
+from ledgehitch.platform.lost import FailureDetector
+from ledgehitch.platform.pipe import BufferedWriter
 
-MOST_READ = 16384
-MOST_PAST = 64  # ids kept of a connection that had their outcome there
+READ_BYTES = 16384  # of one read
+MAX_RECENT = 64  # ids with an outcome that a connection remembers
 REFUSED = (errno.ECONNREFUSED, errno.ECONNRESET)
 
 
-class Carrier(Protocol):
-    """Who is told what media hosts say; `now` is when it came."""
+class HostEvents(Protocol):
+    """Receiver of what media hosts report; `now` is when it came."""
 
-    def leaves(self, now: float, tag: str, line: "Line") -> float | None: ...
-    def started(self, now: float, tag: str, host: str, line: "Line", blob: str) -> None: ...
-    def finished(
-        self, now: float, tag: str, host: str, line: "Line", cause: int, loads: list[float]
+    def confirm_delayed_send(self, now: float, tag: str, connection: "HostConnection") -> float | None: ...
+    def on_started(
+        self, now: float, tag: str, host: str, connection: "HostConnection", description: str
     ) -> None: ...
-    def noticed(self, now: float, tag: str, host: str, note: str, value: float) -> None: ...
-    def probed(self, now: float, host: str, passed: bool, took: float, loads: list[float]) -> None: ...
-    def broke(self, now: float, tag: str, host: str, how: Outcome) -> None: ...
-    def stir(self) -> None: ...
+    def on_finished(
+        self,
+        now: float,
+        tag: str,
+        host: str,
+        connection: "HostConnection",
+        cause: int,
+        loads: list[float],
+    ) -> None: ...
+    def on_notice(self, now: float, tag: str, host: str, note: str, value: float) -> None: ...
+    def on_probe_result(
+        self, now: float, host: str, passed: bool, took: float, loads: list[float]
+    ) -> None: ...
+    def on_connection_lost(self, now: float, tag: str, host: str, outcome: Outcome) -> None: ...
+    def schedule(self) -> None: ...
 
 
 Fields = dict[str, str | int | float]
 
 
-class Line:
-    """One connection: `open` holds the set-ups on it without an outcome, `past` the latest that had one,
-    `held` what has not left (set-ups as id, fields and description; other lines as bytes), `probes` when each
-    test went out."""
+class HostConnection:
+    """One connection to a media host.
+
+    `pending` holds the set-ups on it without an outcome, `recent` the latest with one, and `probes` when each
+    probe was sent. `queue` holds what has not been sent: set-ups as id, fields and description, other lines
+    as bytes.
+    """
 
     __slots__ = (
         "host",
         "address",
-        "pipe",
-        "held",
-        "open",
-        "past",
+        "writer",
+        "queue",
+        "pending",
+        "recent",
         "probes",
-        "doubted",
+        "suspect",
         "closed",
-        "used_at",
+        "last_used_at",
         "task",
     )
 
     def __init__(self, host: str, address: str, now: float) -> None:
         self.host, self.address = host, address
-        self.pipe: Pipe | None = None  # None until it is up
-        self.held: list[tuple[str, Fields, str] | bytes] = []
-        self.open: dict[str, None] = {}
-        self.past: dict[str, None] = {}
+        self.writer: BufferedWriter | None = None  # None until it is established
+        self.queue: list[tuple[str, Fields, str] | bytes] = []
+        self.pending: dict[str, None] = {}
+        self.recent: dict[str, None] = {}
         self.probes: dict[str, float] = {}
-        self.doubted = self.closed = False
-        self.used_at = now
+        self.suspect = self.closed = False
+        self.last_used_at = now
         self.task: Task | None = None
 
     @property
-    def up(self) -> bool:
-        return self.pipe is not None
+    def established(self) -> bool:
+        return self.writer is not None
 
     def write(self, data: bytes) -> None:
-        if self.pipe is None:
-            self.held.append(data)
+        if self.writer is None:
+            self.queue.append(data)
         else:
-            self.pipe.write(data)
+            self.writer.write(data)
 
     @property
     def unsent(self) -> list[str]:
-        """The set-ups that have not left."""
-        return [words[0] for words in self.held if not isinstance(words, bytes)]
+        """The set-ups that have not been sent."""
+        return [item[0] for item in self.queue if not isinstance(item, bytes)]
 
-    def over(self, tag: str) -> bool:
-        """A set-up has its outcome; whether it had none before."""
-        had_none = self.open.pop(tag, "none") is None
-        self.past.pop(tag, None)
-        self.past[tag] = None
-        if len(self.past) > MOST_PAST:
-            del self.past[next(iter(self.past))]
-        return had_none
+    def on_outcome(self, tag: str) -> bool:
+        """Notes that a set-up has its outcome; returns whether it had none before."""
+        was_pending = self.pending.pop(tag, "none") is None
+        self.recent.pop(tag, None)
+        self.recent[tag] = None
+        if len(self.recent) > MAX_RECENT:
+            del self.recent[next(iter(self.recent))]
+        return was_pending
 
 
-class Hosts:
+class HostConnections:
     def __init__(
         self,
         loop: Loop,
         reach: Reach,
-        watch: Watch,
-        most_lines: int,
-        out_bytes: int,
+        detector: FailureDetector,
+        max_connections: int,
+        max_buffered: int,
         load_fields: tuple[str, ...],
     ) -> None:
-        self.loop, self.reach, self.watch = loop, reach, watch
-        self.most_lines, self.out_bytes, self.load_fields = most_lines, out_bytes, load_fields
-        self.at: dict[str, str] = {}
-        self.started: dict[str, float] = {}  # when each process began, as the list last said
-        self.lines: dict[str, list[Line]] = {}
-        self.opened = self.spoilt = 0
-        self.carrier: Carrier
-        self.home: Task | None = None  # owns the tasks of all lines
+        self.loop, self.reach, self.detector = loop, reach, detector
+        self.max_connections, self.max_buffered, self.load_fields = max_connections, max_buffered, load_fields
+        self.addresses: dict[str, str] = {}
+        self.started_at: dict[str, float] = {}  # when each process began, by the latest list
+        self.connections: dict[str, list[HostConnection]] = {}
+        self.opened = self.malformed = 0
+        self.controller: HostEvents
+        self.owner: Task | None = None  # of the tasks of all connections
         self._probes = 0
 
     @property
     def count(self) -> int:
-        """Connections that are up or being opened."""
-        return sum(map(len, self.lines.values()))
+        """Number of connections that are established or being opened."""
+        return sum(map(len, self.connections.values()))
 
     @property
     def unsent(self) -> int:
-        """Bytes that are kept until the other side reads."""
-        return sum(x.pipe.unsent for lines in self.lines.values() for x in lines if x.pipe is not None)
+        """Number of bytes that are buffered until media hosts read."""
+        return sum(
+            connection.writer.unsent
+            for connections in self.connections.values()
+            for connection in connections
+            if connection.writer is not None
+        )
+
+    # ---- commands of the controller ------------------------------------------------------------------------
 
-    # ---- what the carrier asks for -------------------------------------------------------------------------
+    def set_up(self, tag: str, host: str, fields: Fields, description: str) -> HostConnection | None:
+        """Sends a set-up, or queues it until the connection is established and has sent what came before.
 
-    def set_up(self, tag: str, host: str, fields: Fields, blob: str) -> Line | None:
-        """Sends a set-up, or holds it until the connection is up and has sent what came before; None where no
-        connection may be had, nothing is sent then."""
-        line = self._fit(host, tag)
-        if line is None:
+        Returns None, and sends nothing, where no connection is available.
+        """
+        connection = self._choose(host, tag)
+        if connection is None:
             return None
-        line.open[tag] = None
-        line.used_at = self.loop.now
-        if line.pipe is None or line.pipe.unsent or line.held:
-            line.held.append((tag, fields, blob))
+        connection.pending[tag] = None
+        connection.last_used_at = self.loop.now
+        if connection.writer is None or connection.writer.unsent or connection.queue:
+            connection.queue.append((tag, fields, description))
         else:
-            line.pipe.write(hostline.encode("START", tag, fields, None, blob))
-        return line
-
-    def _flush(self, line: Line) -> None:
-        """Sends what was held, as far as it goes. A set-up passes the module's gate again as it leaves."""
-        while line.held and line.pipe is not None and not line.pipe.unsent and not line.closed:
-            words = line.held.pop(0)
-            if isinstance(words, bytes):
-                line.pipe.write(words)
+            connection.writer.write(hostline.encode("START", tag, fields, None, description))
+        return connection
+
+    def _flush(self, connection: HostConnection) -> None:
+        """Sends as much of the queue as the socket takes. Each queued set-up is checked again before it."""
+        while (
+            connection.queue
+            and connection.writer is not None
+            and not connection.writer.unsent
+            and not connection.closed
+        ):
+            item = connection.queue.pop(0)
+            if isinstance(item, bytes):
+                connection.writer.write(item)
                 continue
-            tag, fields, blob = words
-            left = self.carrier.leaves(time.monotonic(), tag, line)
-            if left is None:
-                line.open.pop(tag, None)
+            tag, fields, description = item
+            time_left = self.controller.confirm_delayed_send(time.monotonic(), tag, connection)
+            if time_left is None:
+                connection.pending.pop(tag, None)
                 continue
-            line.used_at = self.loop.now
-            fields["left"] = str(max(1, int(left * 1000)))
-            line.pipe.write(hostline.encode("START", tag, fields, None, blob))
+            connection.last_used_at = self.loop.now
+            fields["left"] = str(max(1, int(time_left * 1000)))
+            connection.writer.write(hostline.encode("START", tag, fields, None, description))
 
-    def give_up(self, line: Line, tag: str, late: bool) -> bool:
-        """Gives up a set-up that has no outcome; `late` when it ran out of time. Whether it had left."""
-        unsent = tag in line.unsent
+    def cancel(self, connection: HostConnection, tag: str, timed_out: bool) -> bool:
+        """Cancels a set-up that has no outcome; returns whether it had been sent."""
+        unsent = tag in connection.unsent
         if unsent:
-            line.held = [words for words in line.held if isinstance(words, bytes) or words[0] != tag]
-            line.open.pop(tag, None)
-        elif line.over(tag) and not line.closed:
-            line.doubted |= late
-            line.write(hostline.encode("FINISH", tag, {}, 16))
+            connection.queue = [
+                item for item in connection.queue if isinstance(item, bytes) or item[0] != tag
+            ]
+            connection.pending.pop(tag, None)
+        elif connection.on_outcome(tag) and not connection.closed:
+            connection.suspect |= timed_out
+            connection.write(hostline.encode("FINISH", tag, {}, 16))
         return not unsent
 
-    def release(self, host: str, tag: str, line: Line | None) -> None:
-        """Ends a viewing that stands."""
-        self._say(host, line, hostline.encode("FINISH", tag, {}, 31))
+    def release(self, host: str, tag: str, connection: HostConnection | None) -> None:
+        """Ends a viewing that plays."""
+        self._send(host, connection, hostline.encode("FINISH", tag, {}, 31))
 
-    def set_rung(self, host: str, tag: str, line: Line | None, rung: int) -> None:
-        self._say(host, line, hostline.encode("RATE", tag, {"rung": rung}))
+    def set_rung(self, host: str, tag: str, connection: HostConnection | None, rung: int) -> None:
+        self._send(host, connection, hostline.encode("RATE", tag, {"rung": rung}))
 
     def probe(self, host: str) -> bool:
-        line = self._fit(host)
-        if line is None or len(line.probes) >= self.reach.streams:
+        """Sends a probe; returns False where no connection is available."""
+        connection = self._choose(host)
+        if connection is None or len(connection.probes) >= self.reach.streams:
             return False
         self._probes += 1
         tag = f"{self._probes:016x}"
-        line.probes[tag] = time.monotonic()
-        line.used_at = self.loop.now
-        line.write(hostline.encode("ECHO", tag, {}, 1))
+        connection.probes[tag] = time.monotonic()
+        connection.last_used_at = self.loop.now
+        connection.write(hostline.encode("ECHO", tag, {}, 1))
         return True
 
-    def keep(self, host: str) -> None:
-        """Opens a connection to a host whose releases are awaited."""
-        if host in self.at:
+    def open(self, host: str) -> None:
+        """Opens a connection to a host whose releases are expected."""
+        if host in self.addresses:
             self._open(host)
 
-    def listed(self, host: str, address: str, gone: bool, started: float = 0.0) -> None:
-        """Guards against connections to a process that is gone, or to where the host was before: they may
-        stay open and silent, and take no set-up any more."""
-        lines = self.lines.get(host, ())
+    def on_host_listed(self, host: str, address: str, gone: bool, started_at: float = 0.0) -> None:
+        """Updates the address of a host and closes or distrusts connections to its former process or address.
+
+        Those may stay open and silent, and take no set-up any more.
+        """
+        connections = self.connections.get(host, ())
         if gone:
-            self.at.pop(host, None)
-            self.started.pop(host, None)
+            self.addresses.pop(host, None)
+            self.started_at.pop(host, None)
         else:
-            if started > self.started.get(host, started):
-                for line in lines:
-                    line.doubted = True
-            self.at[host], self.started[host] = address, started
-        for line in list(lines):
-            if not line.open and (gone or line.address != address):
-                self.close(line)
-
-    def _say(self, host: str, line: Line | None, data: bytes) -> None:
-        """On the connection of the set-up; where that is gone, on any; else on the next one opened."""
-        if line is None or line.closed:
-            at = self.at.get(host)
-            lines = [x for x in self.lines.get(host, ()) if not x.closed and x.address == (at or x.address)]
-            line = next((x for x in lines if x.pipe is not None), None) or next(iter(lines), None)
-            line = line or self._open(host)
-        if line is not None:
-            line.write(data)
-
-    def _fit(self, host: str, tag: str = "") -> Line | None:
-        now, address = self.loop.now, self.at.get(host)
-        lines = [x for x in self.lines.get(host, ()) if not x.closed and x.address == address]
-        while (line := fittest(lines, self.reach.streams, now, self.reach.idle, tag)) is not None:
-            # Guards against a set-up into a connection that the other side has closed, which is not read yet.
-            if line.open or line.pipe is None or not line.pipe.stream.ended():
-                return line
-            lines.remove(line)
+            if started_at > self.started_at.get(host, started_at):
+                for connection in connections:
+                    connection.suspect = True
+            self.addresses[host], self.started_at[host] = address, started_at
+        for connection in list(connections):
+            if not connection.pending and (gone or connection.address != address):
+                self.close(connection)
+
+    def _send(self, host: str, connection: HostConnection | None, data: bytes) -> None:
+        """Sends on the connection of the set-up; where that is gone on any other, or on a new one."""
+        if connection is None or connection.closed:
+            address = self.addresses.get(host)
+            usable = [
+                each
+                for each in self.connections.get(host, ())
+                if not each.closed and each.address == (address or each.address)
+            ]
+            connection = next((each for each in usable if each.writer is not None), None) or next(
+                iter(usable), None
+            )
+            connection = connection or self._open(host)
+        if connection is not None:
+            connection.write(data)
+
+    def _choose(self, host: str, tag: str = "") -> HostConnection | None:
+        now, address = self.loop.now, self.addresses.get(host)
+        usable = [
+            each for each in self.connections.get(host, ()) if not each.closed and each.address == address
+        ]
+        while (connection := choose(usable, self.reach.streams, now, self.reach.idle, tag)) is not None:
+            # The media host may have closed the connection, which is not read yet: no set-up may go there.
+            if connection.pending or connection.writer is None or not connection.writer.stream.ended():
+                return connection
+            usable.remove(connection)
         return self._open(host)
 
     # ---- one connection ------------------------------------------------------------------------------------
 
-    def _open(self, host: str) -> Line | None:
-        address = self.at.get(host)
+    def _open(self, host: str) -> HostConnection | None:
+        address = self.addresses.get(host)
         if address is None:
             return None
-        if self.count >= self.most_lines:
-            spare = first_to_go(x for lines in self.lines.values() for x in lines if not x.closed)
-            if spare is not None:
-                self.close(spare)
-            log("no-room-for-line", host=host, lines=self.count)
+        if self.count >= self.max_connections:
+            candidate = eviction_candidate(
+                each for connections in self.connections.values() for each in connections if not each.closed
+            )
+            if candidate is not None:
+                self.close(candidate)
+            log("connection-limit", host=host, lines=self.count)
             return None
-        line = Line(host, address, self.loop.now)
-        self.lines.setdefault(host, []).append(line)
+        connection = HostConnection(host, address, self.loop.now)
+        self.connections.setdefault(host, []).append(connection)
         self.opened += 1
-        self.watch.opening(host)
-        line.task = self.loop.spawn(self._run, line, address, name="line", owner=self.home)
-        return line
+        self.detector.on_connecting(host)
+        connection.task = self.loop.spawn(
+            self._run, connection, address, name="host-connection", owner=self.owner
+        )
+        return connection
 
-    def _run(self, line: Line, address: str) -> None:
+    def _run(self, connection: HostConnection, address: str) -> None:
         try:
             with self.loop.deadline(self.reach.connect_within):
                 stream = connect(self.loop, endpoint(address))
-        except (OSError, TimedOut) as why:
-            log("line-failed", host=line.host, why=str(why) or "time", open=len(line.open))
-            self.watch.failed(self.loop.now, line.host, isinstance(why, OSError) and why.errno in REFUSED)
-            self._gone(line, Outcome.CONNECT_FAILED)
+        except (OSError, TimedOut) as error:
+            log(
+                "connect-failed",
+                host=connection.host,
+                why=str(error) or "timed out",
+                open=len(connection.pending),
+            )
+            self.detector.on_connect_failed(
+                self.loop.now, connection.host, isinstance(error, OSError) and error.errno in REFUSED
+            )
+            self._on_closed(connection, Outcome.CONNECT_FAILED)
             return
         except Cancelled:
-            self.watch.failed(self.loop.now, line.host, False)
-            self._gone(line, Outcome.CONNECT_FAILED)
+            self.detector.on_connect_failed(self.loop.now, connection.host, False)
+            self._on_closed(connection, Outcome.CONNECT_FAILED)
             raise
-        line.pipe = Pipe(
-            self.loop, stream, self.out_bytes, lambda: self.close(line), lambda: self._flush(line)
+        connection.writer = BufferedWriter(
+            self.loop,
+            stream,
+            self.max_buffered,
+            lambda: self.close(connection),
+            lambda: self._flush(connection),
         )
-        self.watch.opened(self.loop.now, line.host)
-        self._flush(line)
-        how = Outcome.RESET
+        self.detector.on_connected(self.loop.now, connection.host)
+        self._flush(connection)
+        outcome = Outcome.RESET
         try:
-            self._read(line, stream)
-            log("line-ended", host=line.host, open=len(line.open))
-        except hostline.Malformed as why:
-            # Guards against a spoilt answer being taken for a process that died: the host did answer.
-            how = Outcome.ERROR
-            self.spoilt += 1
-            log("spoilt-line", host=line.host, why=str(why)[:80], open=len(line.open))
-        except OSError as why:
-            log("line-reset", host=line.host, why=why.strerror, open=len(line.open))
+            self._read(connection, stream)
+            log("connection-ended", host=connection.host, open=len(connection.pending))
+        except hostline.Malformed as error:
+            # Not a reset: the host did answer, so its process has not died.
+            outcome = Outcome.ERROR
+            self.malformed += 1
+            log("malformed-line", host=connection.host, why=str(error)[:80], open=len(connection.pending))
+        except OSError as error:
+            log("connection-reset", host=connection.host, why=error.strerror, open=len(connection.pending))
         finally:
             stream.close()
-            self.watch.broke(line.host)
-            self._gone(line, how)
+            self.detector.on_connection_closed(connection.host)
+            self._on_closed(connection, outcome)
 
-    def _read(self, line: Line, stream: Stream) -> None:
+    def _read(self, connection: HostConnection, stream: Stream) -> None:
         reader = hostline.Reader()
         while True:
-            data = stream.receive(MOST_READ, likely_empty=True)
+            data = stream.receive(READ_BYTES, likely_empty=True)
             if not data:
                 return
             now = self.loop.now
-            self.watch.heard(now, line.host)
-            for verb, tag, fields, cause, blob in reader.feed(data):
-                line.doubted = False
-                self._heard(now, line, verb, tag, fields, cause, blob)
+            self.detector.on_data(now, connection.host)
+            for verb, tag, fields, cause, description in reader.feed(data):
+                connection.suspect = False
+                self._on_message(now, connection, verb, tag, fields, cause, description)
 
-    def _heard(
+    def _on_message(
         self,
         now: float,
-        line: Line,
+        connection: HostConnection,
         verb: str,
         tag: str,
         fields: hostline.codec.Fields,
         cause: int | None,
-        blob: str | None,
+        description: str | None,
     ) -> None:
-        carrier = self.carrier
+        controller = self.controller
         if verb == "STARTED":
-            line.over(tag)
-            carrier.started(now, tag, line.host, line, blob or "")
+            connection.on_outcome(tag)
+            controller.on_started(now, tag, connection.host, connection, description or "")
         elif verb == "FINISH":
-            line.over(tag)
+            connection.on_outcome(tag)
             loads = hostline.parse_loads(fields, self.load_fields)
-            carrier.finished(now, tag, line.host, line, 0 if cause is None else cause, loads)
+            controller.on_finished(
+                now, tag, connection.host, connection, 0 if cause is None else cause, loads
+            )
         elif verb == "NOTICE":
             value = fields.get("value", "")
             try:
-                carrier.noticed(now, tag, line.host, str(fields.get("note", "")), float(value))
+                controller.on_notice(now, tag, connection.host, str(fields.get("note", "")), float(value))
             except ValueError:
-                raise hostline.Malformed(f"a note of {value!r:.40}") from None
+                raise hostline.Malformed(f"the value of a notice is {value!r:.40}, not a number") from None
         elif verb == "ECHOED":
-            sent = line.probes.pop(tag, None)
-            if sent is not None:
+            sent_at = connection.probes.pop(tag, None)
+            if sent_at is not None:
                 loads = hostline.parse_loads(fields, self.load_fields)
-                carrier.probed(now, line.host, cause == 1, now - sent, loads)
-
-    def close(self, line: Line) -> None:
-        """Guards against a set-up or a release that goes out on a connection which ends as its task runs."""
-        line.closed = True
-        if line.task is not None:
-            line.task.cancel()
-
-    def _gone(self, line: Line, how: Outcome) -> None:
-        """What was open on a connection that ended is told."""
-        line.closed = True
-        lines = self.lines[line.host]
-        lines.remove(line)
-        if not lines:
-            del self.lines[line.host]
+                controller.on_probe_result(now, connection.host, cause == 1, now - sent_at, loads)
+
+    def close(self, connection: HostConnection) -> None:
+        """Closes a connection; it takes no set-up or release from now on, though its task ends later."""
+        connection.closed = True
+        if connection.task is not None:
+            connection.task.cancel()
+
+    def _on_closed(self, connection: HostConnection, outcome: Outcome) -> None:
+        """Reports the pending set-ups and probes of a connection that ended."""
+        connection.closed = True
+        connections = self.connections[connection.host]
+        connections.remove(connection)
+        if not connections:
+            del self.connections[connection.host]
         now = self.loop.now
-        unsent = line.unsent
-        for tag in list(line.open):
-            self.carrier.broke(now, tag, line.host, Outcome.CONNECT_FAILED if tag in unsent else how)
-        line.open.clear()
-        line.held.clear()
-        for sent in line.probes.values():
-            self.carrier.probed(now, line.host, False, now - sent, [])
-        line.probes.clear()
-        self.carrier.stir()
+        unsent = connection.unsent
+        for tag in list(connection.pending):
+            self.controller.on_connection_lost(
+                now, tag, connection.host, Outcome.CONNECT_FAILED if tag in unsent else outcome
+            )
+        connection.pending.clear()
+        connection.queue.clear()
+        for sent_at in connection.probes.values():
+            self.controller.on_probe_result(now, connection.host, False, now - sent_at, [])
+        connection.probes.clear()
+        self.controller.schedule()
 
     def sweep(self, now: float) -> None:
-        """Lets go of connections that were unused too long, and of doubted ones without a set-up."""
-        for host, lines in self.lines.items():
-            h = self.watch.hosts.get(host)
-            needed = 1 if h is not None and h.standing else 0
-            for line in over(now, [x for x in lines if not x.closed], needed, self.reach.idle):
-                self.close(line)
+        """Closes connections that were unused for too long, and suspect ones without a set-up."""
+        for host, connections in self.connections.items():
+            state = self.detector.hosts.get(host)
+            needed = 1 if state is not None and state.viewings else 0
+            for connection in expired(
+                now, [each for each in connections if not each.closed], needed, self.reach.idle
+            ):
+                self.close(connection)
--- a/ledgehitch/platform/life.py
+++ b/ledgehitch/platform/life.py
@@ -1,51 +1,55 @@
-"""A gateway's life as others see it: when its test passes, what is taken while it ends, when it exits. Free
-of I/O.
+"""Lifecycle of a gateway process: its health check, which set-ups it accepts while it shuts down, when it
+exits. Free of I/O.
 """
 
-LATE = 0.7  # seconds after SIGTERM in which set-ups may still come, by the platform's page
-MOST = 3.0  # seconds that the longest patience counts as at most, there
-SPARE = 0.3  # seconds kept free before the kill, and for the last answers to go out before that
+LATE_SETUPS_S = 0.7  # after SIGTERM in which set-ups may still arrive, by the platform's specification
+MAX_PATIENCE_S = 3.0  # that the longest patience counts as at most, by the same
+EXIT_MARGIN_S = 0.3  # kept free before SIGKILL, and for the last responses to go out before the exit
 
 
-class Life:
+class Lifecycle:
     def __init__(self, longest_patience: float) -> None:
-        self.longest = min(MOST, longest_patience)
+        self.longest_patience = min(MAX_PATIENCE_S, longest_patience)
         self.ready = False
-        self.ends_at: float | None = None  # when SIGTERM came
+        self.terminated_at: float | None = None  # when SIGTERM came
 
-    def serves(self) -> None:
+    def on_serving(self) -> None:
         self.ready = True
 
-    def term(self, now: float) -> None:
-        if self.ends_at is None:
-            self.ends_at = now
+    def on_sigterm(self, now: float) -> None:
+        if self.terminated_at is None:
+            self.terminated_at = now
 
     @property
-    def takes(self) -> bool:
-        """Whether set-ups are taken; else they are refused, which sends viewers on to another gateway."""
-        return self.ends_at is None
+    def accepts_setups(self) -> bool:
+        """Whether set-ups are accepted. Refused ones make viewers go to another gateway."""
+        return self.terminated_at is None
 
     @property
-    def passes(self) -> bool:
-        """Whether it passes the test."""
-        return self.ready and self.ends_at is None
+    def healthy(self) -> bool:
+        """Whether the health check passes."""
+        return self.ready and self.terminated_at is None
 
     @property
-    def _gone_after(self) -> float:
-        """Seconds from SIGTERM after which the process is gone: shortly before the kill, never so early that
-        a set-up may still come."""
-        return max(LATE, self.longest + LATE - SPARE)
-
-    def last_call(self, now: float) -> bool:
-        """Whether what still waits gets its final answer now: there is no more time after this."""
-        return self.ends_at is not None and now - self.ends_at >= max(self.longest, self._gone_after - SPARE)
-
-    def exits(self, now: float, waiting: int, playing: int, unsent: int) -> bool:
-        """Whether the process may end: when all are answered and none can come any more, and the answers have
-        left (`unsent` bytes have not); what plays is kept until shortly before the kill."""
-        if self.ends_at is None:
+    def _exit_after(self) -> float:
+        """Seconds from SIGTERM to the exit: shortly before SIGKILL, never while set-ups may still arrive."""
+        return max(LATE_SETUPS_S, self.longest_patience + LATE_SETUPS_S - EXIT_MARGIN_S)
+
+    def final_responses_due(self, now: float) -> bool:
+        """Whether pending set-ups get their final response now, the last time at which it can be sent."""
+        return self.terminated_at is not None and now - self.terminated_at >= max(
+            self.longest_patience, self._exit_after - EXIT_MARGIN_S
+        )
+
+    def may_exit(self, now: float, pending: int, playing: int, unsent: int) -> bool:
+        """Whether the process may exit.
+
+        It may when every set-up has its response, none can arrive any more and no byte is `unsent`. Viewings
+        that play keep it alive until shortly before SIGKILL.
+        """
+        if self.terminated_at is None:
             return False
-        passed = now - self.ends_at
-        if passed > self._gone_after:
+        elapsed = now - self.terminated_at
+        if elapsed > self._exit_after:
             return True
-        return passed > LATE and not waiting and not playing and not unsent
+        return elapsed > LATE_SETUPS_S and not pending and not playing and not unsent
--- a/ledgehitch/platform/lines.py
+++ b/ledgehitch/platform/lines.py
@@ -1,64 +1,72 @@
-"""Which connection to a media host takes a set-up, and which are let go. Free of I/O.
+"""Decides which connection to a media host takes a set-up, and which connections are closed. Free of I/O.
 
-A connection is told by: whether it is up, how many set-ups on it have no outcome, which ids lately had theirs
-there, whether a set-up ran out of time on it with no sign since (doubted), and how many seconds ago it was
-last used.
+A connection is described by whether it is established, how many set-ups on it have no outcome, which ids
+recently had their outcome there, whether a set-up timed out on it and nothing came since (suspect), and when
+it was last used.
 """
 
 from collections.abc import Iterable, Sequence
 from typing import Protocol, TypeVar
 
-SETTLED = 1.0  # seconds without use before a connection may be let go
-EARLY = 0.9  # part of the idle time after which it is let go here, before the other side does
-MARGIN = 0.25  # seconds before the other side does, at least, for what is on its way: half of it at most
+MIN_UNUSED_S = 1.0  # without use before a connection may be closed
+IDLE_FRACTION = 0.9  # part of the idle time after which it is closed here, before the media host closes it
+IDLE_MARGIN_S = 0.25  # time by which it is closed before the media host would, at most half the idle time
 
 
-class Line(Protocol):
-    open: dict[str, None]
-    past: dict[str, None]
-    doubted: bool
-    used_at: float
+class Connection(Protocol):
+    pending: dict[str, None]
+    recent: dict[str, None]
+    suspect: bool
+    last_used_at: float
 
     @property
-    def up(self) -> bool: ...
+    def established(self) -> bool: ...
 
 
-L = TypeVar("L", bound=Line)
+C = TypeVar("C", bound=Connection)
 
 
-def kept_for(idle: float) -> float:
-    """Seconds without use after which a connection is let go, and takes nothing any more."""
-    return max(0.5 * idle, min(EARLY * idle, idle - MARGIN))
+def usable_for(idle: float) -> float:
+    """Returns the seconds without use after which a connection is closed and takes no further set-up."""
+    return max(0.5 * idle, min(IDLE_FRACTION * idle, idle - IDLE_MARGIN_S))
 
 
-def fittest(lines: Iterable[L], streams: int, now: float, idle: float, tag: str = "") -> L | None:
-    """One that takes a further set-up: up, with the fewest. A doubted one takes none: peers that spoil an
-    answer may leave a connection open that is of no further use. Nor does one that the other side may be
-    closing as idle, nor one on which this id had an outcome: a second copy of that, come late, would be taken
-    for the outcome of the new set-up."""
-    fit = [
-        x
-        for x in lines
-        if not x.doubted
-        and len(x.open) < streams
-        and tag not in x.past
-        and (x.open or now - x.used_at < kept_for(idle))
-    ]
-    return min(fit, key=lambda x: (not x.up, len(x.open)), default=None)
-
-
-def first_to_go(lines: Iterable[L]) -> L | None:
-    """The one that makes room for another: up, without a set-up, longest unused."""
-    return min((x for x in lines if x.up and not x.open), key=lambda x: x.used_at, default=None)
+def choose(connections: Iterable[C], streams: int, now: float, idle: float, tag: str = "") -> C | None:
+    """Returns the connection for a further set-up: established, with the fewest pending ones.
 
-
-def over(now: float, lines: Sequence[L], needed: int, idle: float) -> list[L]:
-    """Those to let go: doubted, or unused for the idle time (seconds) and beyond the `needed` ones."""
-    out: list[L] = []
-    for x in lines:
-        unused = now - x.used_at
-        if x.open or not x.up or unused < min(SETTLED, kept_for(idle)):
+    A suspect connection takes none: a peer that sent a malformed answer may leave it open without serving it.
+    Nor does one that the media host may be closing as idle, nor one on which this id had an outcome. A late
+    duplicate of that outcome would be taken for the outcome of the new set-up.
+    """
+    usable = [
+        connection
+        for connection in connections
+        if not connection.suspect
+        and len(connection.pending) < streams
+        and tag not in connection.recent
+        and (connection.pending or now - connection.last_used_at < usable_for(idle))
+    ]
+    return min(
+        usable, key=lambda connection: (not connection.established, len(connection.pending)), default=None
+    )
+
+
+def eviction_candidate(connections: Iterable[C]) -> C | None:
+    """Returns the one to close for another: established, without a pending set-up, unused for the longest."""
+    return min(
+        (connection for connection in connections if connection.established and not connection.pending),
+        key=lambda connection: connection.last_used_at,
+        default=None,
+    )
+
+
+def expired(now: float, connections: Sequence[C], needed: int, idle: float) -> list[C]:
+    """Returns those to close: suspect ones, and idle ones (`idle` in seconds) beyond the `needed` ones."""
+    closing: list[C] = []
+    for connection in connections:
+        unused = now - connection.last_used_at
+        if connection.pending or not connection.established or unused < min(MIN_UNUSED_S, usable_for(idle)):
             continue
-        if x.doubted or unused >= kept_for(idle) and len(lines) - len(out) > needed:
-            out.append(x)
-    return out
+        if connection.suspect or unused >= usable_for(idle) and len(connections) - len(closing) > needed:
+            closing.append(connection)
+    return closing
--- a/ledgehitch/platform/lost.py
+++ b/ledgehitch/platform/lost.py
@@ -1,154 +1,168 @@
-"""Which viewings a dead or silent media host took along, and where a connection is owed. Free of I/O.
-
-A host whose process ended may leave old connections open and silent for seconds: measured, nothing that stood
-there came to its end after a new connection was refused, or after the list said gone. So both count at once.
-A reset or a closed connection proves nothing: the host may have closed one connection only. Lost is what
-stands at a host that refuses connections, that the list calls gone or says started anew since, or that gave
-no sign for long while new connections never came up. Releases come on the next connection that is opened, so
-one is opened wherever viewings stand and there is none.
+"""Failure detector for media hosts: which lost their viewings, and which need a connection. Free of I/O.
+
+A host whose process ended may leave old connections open and silent for seconds. In measurements no viewing
+there came to its end after a new connection was refused, or after the list said that the host was gone. So
+either counts as a failure at once. A reset or a closed connection proves nothing, since the host may have
+closed that connection only. Viewings are lost at a host that refuses connections, that the list calls gone or
+restarted since, or that was silent for long while new connections were never established. Releases come on
+the next connection that is opened, so one is opened to each host that has viewings and no connection.
 """
 
 import math
 from dataclasses import dataclass
 
-SILENT = 3.0  # seconds without a byte, beyond the time between notes, after which a new connection is tried
-QUIET_MARGIN = 0.5  # seconds that a note may be late
-UNREACHED = 2  # tries in a row that never came up until a silent host is given up
-FIRST, LONGEST = 0.05, 0.5  # seconds until a connection is tried again, doubled each time
+SILENCE_TIMEOUT_S = 3.0  # without a byte until a new connection is tried, where hosts send no reports
+REPORT_MARGIN_S = 0.5  # by which a report may be late
+MAX_FAILED_CONNECTS = 2  # in a row until a silent host is lost
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 0.5  # until a connection is tried again, doubled each time
 
 
 @dataclass(frozen=True)
-class Open:
+class OpenConnection:
     """Open a connection to this media host."""
 
     host: str
 
 
 @dataclass(frozen=True)
-class Lost:
-    """All that was set up at this media host before then has ended."""
+class HostLost:
+    """All viewings that were set up at this media host before that time have ended."""
 
     host: str
     before: float
 
 
-Decision = Open | Lost
+Decision = OpenConnection | HostLost
 
 
-class _Host:
+class _HostState:
     __slots__ = (
-        "standing",
-        "lines",
-        "opening",
-        "again_at",
-        "wait",
-        "heard",
-        "unreached",
-        "started",
+        "viewings",
+        "connections",
+        "connecting",
+        "retry_at",
+        "retry_delay",
+        "last_heard_at",
+        "failed_connects",
+        "started_at",
         "listed",
     )
 
     def __init__(self) -> None:
-        self.standing = 0  # viewings
-        self.lines = 0  # connections that are up
-        self.opening = 0
-        self.again_at = 0.0
-        self.wait = FIRST
-        self.heard = 0.0  # when a byte last came, or a connection came up
-        self.unreached = 0
-        self.started = 0.0  # as the list last said
+        self.viewings = 0  # that play there
+        self.connections = 0  # that are established
+        self.connecting = 0
+        self.retry_at = 0.0
+        self.retry_delay = MIN_RETRY_DELAY_S
+        self.last_heard_at = 0.0  # when a byte last came, or a connection was established
+        self.failed_connects = 0
+        self.started_at = 0.0  # by the latest list
         self.listed = False
 
 
-class Watch:
-    def __init__(self, told_every: float) -> None:
-        """`told_every`: seconds between notes of a host with viewings of ours; 0 where there are none."""
-        self.quiet = told_every + QUIET_MARGIN if told_every else SILENT
-        self.hosts: dict[str, _Host] = {}
+class FailureDetector:
+    def __init__(self, report_interval: float) -> None:
+        """`report_interval`: seconds between reports of a host that plays viewings of this gateway, 0 where
+        hosts send none."""
+        self.silence_timeout = report_interval + REPORT_MARGIN_S if report_interval else SILENCE_TIMEOUT_S
+        self.hosts: dict[str, _HostState] = {}
         self._due: list[Decision] = []
 
-    def listed(self, now: float, host: str, gone: bool, started: float) -> None:
-        h = self.hosts.get(host)
-        if h is None:
+    def on_host_listed(self, now: float, host: str, gone: bool, started_at: float) -> None:
+        state = self.hosts.get(host)
+        if state is None:
             if not gone:
-                h = self.hosts[host] = _Host()
-                h.started, h.listed = started, True
+                state = self.hosts[host] = _HostState()
+                state.started_at, state.listed = started_at, True
             return
         if gone:
-            h.listed = False
-            if h.standing:
-                self._due.append(Lost(host, now))
+            state.listed = False
+            if state.viewings:
+                self._due.append(HostLost(host, now))
             else:
                 self._forget(host)
-        elif started > h.started:
-            h.started = started
-            if h.standing:
-                self._due.append(Lost(host, started))
-
-    def stands(self, now: float, host: str) -> None:
-        h = self.hosts.setdefault(host, _Host())
-        if not h.standing:
-            h.heard = max(h.heard, now)
-        h.standing += 1
-
-    def over(self, host: str) -> None:
-        h = self.hosts.get(host)
-        if h is not None:
-            h.standing = max(0, h.standing - 1)
-            if not h.standing and not h.listed:
+        elif started_at > state.started_at:
+            state.started_at = started_at
+            if state.viewings:
+                self._due.append(HostLost(host, started_at))
+
+    def on_viewing_started(self, now: float, host: str) -> None:
+        state = self.hosts.setdefault(host, _HostState())
+        if not state.viewings:
+            state.last_heard_at = max(state.last_heard_at, now)
+        state.viewings += 1
+
+    def on_viewing_ended(self, host: str) -> None:
+        state = self.hosts.get(host)
+        if state is not None:
+            state.viewings = max(0, state.viewings - 1)
+            if not state.viewings and not state.listed:
                 self._forget(host)
 
-    def opening(self, host: str) -> None:
-        if (h := self.hosts.get(host)) is not None:
-            h.opening += 1
-
-    def opened(self, now: float, host: str) -> None:
-        """A connection came up."""
-        if (h := self.hosts.get(host)) is not None:
-            h.opening = max(0, h.opening - 1)
-            h.lines += 1
-            h.heard, h.unreached, h.wait = now, 0, FIRST
-
-    def failed(self, now: float, host: str, refused: bool) -> None:
-        """A connection did not come about; `refused`: nobody listens there."""
-        h = self.hosts.get(host)
-        if h is None:
+    def on_connecting(self, host: str) -> None:
+        if (state := self.hosts.get(host)) is not None:
+            state.connecting += 1
+
+    def on_connected(self, now: float, host: str) -> None:
+        if (state := self.hosts.get(host)) is not None:
+            state.connecting = max(0, state.connecting - 1)
+            state.connections += 1
+            state.last_heard_at, state.failed_connects, state.retry_delay = now, 0, MIN_RETRY_DELAY_S
+
+    def on_connect_failed(self, now: float, host: str, refused: bool) -> None:
+        """A connection was not established; `refused`: no process listens there."""
+        state = self.hosts.get(host)
+        if state is None:
             return
-        # Guards against the end of a connection that was begun before the host was gone and came back: with
-        # less than none on their way, none would ever be opened for the releases of what stands.
-        h.opening = max(0, h.opening - 1)
-        h.again_at = now + h.wait
-        h.wait = min(LONGEST, 2 * h.wait)
-        h.unreached += 1
-        if h.standing and (refused or h.unreached >= UNREACHED and now - h.heard > self.quiet):
-            self._due.append(Lost(host, now))
-
-    def heard(self, now: float, host: str) -> None:
-        if (h := self.hosts.get(host)) is not None:
-            h.heard = now
-
-    def broke(self, host: str) -> None:
-        """A connection that was up is gone."""
-        if (h := self.hosts.get(host)) is not None:
-            h.lines = max(0, h.lines - 1)
+        # A connection attempt may end after the host was gone and came back. With a negative count no
+        # connection would ever be opened for the releases of its viewings.
+        state.connecting = max(0, state.connecting - 1)
+        state.retry_at = now + state.retry_delay
+        state.retry_delay = min(MAX_RETRY_DELAY_S, 2 * state.retry_delay)
+        state.failed_connects += 1
+        if state.viewings and (
+            refused
+            or state.failed_connects >= MAX_FAILED_CONNECTS
+            and now - state.last_heard_at > self.silence_timeout
+        ):
+            self._due.append(HostLost(host, now))
+
+    def on_data(self, now: float, host: str) -> None:
+        if (state := self.hosts.get(host)) is not None:
+            state.last_heard_at = now
+
+    def on_connection_closed(self, host: str) -> None:
+        """An established connection has ended."""
+        if (state := self.hosts.get(host)) is not None:
+            state.connections = max(0, state.connections - 1)
 
     def _forget(self, host: str) -> None:
-        """Guards against memory that grows with each media host that was ever there."""
+        """Drops the state of a host, so that memory does not grow with each host that was ever listed."""
         del self.hosts[host]
 
     def decide(self, now: float) -> Decision | None:
+        """Returns the next decision, None where there is none."""
         if self._due:
             return self._due.pop(0)
-        for host, h in self.hosts.items():
-            if h.standing and not h.opening and now >= self._open_at(h):
-                h.again_at = now + h.wait  # should it not even be tried
-                return Open(host)
+        for host, state in self.hosts.items():
+            if state.viewings and not state.connecting and now >= self._connect_at(state):
+                state.retry_at = now + state.retry_delay  # in case the connection is not even tried
+                return OpenConnection(host)
         return None
 
-    def _open_at(self, h: _Host) -> float:
-        """When a connection is due: at once where there is none, else when it was silent too long."""
-        return h.again_at if not h.lines else max(h.again_at, h.heard + self.quiet)
+    def _connect_at(self, state: _HostState) -> float:
+        """Returns when a connection is due: without one at the next retry, else after too long a silence."""
+        return (
+            state.retry_at
+            if not state.connections
+            else max(state.retry_at, state.last_heard_at + self.silence_timeout)
+        )
 
     def wake_at(self) -> float:
-        due = [self._open_at(h) for h in self.hosts.values() if h.standing and not h.opening]
+        """Returns when to call `decide` again, infinity for never."""
+        due = [
+            self._connect_at(state)
+            for state in self.hosts.values()
+            if state.viewings and not state.connecting
+        ]
         return min(due, default=math.inf)
--- a/ledgehitch/platform/peers.py
+++ b/ledgehitch/platform/peers.py
@@ -1,41 +1,42 @@
-"""Words between gateways as datagrams: from known addresses only, at most 256 bytes, late or never."""
+"""Messages between gateways as datagrams: from known addresses only, at most 256 bytes, without retries."""
 
 from collections.abc import Callable
 
 from ledgehitch.loop.kernel import Loop
 from ledgehitch.loop.sockets import REST, Datagrams, endpoint
 
-MOST = 256  # bytes of a datagram, by the platform's page
+MAX_DATAGRAM_BYTES = 256  # by the platform's specification
 
 
-class Peers:
+class PeerChannel:
     def __init__(
-        self, loop: Loop, listen: str, peers: tuple[str, ...], heard: Callable[[float, bytes], None]
+        self, loop: Loop, listen: str, peers: tuple[str, ...], on_message: Callable[[float, bytes], None]
     ) -> None:
-        self.loop, self.heard = loop, heard
+        self.loop, self.on_message = loop, on_message
         self.socket = Datagrams(loop, endpoint(listen))
-        self.refused = 0
-        self.told(peers)
+        self.refused = 0  # datagrams of unknown senders or of the wrong size
+        self.set_peers(peers)
 
-    def told(self, peers: tuple[str, ...]) -> None:
-        """The addresses of all gateways, by their numbers."""
-        self.at = [endpoint(address) for address in peers]
-        self._known = {to.address for to in self.at}
+    def set_peers(self, peers: tuple[str, ...]) -> None:
+        """Sets the addresses of all gateways, in the order of their numbers."""
+        self.addresses = [endpoint(address) for address in peers]
+        self._known = {peer.address for peer in self.addresses}
 
-    def tell(self, words: bytes, to: int) -> None:
-        if 0 <= to < len(self.at) and len(words) <= MOST:
-            self.socket.send(words, self.at[to])
+    def send(self, message: bytes, recipient: int) -> None:
+        """Sends a message to the gateway of this number; drops it where there is none or it is too long."""
+        if 0 <= recipient < len(self.addresses) and len(message) <= MAX_DATAGRAM_BYTES:
+            self.socket.send(message, self.addresses[recipient])
 
     def run(self) -> None:
-        """Hears for good; runs as a task."""
+        """Receives messages until it is cancelled; runs as a task."""
         while True:
             try:
-                words, sender = self.socket.receive()
+                message, sender = self.socket.receive()
             except OSError:
-                # Guards against hearing nobody any more after one that failed (no memory for a moment).
+                # A failed receive, for instance without memory for a moment, must not end the receiving.
                 self.loop.sleep(REST)
                 continue
-            if sender not in self._known or not 0 < len(words) <= MOST:
+            if sender not in self._known or not 0 < len(message) <= MAX_DATAGRAM_BYTES:
                 self.refused += 1
                 continue
-            self.heard(self.loop.now, words)
+            self.on_message(self.loop.now, message)
--- a/ledgehitch/platform/pipe.py
+++ b/ledgehitch/platform/pipe.py
@@ -1,4 +1,4 @@
-"""What is on its way out of one connection: sent at once, or kept up to a bound; never waited for."""
+"""Buffered output of one connection: data is sent at once or kept up to a limit, and a write never blocks."""
 
 from collections.abc import Callable
 
@@ -6,53 +6,54 @@
 from ledgehitch.loop.sockets import Stream
 
 
-class Pipe:
+class BufferedWriter:
     def __init__(
         self,
         loop: Loop,
         stream: Stream,
-        room: int,
-        broke: Callable[[], None],
-        drained: Callable[[], None] | None = None,
+        max_buffered: int,
+        on_broken: Callable[[], None],
+        on_drained: Callable[[], None] | None = None,
     ) -> None:
-        """`broke` is called, later, when the other side is gone or reads so little that `room` is full;
-        `drained` when all that was kept has been sent."""
-        self.loop, self.stream, self.room, self.broke = loop, stream, room, broke
-        self.drained = drained
-        self._kept = b""
-        self._watched = self.broken = False
+        """`on_broken` is called, in a later turn, when the peer is gone or reads so slowly that more than
+        `max_buffered` bytes are unsent; `on_drained` when all buffered data has been sent."""
+        self.loop, self.stream, self.max_buffered, self.on_broken = loop, stream, max_buffered, on_broken
+        self.on_drained = on_drained
+        self._buffer = b""
+        self._watching = self.broken = False
 
     @property
     def unsent(self) -> int:
-        return len(self._kept)
+        """Number of buffered bytes."""
+        return len(self._buffer)
 
     def write(self, data: bytes) -> bool:
-        """Whether it was sent or kept."""
+        """Sends or buffers the data; returns False where the connection is gone or its buffer is full."""
         if self.broken or self.stream.fd < 0:
             return False
-        if self._kept:
-            self._kept += data
+        if self._buffer:
+            self._buffer += data
         else:
             try:
-                self._kept = self.stream.send_now(data)
+                self._buffer = self.stream.send_now(data)
             except OSError:
                 return self._fail()
-        if len(self._kept) > self.room:
+        if len(self._buffer) > self.max_buffered:
             return self._fail()
-        if self._kept and not self._watched:
-            self._watched = True
-            self.loop.on_writable(self.stream.fd, self._writable)
+        if self._buffer and not self._watching:
+            self._watching = True
+            self.loop.on_writable(self.stream.fd, self._on_writable)
         return True
 
-    def _writable(self) -> None:
-        self._watched = False
+    def _on_writable(self) -> None:
+        self._watching = False
         if self.stream.fd < 0:
             return
-        data, self._kept = self._kept, b""
-        if self.write(data) and not self._kept and self.drained is not None:
-            self.drained()
+        data, self._buffer = self._buffer, b""
+        if self.write(data) and not self._buffer and self.on_drained is not None:
+            self.on_drained()
 
     def _fail(self) -> bool:
-        self.broken, self._kept = True, b""
-        self.loop.call_soon(self.broke)
+        self.broken, self._buffer = True, b""
+        self.loop.call_soon(self.on_broken)
         return False
--- a/ledgehitch/platform/told.py
+++ b/ledgehitch/platform/told.py
@@ -1,6 +1,6 @@
-"""What a gateway is told at start and on SIGHUP: the platform's configuration, checked. Free of sockets.
+"""The platform's configuration, read and checked at start and on SIGHUP. Free of sockets.
 
-What is missing or wrong raises `BadFact`, which names its key.
+A missing or wrong setting raises `BadFact`, which names its key.
 """
 
 import json
@@ -11,12 +11,12 @@
 from ledgehitch.facts import BadFact
 from ledgehitch.interface import UNPLACED, Row
 
-MOST = 1 << 40  # no machine has so many MB or descriptors
+MAX_LIMIT = 1 << 40  # no machine has so many MB or descriptors
 STATES = {"ready": "in_service", "draining": "terminating", "gone": "terminated"}
 
 
 @dataclass(frozen=True)
-class Told:
+class Configuration:
     name: str
     listen: str
     seed: int
@@ -25,94 +25,103 @@
     peer_listen: str
     peers: tuple[str, ...]
     journal: str
-    known: tuple[tuple[int, Mapping[str, Any]], ...]  # position and content of each event
+    known_events: tuple[tuple[int, Mapping[str, Any]], ...]  # position and content of each
     settings: Mapping[str, Any]
 
 
-def _of(thing: Mapping[str, Any], key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-    value = thing.get(key.rpartition(".")[2], default)
+def _field(container: Mapping[str, Any], key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
+    """Returns the value under the last part of a dotted key; raises `BadFact` if it has another type."""
+    value = container.get(key.rpartition(".")[2], default)
     if not isinstance(value, kind) or isinstance(value, bool):
-        raise BadFact(f"{key}: {value!r:.60} is not what is meant")
+        raise BadFact(f"{key}: {value!r:.60} has the wrong type or is missing")
     return value
 
 
-def read(text: bytes) -> Told:
+def parse_configuration(text: bytes) -> Configuration:
+    """Returns the checked configuration; raises `BadFact` for a missing or wrong setting."""
     try:
-        thing = json.loads(text)
-    except (ValueError, RecursionError) as why:
-        raise BadFact(f"no JSON: {why}") from None
-    if not isinstance(thing, dict):
-        raise BadFact("no object")
-    limits = _of(thing, "limits", dict, {})
-    seed = _of(thing, "seed", (str, int), 0)
+        document = json.loads(text)
+    except (ValueError, RecursionError) as error:
+        raise BadFact(f"the configuration is not valid JSON: {error}") from None
+    if not isinstance(document, dict):
+        raise BadFact("the configuration is not a JSON object")
+    limits = _field(document, "limits", dict, {})
+    seed = _field(document, "seed", (str, int), 0)
     try:
         number = int(seed, 16) if isinstance(seed, str) else seed
     except ValueError:
-        raise BadFact(f"seed: {seed!r:.40} is no hexadecimal number") from None
-    known = _of(thing, "known", dict, {})
+        raise BadFact(f"seed: {seed!r:.40} is not a hexadecimal number") from None
+    known = _field(document, "known", dict, {})
     events = []
-    for entry in _of(known, "known.entries", list, []):
+    for entry in _field(known, "known.entries", list, []):
         try:
             events.append((int(entry["pos"]), entry))
-            rows_of(entry, 0.0)
-        except (KeyError, TypeError, ValueError) as why:
-            raise BadFact(f"known.entries: {why}") from None
-    memory_mb = _of(limits, "limits.memory_mb", (int, float), 64)
-    sockets = _of(limits, "limits.sockets", int, 256)
+            parse_host_list(entry, 0.0)
+        except (KeyError, TypeError, ValueError) as error:
+            raise BadFact(f"known.entries: {error}") from None
+    memory_mb = _field(limits, "limits.memory_mb", (int, float), 64)
+    sockets = _field(limits, "limits.sockets", int, 256)
     for key, value in (("limits.memory_mb", memory_mb), ("limits.sockets", sockets)):
-        if not 0 < value < MOST:  # also what is no number by its own name
+        if not 0 < value < MAX_LIMIT:  # false for NaN, too
             raise BadFact(f"{key}: {value!r:.60} is out of range")
-    peers = _of(thing, "peers", list, [])
-    for address in (_of(thing, "listen", str), _of(thing, "journal", str), *peers):
-        _address(address)
-    return Told(
-        name=_of(thing, "name", str, ""),
-        listen=thing["listen"],
+    peers = _field(document, "peers", list, [])
+    for address in (_field(document, "listen", str), _field(document, "journal", str), *peers):
+        _check_address(address)
+    return Configuration(
+        name=_field(document, "name", str, ""),
+        listen=document["listen"],
         seed=number,
         memory_mb=float(memory_mb),
         sockets=sockets,
-        peer_listen=_of(thing, "peer_listen", str, ""),
+        peer_listen=_field(document, "peer_listen", str, ""),
         peers=tuple(peers),
-        journal=thing["journal"],
-        known=tuple(events),
-        settings=_of(thing, "settings", dict),
+        journal=document["journal"],
+        known_events=tuple(events),
+        settings=_field(document, "settings", dict),
     )
 
 
-def _address(text: Any) -> None:
+def _check_address(text: Any) -> None:
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (host and colon and port.isascii() and port.isdigit() and int(port) < 65536):
-        raise BadFact(f"{text!r:.60} is no address such as 127.0.0.1:80")
+        raise BadFact(f"{text!r:.60} is not an address such as 127.0.0.1:80")
 
 
 def _cell(value: Any) -> int:
-    """Guards against a row without a place, or with one that cannot be read, being taken for the first cell's
-    or keeping the rows beside it from being heard."""
+    """Returns the cell of a row, `UNPLACED` where it is missing or invalid.
+
+    Such a row must not count as one of the first cell, nor make the other rows of its event unreadable.
+    """
     return value if isinstance(value, int) and not isinstance(value, bool) else UNPLACED
 
 
-def rows_of(entry: Mapping[str, Any], ahead: float) -> tuple[str, list[tuple[Row, str]]] | None:
-    """An event of the journal as the module is told it, each row with its address; None for one that is not
-    of the media hosts. `ahead` is what the system's clock is ahead of the gateway's, in seconds. Raises
-    `ValueError` for what is not as it should be."""
+def parse_host_list(
+    entry: Mapping[str, Any], clock_offset: float
+) -> tuple[str, list[tuple[Row, str]]] | None:
+    """Returns the rows of a journal event, each with its address, and whether they are the complete list.
+
+    The first item is "total" or "incr"; the result is None for an event that is not about media hosts.
+    `clock_offset` is the system clock less the gateway's clock, in seconds. Raises `ValueError` for an
+    event that is not valid.
+    """
     hosts = entry.get("hosts")
     if hosts is None:
         return None
     rows = []
     try:
-        for m in hosts["members"]:
-            began = float(m.get("up_since_ms") or 0) / 1000
-            _address(m["host_port"])
+        for member in hosts["members"]:
+            started_at = float(member.get("up_since_ms") or 0) / 1000
+            _check_address(member["host_port"])
             row = Row(
-                str(m["id"]),
-                _cell(m.get("cell")),
-                float(m.get("size", 1)),
-                str(m.get("flavor", "")),
-                str(m.get("locality", "")),
-                STATES[m["phase"]],
-                began - ahead if began else 0.0,
+                str(member["id"]),
+                _cell(member.get("cell")),
+                float(member.get("size", 1)),
+                str(member.get("flavor", "")),
+                str(member.get("locality", "")),
+                STATES[member["phase"]],
+                started_at - clock_offset if started_at else 0.0,
             )
-            rows.append((row, m["host_port"]))
+            rows.append((row, member["host_port"]))
         return ("total" if hosts.get("complete") is True else "incr"), rows
-    except (KeyError, TypeError, AttributeError, OverflowError) as why:
-        raise ValueError(f"no list of media hosts: {type(why).__name__}: {why}") from None
+    except (KeyError, TypeError, AttributeError, OverflowError) as error:
+        raise ValueError(f"invalid list of media hosts: {type(error).__name__}: {error}") from None
--- a/ledgehitch/rtsp/codec.py
+++ b/ledgehitch/rtsp/codec.py
@@ -28,7 +28,7 @@
 
 
 class Malformed(ValueError):
-    """Bytes that are not a message; nothing after them can be read. `status` is the status of the response."""
+    """Bytes that are not a message; nothing after them can be read. `status` is that of the response."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's codecs, desk, watch, pace, life and facts: free of sockets, each check seen to fail once."""
+"""Unit tests of the platform package and its codecs, without sockets. Each check was seen to fail once."""
 
 import io
 import json
@@ -17,23 +17,33 @@
 from ledgehitch.interface import UNPLACED, Package, Row
 from ledgehitch.platform import lines
 from ledgehitch.platform.__main__ import main as platform
-from ledgehitch.platform.bounds import bounds_of
-from ledgehitch.platform.desk import Answer, Desk, Release
-from ledgehitch.platform.life import Life
-from ledgehitch.platform.lost import Lost, Open, Watch
-from ledgehitch.platform.pace import FREE, FRESH, IDLE, MOST_FAULTS, SILENT, Pace, first_to_go
-from ledgehitch.platform.told import read, rows_of
+from ledgehitch.platform.bounds import limits_for
+from ledgehitch.platform.desk import Release, Response, SessionTable
+from ledgehitch.platform.life import Lifecycle
+from ledgehitch.platform.lost import FailureDetector, HostLost, OpenConnection
+from ledgehitch.platform.pace import (
+    FIRST_REQUEST_GRACE_S,
+    FREE_FAULTS,
+    IDLE_TIMEOUT_S,
+    MAX_FAULTS,
+    MESSAGE_TIMEOUT_S,
+    Throttle,
+    eviction_candidate,
+)
+from ledgehitch.platform.told import parse_configuration, parse_host_list
 from ledgehitch.simhost.wire import main as simhost
 
-SID = "9b1f03aa5c7e2d41"
+SESSION_ID = "9b1f03aa5c7e2d41"
 
 # ---- codecs ------------------------------------------------------------------------------------------------
 
 GOOD = [
-    rtsp.request("SETUP", "rtsp://media/7f3a", "1", SID, [("X-Tier", "paid")], b"9d41\r\n\r\nc=IN\r\n"),
-    rtsp.request("OPTIONS", "rtsp://media/ping", "3", SID),
-    rtsp.response(200, "2", SID),
-    rtsp.request("TEARDOWN", "rtsp://media/x", "2", SID, [("Reason", "cause=16")]),
+    rtsp.request(
+        "SETUP", "rtsp://media/7f3a", "1", SESSION_ID, [("X-Tier", "paid")], b"9d41\r\n\r\nc=IN\r\n"
+    ),
+    rtsp.request("OPTIONS", "rtsp://media/ping", "3", SESSION_ID),
+    rtsp.response(200, "2", SESSION_ID),
+    rtsp.request("TEARDOWN", "rtsp://media/x", "2", SESSION_ID, [("Reason", "cause=16")]),
 ]
 
 
@@ -63,9 +73,9 @@
 
 
 LINES = [
-    hostline.encode("STARTED", SID, {"load": "x0:0.4;active:12"}, None, "a\r\nb\u00e9"),
-    hostline.encode("FINISH", SID, {}, 34),
-    hostline.encode("NOTICE", SID, {"note": "wire", "value": 0.5}),
+    hostline.encode("STARTED", SESSION_ID, {"load": "x0:0.4;active:12"}, None, "a\r\nb\u00e9"),
+    hostline.encode("FINISH", SESSION_ID, {}, 34),
+    hostline.encode("NOTICE", SESSION_ID, {"note": "wire", "value": 0.5}),
 ]
 
 
@@ -115,10 +125,10 @@
         b"noise\n",
         b"[]\n",
         b'{"verb":"START"}\n',
-        b'{"verb":"WHAT","tag":"%s"}\n' % SID.encode(),
-        b'{"verb":"FINISH","tag":"%s","rc":"34"}\n' % SID.encode(),
+        b'{"verb":"WHAT","tag":"%s"}\n' % SESSION_ID.encode(),
+        b'{"verb":"FINISH","tag":"%s","rc":"34"}\n' % SESSION_ID.encode(),
         b'{"verb":"FINISH","tag":"1"}\n',
-        b'{"verb":"NOTICE","tag":"%s","opts":{"a":[]}}\n' % SID.encode(),
+        b'{"verb":"NOTICE","tag":"%s","opts":{"a":[]}}\n' % SESSION_ID.encode(),
         b"\xff\xfe\n",
         b"[" * 9000 + b"\n",
         b"x" * hostline.MAX_LINE_BYTES,
@@ -139,178 +149,178 @@
 # ---- who is owed what --------------------------------------------------------------------------------------
 
 
-def owed(desk: Desk) -> list[Any]:
+def decisions_of(sessions: SessionTable) -> list[Any]:
     out = []
-    while (decision := desk.decide()) is not None:
+    while (decision := sessions.decide()) is not None:
         out.append(decision)
     return out
 
 
 def test_each_set_up_gets_one_answer_and_an_open_id_is_not_taken_twice() -> None:
-    desk = Desk()
-    vw = desk.asked(1, SID, "1")
-    assert vw is not None and desk.asked(2, SID, "1") is None
-    assert desk.plays(vw, "d") and not desk.plays(vw, "d")
-    desk.blocked(vw)
-    desk.aborted(vw)
-    assert owed(desk) == [Answer(1, SID, "1", "plays", "d")]
-    desk.over(vw, 16)
-    desk.over(vw, 16)
-    assert owed(desk) == [Release(1, SID, 16)]
-    assert not (desk.by_vw or desk.by_sid or desk.by_conn or desk.waiting)
+    sessions = SessionTable()
+    viewing_id = sessions.on_setup(1, SESSION_ID, "1")
+    assert viewing_id is not None and sessions.on_setup(2, SESSION_ID, "1") is None
+    assert sessions.on_playing(viewing_id, "d") and not sessions.on_playing(viewing_id, "d")
+    sessions.on_blocked(viewing_id)
+    sessions.on_aborted(viewing_id)
+    assert decisions_of(sessions) == [Response(1, SESSION_ID, "1", "plays", "d")]
+    sessions.on_ended(viewing_id, 16)
+    sessions.on_ended(viewing_id, 16)
+    assert decisions_of(sessions) == [Release(1, SESSION_ID, 16)]
+    assert not (sessions.by_viewing_id or sessions.by_session_id or sessions.by_conn or sessions.pending)
 
 
 def test_a_connection_that_is_gone_gives_up_what_waits_and_leaves_what_plays() -> None:
-    desk = Desk()
-    plays, waits = desk.asked(1, SID, "1"), desk.asked(1, "0" * 16, "1")
+    sessions = SessionTable()
+    plays, waits = sessions.on_setup(1, SESSION_ID, "1"), sessions.on_setup(1, "0" * 16, "1")
     assert plays is not None and waits is not None
-    desk.plays(plays, "d")
-    owed(desk)
-    assert desk.hung_up(1) == [waits] and desk.hung_up(1) == []
-    desk.over(plays, 41)
-    assert owed(desk) == []  # no connection is there to tell it on
-    desk.asked(2, "1" * 16, "1")
-    assert owed(desk) == [Release(2, SID, 41)]
+    sessions.on_playing(plays, "d")
+    decisions_of(sessions)
+    assert sessions.on_connection_closed(1) == [waits] and sessions.on_connection_closed(1) == []
+    sessions.on_ended(plays, 41)
+    assert decisions_of(sessions) == []  # no connection is there to tell it on
+    sessions.on_setup(2, "1" * 16, "1")
+    assert decisions_of(sessions) == [Release(2, SESSION_ID, 41)]
 
 
 def test_a_release_goes_where_set_ups_come_from_when_its_own_connection_is_gone() -> None:
-    desk = Desk()
-    vw = desk.asked(1, SID, "1")
-    assert vw is not None
-    desk.plays(vw, "d")
-    desk.asked(2, "2" * 16, "1")
-    desk.hung_up(1)
-    owed(desk)
-    desk.over(vw, 16)
-    assert owed(desk) == [Release(2, SID, 16)]
+    sessions = SessionTable()
+    viewing_id = sessions.on_setup(1, SESSION_ID, "1")
+    assert viewing_id is not None
+    sessions.on_playing(viewing_id, "d")
+    sessions.on_setup(2, "2" * 16, "1")
+    sessions.on_connection_closed(1)
+    decisions_of(sessions)
+    sessions.on_ended(viewing_id, 16)
+    assert decisions_of(sessions) == [Release(2, SESSION_ID, 16)]
 
 
 def test_a_release_goes_to_where_its_viewer_comes_from_else_to_who_carries_most() -> None:
-    desk = Desk()
+    sessions = SessionTable()
     for conn, peer in ((1, "10.0.0.1"), (2, "10.0.0.2"), (3, "10.0.0.1"), (4, "10.0.0.9")):
-        desk.opened(conn, peer)
-    vws = [desk.asked(1, "a" * 15 + str(n), "1") for n in range(3)]
+        sessions.on_connection_opened(conn, peer)
+    viewing_ids = [sessions.on_setup(1, "a" * 15 + str(n), "1") for n in range(3)]
     for n, conn in enumerate((2, 2, 3, 4)):
-        desk.asked(conn, "b" * 15 + str(n), "1")
-    for vw in vws:
-        assert vw is not None
-        desk.plays(vw, "d")
-    desk.hung_up(1)
-    owed(desk)
-    for vw, conn in zip(vws, (3, 2, 4), strict=True):
-        assert vw is not None
-        desk.over(vw, 16)
-        assert [d.conn for d in owed(desk)] == [conn]
-        desk.hung_up(conn)
-    assert set(desk.peers) == set()
+        sessions.on_setup(conn, "b" * 15 + str(n), "1")
+    for viewing_id in viewing_ids:
+        assert viewing_id is not None
+        sessions.on_playing(viewing_id, "d")
+    sessions.on_connection_closed(1)
+    decisions_of(sessions)
+    for viewing_id, conn in zip(viewing_ids, (3, 2, 4), strict=True):
+        assert viewing_id is not None
+        sessions.on_ended(viewing_id, 16)
+        assert [d.conn for d in decisions_of(sessions)] == [conn]
+        sessions.on_connection_closed(conn)
+    assert set(sessions.peers) == set()
 
 
 def test_a_release_whose_connection_turned_out_to_be_gone_goes_out_on_another_or_waits() -> None:
-    desk = Desk()
-    vw = desk.asked(1, SID, "1")
-    assert vw is not None
-    desk.plays(vw, "d")
-    desk.asked(2, "2" * 16, "1")
-    owed(desk)
-    desk.over(vw, 16)
-    (release,) = owed(desk)
-    assert release == Release(1, SID, 16)
-    desk.undelivered(release)
-    (again,) = owed(desk)
-    assert again == Release(2, SID, 16)
-    desk.undelivered(again)
-    assert owed(desk) == []
-    desk.asked(3, "3" * 16, "1")
-    assert owed(desk) == [Release(3, SID, 16)]
+    sessions = SessionTable()
+    viewing_id = sessions.on_setup(1, SESSION_ID, "1")
+    assert viewing_id is not None
+    sessions.on_playing(viewing_id, "d")
+    sessions.on_setup(2, "2" * 16, "1")
+    decisions_of(sessions)
+    sessions.on_ended(viewing_id, 16)
+    (release,) = decisions_of(sessions)
+    assert release == Release(1, SESSION_ID, 16)
+    sessions.on_release_failed(release)
+    (again,) = decisions_of(sessions)
+    assert again == Release(2, SESSION_ID, 16)
+    sessions.on_release_failed(again)
+    assert decisions_of(sessions) == []
+    sessions.on_setup(3, "3" * 16, "1")
+    assert decisions_of(sessions) == [Release(3, SESSION_ID, 16)]
 
 
 def test_what_its_viewer_ended_is_owed_no_release() -> None:
-    desk = Desk()
-    vw = desk.asked(1, SID, "1")
-    assert vw is not None
-    desk.plays(vw, "d")
-    owed(desk)
-    assert desk.torn(SID) == (vw, True) and desk.torn(SID) is None
-    desk.over(vw, 16)
-    assert owed(desk) == []
+    sessions = SessionTable()
+    viewing_id = sessions.on_setup(1, SESSION_ID, "1")
+    assert viewing_id is not None
+    sessions.on_playing(viewing_id, "d")
+    decisions_of(sessions)
+    assert sessions.on_teardown(SESSION_ID) == (viewing_id, True) and sessions.on_teardown(SESSION_ID) is None
+    sessions.on_ended(viewing_id, 16)
+    assert decisions_of(sessions) == []
 
 
 # ---- what is lost ------------------------------------------------------------------------------------------
 
 
-def watching(told_every: float = 3.0) -> Watch:
-    watch = Watch(told_every)
-    watch.listed(0.0, "h", False, 0.0)
-    watch.opening("h")
-    watch.opened(0.0, "h")
-    watch.stands(0.0, "h")
-    return watch
+def detector_with_viewing(report_interval: float = 3.0) -> FailureDetector:
+    detector = FailureDetector(report_interval)
+    detector.on_host_listed(0.0, "h", False, 0.0)
+    detector.on_connecting("h")
+    detector.on_connected(0.0, "h")
+    detector.on_viewing_started(0.0, "h")
+    return detector
 
 
 def test_a_reset_proves_nothing_and_a_refused_connection_does() -> None:
-    watch = watching()
-    watch.broke("h")
-    assert watch.decide(1.0) == Open("h")
-    watch.opening("h")
-    assert watch.decide(1.0) is None
-    watch.failed(1.1, "h", False)
-    assert watch.decide(1.12) is None  # time ran out, and it was heard a moment ago
-    assert watch.decide(1.3) == Open("h")
-    watch.opening("h")
-    watch.failed(1.3, "h", True)
-    assert watch.decide(1.3) == Lost("h", 1.3)
+    detector = detector_with_viewing()
+    detector.on_connection_closed("h")
+    assert detector.decide(1.0) == OpenConnection("h")
+    detector.on_connecting("h")
+    assert detector.decide(1.0) is None
+    detector.on_connect_failed(1.1, "h", False)
+    assert detector.decide(1.12) is None  # time ran out, and it was heard a moment ago
+    assert detector.decide(1.3) == OpenConnection("h")
+    detector.on_connecting("h")
+    detector.on_connect_failed(1.3, "h", True)
+    assert detector.decide(1.3) == HostLost("h", 1.3)
 
 
 def test_a_host_that_vanished_is_lost_well_within_eight_seconds() -> None:
-    watch, now = watching(), 0.0
-    while (decision := watch.decide(now)) != Lost("h", now):
-        if decision == Open("h"):
-            watch.opening("h")
+    detector, now = detector_with_viewing(), 0.0
+    while (decision := detector.decide(now)) != HostLost("h", now):
+        if decision == OpenConnection("h"):
+            detector.on_connecting("h")
             now += 0.25
-            watch.failed(now, "h", False)
-        now = round(max(now + 0.001, min(watch.wake_at(), now + 1)), 3) if decision is None else now
+            detector.on_connect_failed(now, "h", False)
+        now = round(max(now + 0.001, min(detector.wake_at(), now + 1)), 3) if decision is None else now
         assert now < 6.5
     assert now > 3.0
 
 
 def test_a_host_that_is_silent_but_takes_connections_is_kept() -> None:
-    watch = watching()
+    detector = detector_with_viewing()
     for now in (4.0, 8.0, 12.0):
-        assert watch.decide(now) == Open("h")
-        watch.opening("h")
-        watch.opened(now, "h")
-        assert watch.decide(now) is None
+        assert detector.decide(now) == OpenConnection("h")
+        detector.on_connecting("h")
+        detector.on_connected(now, "h")
+        assert detector.decide(now) is None
 
 
 def test_the_list_tells_of_ends_and_new_starts_and_nothing_stays_of_a_host_that_is_over() -> None:
-    watch = watching()
-    watch.listed(2.0, "h", False, 1.5)
-    assert watch.decide(2.0) == Lost("h", 1.5)  # what was set up after its new start stands
-    watch.listed(3.0, "h", True, 1.5)
-    assert watch.decide(3.0) == Lost("h", 3.0)
-    watch.over("h")
-    watch.broke("h")
-    assert not watch.hosts
-    watch.stands(3.1, "h")
-    watch.over("h")
-    assert not watch.hosts
+    detector = detector_with_viewing()
+    detector.on_host_listed(2.0, "h", False, 1.5)
+    assert detector.decide(2.0) == HostLost("h", 1.5)  # what was set up after its new start stands
+    detector.on_host_listed(3.0, "h", True, 1.5)
+    assert detector.decide(3.0) == HostLost("h", 3.0)
+    detector.on_viewing_ended("h")
+    detector.on_connection_closed("h")
+    assert not detector.hosts
+    detector.on_viewing_started(3.1, "h")
+    detector.on_viewing_ended("h")
+    assert not detector.hosts
 
 
 def test_a_host_that_came_back_gets_a_connection_though_one_of_its_former_life_ends_late() -> None:
     """Once the count of those on their way fell below none, and no connection was opened for good."""
     for ends in ("failed", "opened and broke"):
-        watch = Watch(3.0)
-        watch.listed(0.0, "h", False, 0.0)
-        watch.opening("h")
-        watch.listed(1.0, "h", True, 0.0)
-        watch.listed(1.1, "h", False, 1.1)
+        detector = FailureDetector(3.0)
+        detector.on_host_listed(0.0, "h", False, 0.0)
+        detector.on_connecting("h")
+        detector.on_host_listed(1.0, "h", True, 0.0)
+        detector.on_host_listed(1.1, "h", False, 1.1)
         if ends == "failed":
-            watch.failed(1.2, "h", False)
+            detector.on_connect_failed(1.2, "h", False)
         else:
-            watch.opened(1.2, "h")
-            watch.broke("h")
-        watch.stands(2.0, "h")
-        assert watch.decide(3.0) == Open("h"), ends
+            detector.on_connected(1.2, "h")
+            detector.on_connection_closed("h")
+        detector.on_viewing_started(2.0, "h")
+        assert detector.decide(3.0) == OpenConnection("h"), ends
 
 
 def test_the_gate_forgets_hosts_that_nothing_may_be_sent_to_any_more() -> None:
@@ -327,112 +337,146 @@
             gate.sending(50.6, 2, host, 1.0)
 
 
-class Way:
-    """A connection to a media host, as `lines` sees one."""
+class FakeConnection:
+    """The part of a connection to a media host that `lines` uses."""
 
     def __init__(
-        self, used_at: float, out: int = 0, up: bool = True, doubted: bool = False, past: str = ""
+        self,
+        last_used_at: float,
+        pending: int = 0,
+        established: bool = True,
+        suspect: bool = False,
+        recent: str = "",
     ) -> None:
-        self.open: dict[str, None] = {str(n): None for n in range(out)}
-        self.past: dict[str, None] = {past: None} if past else {}
-        self.used_at, self.up, self.doubted = used_at, up, doubted
+        self.pending: dict[str, None] = {str(n): None for n in range(pending)}
+        self.recent: dict[str, None] = {recent: None} if recent else {}
+        self.last_used_at, self.established, self.suspect = last_used_at, established, suspect
 
 
 def test_set_ups_go_to_a_connection_that_is_up_and_undoubted_with_the_fewest() -> None:
-    opening, busy, free, doubted = Way(0, up=False), Way(0, 2), Way(0, 1), Way(0, doubted=True)
-    assert lines.fittest([opening, busy, free, doubted], 32, 1.0, 30.0) is free
-    assert lines.fittest([opening, busy, free, doubted], 2, 1.0, 30.0) is free
-    assert lines.fittest([opening, busy, free, doubted], 1, 1.0, 30.0) is opening
-    assert lines.fittest([doubted, busy], 2, 1.0, 30.0) is None
+    opening, busy, free, suspect = (
+        FakeConnection(0, established=False),
+        FakeConnection(0, 2),
+        FakeConnection(0, 1),
+        FakeConnection(0, suspect=True),
+    )
+    assert lines.choose([opening, busy, free, suspect], 32, 1.0, 30.0) is free
+    assert lines.choose([opening, busy, free, suspect], 2, 1.0, 30.0) is free
+    assert lines.choose([opening, busy, free, suspect], 1, 1.0, 30.0) is opening
+    assert lines.choose([suspect, busy], 2, 1.0, 30.0) is None
 
 
 def test_no_set_up_goes_where_the_other_side_may_close_or_a_copy_of_its_last_outcome_may_come() -> None:
     for idle in (0.2, 1.0, 2.0, 30.0):
-        kept = lines.kept_for(idle)
+        kept = lines.usable_for(idle)
         assert kept <= idle * 0.9 and kept <= max(idle - 0.25, idle / 2)
-        unused, used = Way(10.0), Way(10.0, 1)
-        assert lines.fittest([unused], 32, 10.0 + kept - 0.01, idle) is unused
-        assert lines.fittest([unused], 32, 10.01 + kept, idle) is None
-        assert lines.fittest([unused, used], 32, 10.01 + kept, idle) is used
-        assert lines.over(10.01 + kept, [unused, used], 0, idle) == [unused]
-    had, other = Way(0.0, past="a"), Way(0.0, 1)
-    assert lines.fittest([had, other], 32, 0.0, 30.0, "a") is other
-    assert lines.fittest([had, other], 32, 0.0, 30.0, "b") is had
+        unused, used = FakeConnection(10.0), FakeConnection(10.0, 1)
+        assert lines.choose([unused], 32, 10.0 + kept - 0.01, idle) is unused
+        assert lines.choose([unused], 32, 10.01 + kept, idle) is None
+        assert lines.choose([unused, used], 32, 10.01 + kept, idle) is used
+        assert lines.expired(10.01 + kept, [unused, used], 0, idle) == [unused]
+    had, other = FakeConnection(0.0, recent="a"), FakeConnection(0.0, 1)
+    assert lines.choose([had, other], 32, 0.0, 30.0, "a") is other
+    assert lines.choose([had, other], 32, 0.0, 30.0, "b") is had
 
 
 def test_connections_are_let_go_when_doubted_or_idle_and_never_the_last_one_needed() -> None:
-    old, older, busy, opening = Way(5.0), Way(0.0), Way(0.0, 1), Way(0.0, up=False)
-    assert lines.first_to_go([old, older, busy, opening]) is older
-    assert lines.first_to_go([busy, opening]) is None
-    assert lines.over(100.0, [old, older, busy, opening], 0, 30.0) == [old, older]
-    assert lines.over(100.0, [old, older], 1, 30.0) == [old] and lines.over(20.0, [old, older], 1, 30.0) == []
-    doubted = Way(99.5, doubted=True)
-    assert lines.over(100.0, [doubted], 1, 30.0) == [] and lines.over(101.0, [doubted], 1, 30.0) == [doubted]
+    old, older, busy, opening = (
+        FakeConnection(5.0),
+        FakeConnection(0.0),
+        FakeConnection(0.0, 1),
+        FakeConnection(0.0, established=False),
+    )
+    assert lines.eviction_candidate([old, older, busy, opening]) is older
+    assert lines.eviction_candidate([busy, opening]) is None
+    assert lines.expired(100.0, [old, older, busy, opening], 0, 30.0) == [old, older]
+    assert (
+        lines.expired(100.0, [old, older], 1, 30.0) == [old]
+        and lines.expired(20.0, [old, older], 1, 30.0) == []
+    )
+    suspect = FakeConnection(99.5, suspect=True)
+    assert lines.expired(100.0, [suspect], 1, 30.0) == [] and lines.expired(101.0, [suspect], 1, 30.0) == [
+        suspect
+    ]
 
 
 # ---- pace and life -----------------------------------------------------------------------------------------
 
 
 def test_faults_slow_a_connection_down_and_silence_ends_it_within_three_seconds() -> None:
-    pace = Pace(10.0)
-    assert not pace.overdue(10.0 + SILENT) and pace.overdue(10.1 + SILENT) and SILENT < 2.5
-    pace.read(10.5, True, False)
-    assert not pace.overdue(99.0)
-    pace.read(20.0, False, True)
-    pace.read(21.0, False, True)  # half a message does not become younger by another byte
-    assert pace.overdue(20.1 + SILENT)
-    pace.read(22.0, True, False)
+    throttle = Throttle(10.0)
+    assert (
+        not throttle.should_close(10.0 + MESSAGE_TIMEOUT_S)
+        and throttle.should_close(10.1 + MESSAGE_TIMEOUT_S)
+        and MESSAGE_TIMEOUT_S < 2.5
+    )
+    throttle.on_data(10.5, True, False)
+    assert not throttle.should_close(99.0)
+    throttle.on_data(20.0, False, True)
+    throttle.on_data(21.0, False, True)  # half a message does not become younger by another byte
+    assert throttle.should_close(20.1 + MESSAGE_TIMEOUT_S)
+    throttle.on_data(22.0, True, False)
     pauses = []
-    for _ in range(MOST_FAULTS):
-        pace.fault(22.0)
-        pauses.append(pace.pause(22.0, False))
-    assert pauses[FREE - 1] == 0.0 < pauses[FREE] <= pauses[-1] <= 1.0 and not pace.overdue(23.0)
-    pace.fault(22.0)
-    assert pace.overdue(23.0)
+    for _ in range(MAX_FAULTS):
+        throttle.on_fault(22.0)
+        pauses.append(throttle.pause(22.0, False))
+    assert pauses[FREE_FAULTS - 1] == 0.0 < pauses[FREE_FAULTS] <= pauses[
+        -1
+    ] <= 1.0 and not throttle.should_close(23.0)
+    throttle.on_fault(22.0)
+    assert throttle.should_close(23.0)
 
 
 def test_faults_are_forgiven_in_time_and_a_connection_on_which_somebody_waits_is_read_on() -> None:
-    pace = Pace(0.0)
+    throttle = Throttle(0.0)
     for _ in range(12):
-        pace.fault(1.0)
-    assert pace.pause(1.0, False) == 1.0 and pace.pause(1.0, True) <= 0.025
-    assert pace.pause(60.0, False) == 0.0
-    pace.fault(60.0)
-    assert pace.faults == 1.0 and pace.pause(60.0, False) == 0.0
+        throttle.on_fault(1.0)
+    assert throttle.pause(1.0, False) == 1.0 and throttle.pause(1.0, True) <= 0.025
+    assert throttle.pause(60.0, False) == 0.0
+    throttle.on_fault(60.0)
+    assert throttle.faults == 1.0 and throttle.pause(60.0, False) == 0.0
 
 
 def test_room_is_made_by_who_needs_a_connection_least() -> None:
-    now = 9.0 + FRESH + 0.1
+    now = 9.0 + FIRST_REQUEST_GRACE_S + 0.1
     mute, idle = (1, False, 0, False, 9.0), (2, True, 0, False, 8.0)
     plays, waits = (3, True, 2, False, 1.0), (4, True, 1, True, 0.0)
-    new, newer = (5, False, 0, False, now - FRESH), (6, False, 0, False, now)
-    assert first_to_go(now, [waits, plays, newer, new, idle, mute]) == 1
-    assert first_to_go(now, [waits, plays, newer, new, idle]) == 2, "one may be on its way to the new"
-    assert first_to_go(now, [waits, plays, newer, new]) == 5
-    assert first_to_go(now, [waits, plays]) == 3
-    assert first_to_go(now, [waits]) is None and IDLE > 4.0 and FRESH < SILENT
+    new, newer = (5, False, 0, False, now - FIRST_REQUEST_GRACE_S), (6, False, 0, False, now)
+    assert eviction_candidate(now, [waits, plays, newer, new, idle, mute]) == 1
+    assert eviction_candidate(now, [waits, plays, newer, new, idle]) == 2, "one may be on its way to the new"
+    assert eviction_candidate(now, [waits, plays, newer, new]) == 5
+    assert eviction_candidate(now, [waits, plays]) == 3
+    assert (
+        eviction_candidate(now, [waits]) is None
+        and IDLE_TIMEOUT_S > 4.0
+        and FIRST_REQUEST_GRACE_S < MESSAGE_TIMEOUT_S
+    )
 
 
 def test_a_gateway_that_ends_answers_what_may_still_come_and_goes_before_it_is_killed() -> None:
-    life = Life(3.0)
-    assert not life.passes and life.takes
-    life.serves()
-    assert life.passes and not life.exits(5.0, 0, 0, 0)
-    life.term(10.0)
-    assert not life.passes and not life.takes
-    assert not life.exits(10.6, 0, 0, 0) and life.exits(10.8, 0, 0, 0)
-    assert not life.exits(11.0, 1, 0, 0) and not life.exits(11.0, 0, 1, 0) and not life.exits(11.0, 0, 0, 1)
-    assert life.exits(13.5, 1, 9, 1)
+    lifecycle = Lifecycle(3.0)
+    assert not lifecycle.healthy and lifecycle.accepts_setups
+    lifecycle.on_serving()
+    assert lifecycle.healthy and not lifecycle.may_exit(5.0, 0, 0, 0)
+    lifecycle.on_sigterm(10.0)
+    assert not lifecycle.healthy and not lifecycle.accepts_setups
+    assert not lifecycle.may_exit(10.6, 0, 0, 0) and lifecycle.may_exit(10.8, 0, 0, 0)
+    assert (
+        not lifecycle.may_exit(11.0, 1, 0, 0)
+        and not lifecycle.may_exit(11.0, 0, 1, 0)
+        and not lifecycle.may_exit(11.0, 0, 0, 1)
+    )
+    assert lifecycle.may_exit(13.5, 1, 9, 1)
 
 
 @pytest.mark.parametrize("longest", [0.1, 0.5, 1.0, 3.0, 8.0, 60.0])
 def test_a_gateway_goes_after_the_last_set_up_and_before_the_kill(longest: float) -> None:
     """Deadlines over 3 s count as 3 s before the kill: one of 60 s once meant staying until it came."""
-    life = Life(longest)
-    life.term(0.0)
+    lifecycle = Lifecycle(longest)
+    lifecycle.on_sigterm(0.0)
     kill = min(3.0, longest) + 0.7
-    gone = next(t / 100 for t in range(1000) if life.exits(t / 100, 1, 1, 1))
-    calls = next(t / 100 for t in range(1000) if life.last_call(t / 100))
+    gone = next(t / 100 for t in range(1000) if lifecycle.may_exit(t / 100, 1, 1, 1))
+    calls = next(t / 100 for t in range(1000) if lifecycle.final_responses_due(t / 100))
     assert 0.7 <= gone <= kill - 0.08 and calls < gone
     assert calls >= min(longest, 3.0), "what could still be answered in time was not cut short"
 
@@ -584,9 +628,9 @@
     ],
 )
 def test_a_configuration_that_is_wrong_names_its_key(key: str, value: Any) -> None:
-    assert read(json.dumps(CONFIG).encode()).sockets == 256
+    assert parse_configuration(json.dumps(CONFIG).encode()).sockets == 256
     with pytest.raises(BadFact) as why:
-        read(json.dumps({**CONFIG, key: value}).encode())
+        parse_configuration(json.dumps({**CONFIG, key: value}).encode())
     assert key.partition(".")[0] in str(why.value) or "address" in str(why.value)
 
 
@@ -680,25 +724,28 @@
     """Once no cell was the first one, and one that could not be read dropped all rows beside it."""
     plain = {"host_port": "127.0.0.1:9", "phase": "ready", "size": 4}
     members = [{**plain, "id": "a"}, {**plain, "id": "b", "cell": "?"}, {**plain, "id": "c", "cell": 2}]
-    news = rows_of({"hosts": {"members": members}}, 0.0)
+    news = parse_host_list({"hosts": {"members": members}}, 0.0)
     assert news is not None
     assert [(row.host, row.cell) for row, _ in news[1]] == [("a", UNPLACED), ("b", UNPLACED), ("c", 2)]
 
 
 def test_rows_carry_the_gateways_clock_and_bounds_fit_the_limits() -> None:
-    told = read(json.dumps(CONFIG).encode())
-    news = rows_of(told.known[0][1], 2.0)
+    told = parse_configuration(json.dumps(CONFIG).encode())
+    news = parse_host_list(told.known_events[0][1], 2.0)
     assert news is not None and news[0] == "total"
     assert news[1] == [(Row("s-1", 2, 4.0, "", "", "in_service", 3.0), "127.0.0.1:9")]
-    bounds = bounds_of(told.memory_mb, told.sockets)
-    assert bounds.viewer_conns > 256 // 3 and bounds.viewer_conns + bounds.host_lines <= 256 - 24
-    assert bounds.waiting * 16384 <= 32 << 17
+    limits = limits_for(told.memory_mb, told.sockets)
+    assert (
+        limits.viewer_connections > 256 // 3
+        and limits.viewer_connections + limits.host_connections <= 256 - 24
+    )
+    assert limits.pending * 16384 <= 32 << 17
     for sockets in (24, 32, 48, 64, 96, 128, 256, 1024):
-        small = bounds_of(32.0, sockets)
+        small = limits_for(32.0, sockets)
         # Guards against idle viewers that leave none for the list, signals, peers, logs, one being accepted.
-        assert small.viewer_conns + small.host_lines <= sockets - 12, sockets
-        assert small.viewer_conns >= sockets // 3 or sockets < 64
-        assert small.viewer_conns >= 4 and small.host_lines >= 2, sockets
+        assert small.viewer_connections + small.host_connections <= sockets - 12, sockets
+        assert small.viewer_connections >= sockets // 3 or sockets < 64
+        assert small.viewer_connections >= 4 and small.host_connections >= 2, sockets
     with pytest.raises(ValueError):
-        rows_of({"hosts": {"members": [{"id": "x"}]}}, 0.0)
-    assert rows_of({"pos": 2}, 0.0) is None
+        parse_host_list({"hosts": {"members": [{"id": "x"}]}}, 0.0)
+    assert parse_host_list({"pos": 2}, 0.0) is None
