--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -28,11 +28,11 @@
 BLOB = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\r\nm=audio\r\n"
 
 
-def sid(n: int) -> str:
+def session_id(n: int) -> str:
     return f"{n:016x}"
 
 
-def judge(log: Log) -> str:
+def broken_rule(log: Log) -> str:
     """What rule was broken, or nothing."""
     out: dict[str, str] = {}
     answers: dict[str, int] = {}
@@ -66,22 +66,24 @@
     ],
 )
 def test_the_judge_sees_broken_rules(log: Log, broken: str) -> None:
-    assert broken in judge(log) and bool(judge(log)) == bool(broken)
+    assert broken in broken_rule(log) and bool(broken_rule(log)) == bool(broken)
 
 
-class Host:
+class FakeMediaHost:
     """A media host: answers each set-up as `how` says (a list of lines, or raw bytes; None: not at all)."""
 
-    def __init__(self, world: "World", name: str) -> None:
-        self.world, self.name = world, name
-        self.how: Callable[[str], bytes | None] = lambda tag: hostline.encode("STARTED", tag, {}, None, BLOB)
-        self.heard: list[hostline.codec.Message] = []
+    def __init__(self, harness: "Harness", name: str) -> None:
+        self.harness, self.name = harness, name
+        self.answer: Callable[[str], bytes | None] = lambda tag: hostline.encode(
+            "STARTED", tag, {}, None, BLOB
+        )
+        self.received: list[hostline.codec.Message] = []
         self.streams: list[Stream] = []
         self.accepted = 0
         self.echoes = True
-        self.listener = Listener(world.loop, endpoint("127.0.0.1:0"))
+        self.listener = Listener(harness.loop, endpoint("127.0.0.1:0"))
         self.at = str(self.listener.at)
-        world.loop.spawn(self._serve, name=name)
+        harness.loop.spawn(self._serve, name=name)
 
     def _serve(self) -> None:
         while True:
@@ -91,7 +93,7 @@
                 return
             self.accepted += 1
             self.streams.append(stream)
-            self.world.loop.spawn(self._talk, stream)
+            self.harness.loop.spawn(self._talk, stream)
 
     def _talk(self, stream: Stream) -> None:
         reader = hostline.Reader()
@@ -99,29 +101,29 @@
             while data := stream.receive():
                 for message in reader.feed(data):
                     verb, tag = message[:2]
-                    self.heard.append(message)
+                    self.received.append(message)
                     if verb == "START":
-                        self.world.log.append(("start", tag, self.name))
-                        answer = self.how(tag)
+                        self.harness.log.append(("start", tag, self.name))
+                        answer = self.answer(tag)
                         if answer is not None:
                             if answer.startswith(b'{"verb":"FINISH"'):
-                                self.world.log.append(("end", tag, self.name))
+                                self.harness.log.append(("end", tag, self.name))
                             stream.send(answer)
                     elif verb == "FINISH":
-                        self.world.log.append(("end", tag, self.name))
+                        self.harness.log.append(("end", tag, self.name))
                     elif verb == "ECHO" and self.echoes:
                         stream.send(hostline.encode("ECHOED", tag, {"load": "x0:0.1;active:1"}, 1))
         except OSError:
             pass
         for tag, out in list(self.out().items()):
             if out:
-                self.world.log.append(("end", tag, self.name))
+                self.harness.log.append(("end", tag, self.name))
         stream.close()
 
     def out(self) -> dict[str, bool]:
         """Set-ups that have reached this host, and whether the log has no end of them here."""
         state: dict[str, bool] = {}
-        for what, vw, *more in self.world.log:
+        for what, vw, *more in self.harness.log:
             if what in ("start", "end") and more[0] == self.name:
                 state[vw] = what == "start"
         return state
@@ -134,18 +136,18 @@
             stream.reset()
         self.streams = []
 
-    def dies(self) -> None:
+    def kill(self) -> None:
         self.listener.close()
         self.reset()
 
 
-class Viewers:
+class ViewerClient:
     """One viewers' connection."""
 
-    def __init__(self, world: "World") -> None:
-        self.world = world
-        with world.loop.deadline(2):
-            self.stream = connect(world.loop, endpoint(world.listen))
+    def __init__(self, harness: "Harness") -> None:
+        self.harness = harness
+        with harness.loop.deadline(2):
+            self.stream = connect(harness.loop, endpoint(harness.listen))
         self.reader = rtsp.Reader()
         self.got: list[rtsp.codec.Message] = []
 
@@ -153,23 +155,23 @@
         self, method: str, n: int, cseq: str = "1", title: str = "7f3a", fields: Any = (), body: str = ""
     ) -> None:
         at = f"rtsp://media/{title}"
-        self.stream.send(rtsp.request(method, at, cseq, sid(n), list(fields), body.encode()))
+        self.stream.send(rtsp.request(method, at, cseq, session_id(n), list(fields), body.encode()))
 
     def set_up(self, n: int, attrs: str = "home:0;copies:6;top:2", **more: Any) -> None:
         fields = [("X-Tier", "clip"), ("X-Deadline", "3000"), ("X-Attrs", attrs)]
-        self.world.log.append(("asked", sid(n)))
+        self.harness.log.append(("asked", session_id(n)))
         self.send("SETUP", n, fields=fields, body=BLOB, **more)
 
     def next(self, within: float = 5.0) -> rtsp.codec.Message:
-        with self.world.loop.deadline(within):
+        with self.harness.loop.deadline(within):
             while not self.got:
                 data = self.stream.receive()
                 if not data:
-                    raise EOFError(f"closed; the gateway says: {self.world.errors.read_text()[-2000:]}")
+                    raise EOFError(f"closed; the gateway says: {self.harness.errors.read_text()[-2000:]}")
                 for message in self.reader.feed(data):
                     method, target, fields, _ = message
                     if method == "" and fields.get("cseq") == "1":
-                        self.world.log.append(("answer", fields["session"], target))
+                        self.harness.log.append(("answer", fields["session"], target))
                     self.got.append(message)
         return self.got.pop(0)
 
@@ -180,7 +182,7 @@
         return status, fields.get("session", ""), body.decode()
 
 
-class World:
+class Harness:
     def __init__(
         self,
         loop: Loop,
@@ -202,7 +204,7 @@
         self.log: Log = []
         self.calls: list[str] = []  # Last-Event-ID of each call to the journal
         self.feeds: list[Stream] = []
-        self.hosts = [Host(self, f"s-{i}") for i in range(hosts)]
+        self.hosts = [FakeMediaHost(self, f"s-{i}") for i in range(hosts)]
         self.journal = self.serve_journal()
         # Not one that the machine gives to whoever asks: a connection of another test may have it by then.
         self.listen = f"127.0.0.1:{free_ports(1)[0]}"
@@ -222,7 +224,7 @@
             command = [sys.executable, "-m", "ledgehitch.platform"]
             self.process = subprocess.Popen(command, env=env, stderr=log, cwd=Path(__file__).parents[1])
 
-    def members(self, *changes: tuple[Host, str]) -> list[dict[str, Any]]:
+    def members(self, *changes: tuple[FakeMediaHost, str]) -> list[dict[str, Any]]:
         told = changes or tuple((host, "ready") for host in self.hosts)
         return [
             {
@@ -284,20 +286,20 @@
         except OSError:
             pass
 
-    def told(self, pos: int, *changes: tuple[Host, str]) -> bytes:
+    def host_event(self, pos: int, *changes: tuple[FakeMediaHost, str]) -> bytes:
         hosts = {"revision": pos, "complete": False, "members": self.members(*changes)}
         return event(json.dumps({"pos": pos, "hosts": hosts}), number=str(pos))
 
-    def viewers(self) -> Viewers:
-        return Viewers(self)
+    def viewers(self) -> ViewerClient:
+        return ViewerClient(self)
 
-    def ready(self) -> Viewers:
+    def ready(self) -> ViewerClient:
         for _ in range(200):
             try:
-                v = self.viewers()
-                v.send("OPTIONS", 0, "3", "ping")
-                assert v.next()[1] == "200"
-                return v
+                viewer = self.viewers()
+                viewer.send("OPTIONS", 0, "3", "ping")
+                assert viewer.next()[1] == "200"
+                return viewer
             except OSError:
                 self.loop.sleep(0.05)
         raise AssertionError(self.errors.read_text())
@@ -311,19 +313,19 @@
 
 
 @contextmanager
-def running(
+def running_gateway(
     loop: Loop, hosts: int = 2, sockets: int = 256, sold: Any = None, rules: Any = None, **ceilings: Any
-) -> Iterator[tuple[World, Viewers]]:
+) -> Iterator[tuple[Harness, ViewerClient]]:
     with tempfile.TemporaryDirectory() as folder:
-        world = World(loop, hosts, Path(folder), ceilings, sockets, sold, rules)
+        harness = Harness(loop, hosts, Path(folder), ceilings, sockets, sold, rules)
         try:
-            yield world, world.ready()
-            assert world.process.poll() is None or world.process.returncode == 0
-            assert "failed:" not in world.errors.read_text()
+            yield harness, harness.ready()
+            assert harness.process.poll() is None or harness.process.returncode == 0
+            assert "failed:" not in harness.errors.read_text()
         finally:
-            if world.process.poll() is None:
-                world.process.kill()
-            world.process.wait()
+            if harness.process.poll() is None:
+                harness.process.kill()
+            harness.process.wait()
 
 
 def on_loop(test: Callable[[Loop], None]) -> Callable[[], None]:
@@ -338,37 +340,41 @@
 
 @on_loop
 def test_a_viewing_from_set_up_to_release(loop: Loop) -> None:
-    with running(loop) as (world, v):
-        v.set_up(1)
-        v.set_up(2)  # on the same connection
-        got = sorted([v.answer(), v.answer()])
-        assert got == [("200", sid(1), BLOB), ("200", sid(2), BLOB)] and not judge(world.log)
-        host = next(h for h in world.hosts if h.out().get(sid(1)))
-        _, _, fields, _, blob = next(m for m in host.heard if m[:2] == ("START", sid(1)))
+    with running_gateway(loop) as (harness, viewer):
+        viewer.set_up(1)
+        viewer.set_up(2)  # on the same connection
+        got = sorted([viewer.answer(), viewer.answer()])
+        assert got == [("200", session_id(1), BLOB), ("200", session_id(2), BLOB)] and not broken_rule(
+            harness.log
+        )
+        host = next(h for h in harness.hosts if h.out().get(session_id(1)))
+        _, _, fields, _, blob = next(m for m in host.received if m[:2] == ("START", session_id(1)))
         assert blob == BLOB and fields["class"] == "clip" and fields["key"] == "7f3a"
         assert 0 < int(fields["left"]) <= 3000 and 0 <= int(fields["rung"]) <= 2
-        host.say("FINISH", sid(1), None, 16)
-        method, _, told, _ = v.next()
-        assert (method, told["session"], told["reason"]) == ("TEARDOWN", sid(1), "cause=16")
-        other = world.viewers()
+        host.say("FINISH", session_id(1), None, 16)
+        method, _, told, _ = viewer.next()
+        assert (method, told["session"], told["reason"]) == ("TEARDOWN", session_id(1), "cause=16")
+        other = harness.viewers()
         other.send("TEARDOWN", 2, "2")  # what plays is tied to no connection
         assert other.answer()[0] == "200"
-        world.until(lambda: any(m[:2] == ("FINISH", sid(2)) for h in world.hosts for m in h.heard))
+        harness.until(
+            lambda: any(m[:2] == ("FINISH", session_id(2)) for h in harness.hosts for m in h.received)
+        )
         other.send("TEARDOWN", 2, "2")
         assert other.answer()[0] == "454"
-        v.set_up(3, "home:0;copies:6;top:2;at:s-1")
-        world.log.pop()  # one that plays already wants no answer
-        world.until(lambda: world.hosts[1].streams)
+        viewer.set_up(3, "home:0;copies:6;top:2;at:s-1")
+        harness.log.pop()  # one that plays already wants no answer
+        harness.until(lambda: harness.hosts[1].streams)
         loop.sleep(0.1)
-        world.hosts[1].say("FINISH", sid(3), None, 16)
-        assert v.next()[0] == "TEARDOWN"
+        harness.hosts[1].say("FINISH", session_id(3), None, 16)
+        assert viewer.next()[0] == "TEARDOWN"
 
 
 @on_loop
 def test_bad_input_gets_a_refusal_or_a_close_and_harms_nobody(loop: Loop) -> None:
-    with running(loop) as (world, v):
-        v.set_up(1)
-        assert v.answer()[0] == "200"
+    with running_gateway(loop) as (harness, viewer):
+        viewer.set_up(1)
+        assert viewer.answer()[0] == "200"
         good = [("X-Tier", "clip"), ("X-Deadline", "3000"), ("X-Attrs", "home:0;copies:6;top:2")]
         wrong = [
             ("X-Tier", "gold"),
@@ -383,11 +389,11 @@
             ("X-Attrs", "home:0;copies:6;top:2;at:s-nowhere"),
         ]
         for i, (name, value) in enumerate(wrong):
-            bad = world.viewers()
+            bad = harness.viewers()
             fields = [(n, value if n == name else held) for n, held in good]
             bad.send("SETUP", 100 + i, fields=fields, body=BLOB)
             assert bad.next()[1] in ("400", "451", "454"), (name, value)
-        bad = world.viewers()
+        bad = harness.viewers()
         bad.send("SETUP", 1, fields=good, body="another description")  # the id of one that plays
         assert bad.next()[1] == "400"
         for raw in (
@@ -398,170 +404,184 @@
             b"SETUP rtsp://media/a RTSP/1.0\r\nCSe",
             b"",
         ):
-            bad = world.viewers()
+            bad = harness.viewers()
             try:
                 bad.stream.send(raw)
                 bad.next(3.0)
             except (OSError, EOFError):
                 continue
-        silent = [world.viewers() for _ in range(180)]  # more than there is room for
-        v.set_up(2)
-        assert v.answer()[0] == "200"
-        reached = [e[1] for e in world.log if e[0] == "start"]
-        assert reached == [sid(1), sid(2)], "none of it reached a media host"
+        silent = [harness.viewers() for _ in range(180)]  # more than there is room for
+        viewer.set_up(2)
+        assert viewer.answer()[0] == "200"
+        reached = [e[1] for e in harness.log if e[0] == "start"]
+        assert reached == [session_id(1), session_id(2)], "none of it reached a media host"
         with loop.deadline(3.0):
             for mute in silent:
                 try:
                     assert mute.stream.receive() == b""
                 except OSError:
                     continue
-        host = next(h for h in world.hosts if h.out().get(sid(1)))
-        host.say("FINISH", sid(1), None, 16)
-        assert v.next()[2]["session"] == sid(1)
+        host = next(h for h in harness.hosts if h.out().get(session_id(1)))
+        host.say("FINISH", session_id(1), None, 16)
+        assert viewer.next()[2]["session"] == session_id(1)
 
 
 @on_loop
 def test_spoilt_second_and_late_answers_of_media_hosts(loop: Loop) -> None:
-    with running(loop) as (world, v):
+    with running_gateway(loop) as (harness, viewer):
         spoilt = [
             b"noise\n",
-            b'{"verb":"STARTED","tag":"%s","blob":"' % sid(1).encode() + b"x" * 40000,
-            hostline.encode("FINISH", sid(1), {}, 47),
+            b'{"verb":"STARTED","tag":"%s","blob":"' % session_id(1).encode() + b"x" * 40000,
+            hostline.encode("FINISH", session_id(1), {}, 47),
         ]
-        for h in world.hosts:
-            h.how = lambda tag: spoilt.pop(0) if spoilt else hostline.encode("STARTED", tag, {}, None, BLOB)
-        v.set_up(1)
-        status, who, body = v.answer()
-        assert who == sid(1) and (status, body) in (("200", BLOB), ("453", "")) and not judge(world.log)
-        stranger = hostline.encode("STARTED", sid(99), {}, None, BLOB)
-        for h in world.hosts:
-            h.how = lambda tag: stranger + 2 * hostline.encode("STARTED", tag, {}, None, BLOB)
-        v.set_up(2)
-        assert v.answer() == ("200", sid(2), BLOB)
-        world.until(lambda: any(m[:2] == ("FINISH", sid(99)) for h in world.hosts for m in h.heard))
-        for h in world.hosts:
-            h.how = lambda tag: None  # not in time
-        v.set_up(3)
-        assert v.answer()[:2] == ("453", sid(3)) and not judge(world.log)
-        host = next(h for h in world.hosts if sid(3) in h.out() and h.streams)
-        seen = len(host.heard)
-        host.say("STARTED", sid(3))
-        world.until(lambda: any(m[:2] == ("FINISH", sid(3)) for m in host.heard[seen:]))
-        assert not judge(world.log)
+        for h in harness.hosts:
+            h.answer = lambda tag: (
+                spoilt.pop(0) if spoilt else hostline.encode("STARTED", tag, {}, None, BLOB)
+            )
+        viewer.set_up(1)
+        status, who, body = viewer.answer()
+        assert (
+            who == session_id(1)
+            and (status, body) in (("200", BLOB), ("453", ""))
+            and not broken_rule(harness.log)
+        )
+        stranger = hostline.encode("STARTED", session_id(99), {}, None, BLOB)
+        for h in harness.hosts:
+            h.answer = lambda tag: stranger + 2 * hostline.encode("STARTED", tag, {}, None, BLOB)
+        viewer.set_up(2)
+        assert viewer.answer() == ("200", session_id(2), BLOB)
+        harness.until(
+            lambda: any(m[:2] == ("FINISH", session_id(99)) for h in harness.hosts for m in h.received)
+        )
+        for h in harness.hosts:
+            h.answer = lambda tag: None  # not in time
+        viewer.set_up(3)
+        assert viewer.answer()[:2] == ("453", session_id(3)) and not broken_rule(harness.log)
+        host = next(h for h in harness.hosts if session_id(3) in h.out() and h.streams)
+        seen = len(host.received)
+        host.say("STARTED", session_id(3))
+        harness.until(lambda: any(m[:2] == ("FINISH", session_id(3)) for m in host.received[seen:]))
+        assert not broken_rule(harness.log)
         loop.sleep(0.2)
-        assert not v.got
+        assert not viewer.got
 
 
 @on_loop
 def test_a_reset_loses_nothing_and_a_death_is_told(loop: Loop) -> None:
-    with running(loop, hosts=1) as (world, v):
-        v.set_up(1)
-        assert v.answer()[0] == "200"
-        host = world.hosts[0]
+    with running_gateway(loop, hosts=1) as (harness, viewer):
+        viewer.set_up(1)
+        assert viewer.answer()[0] == "200"
+        host = harness.hosts[0]
         before = host.accepted
         host.reset()
-        world.until(lambda: host.accepted > before)  # opened anew, since releases come there
-        v.set_up(2)
-        assert v.answer()[0] in ("200", "453")  # a host that reset may be cold: few set-ups go there
-        host.dies()
-        lost = {v.next()[2]["session"]}
-        assert sid(1) in lost | {m[2]["session"] for m in v.got} or v.next()[2]["session"] == sid(1)
+        harness.until(lambda: host.accepted > before)  # opened anew, since releases come there
+        viewer.set_up(2)
+        assert viewer.answer()[0] in ("200", "453")  # a host that reset may be cold: few set-ups go there
+        host.kill()
+        lost = {viewer.next()[2]["session"]}
+        assert session_id(1) in lost | {m[2]["session"] for m in viewer.got} or viewer.next()[2][
+            "session"
+        ] == session_id(1)
 
 
 @on_loop
 def test_the_journal_is_followed_over_breaks_doubles_and_a_new_address(loop: Loop) -> None:
-    with running(loop) as (world, v):
-        first = world.until(lambda: world.feeds)[0]
-        assert world.calls == ["1"]
-        first.send(world.told(2, (world.hosts[0], "draining")) * 2)
-        first.send(world.told(3, (world.hosts[0], "gone"))[:40])  # breaks off in the middle
+    with running_gateway(loop) as (harness, viewer):
+        first = harness.until(lambda: harness.feeds)[0]
+        assert harness.calls == ["1"]
+        first.send(harness.host_event(2, (harness.hosts[0], "draining")) * 2)
+        first.send(harness.host_event(3, (harness.hosts[0], "gone"))[:40])  # breaks off in the middle
         loop.sleep(0.1)
         first.close()
-        second = world.until(lambda: world.feeds[1:])[0]
-        assert world.calls == ["1", "2"]
-        second.send(world.told(2, (world.hosts[0], "ready")))  # told before: it does not come back
+        second = harness.until(lambda: harness.feeds[1:])[0]
+        assert harness.calls == ["1", "2"]
+        second.send(harness.host_event(2, (harness.hosts[0], "ready")))  # told before: it does not come back
         loop.sleep(0.1)
         for n in range(1, 4):
-            v.set_up(n)
-            assert v.answer()[0] == "200"
-        assert not world.hosts[0].out() and not judge(world.log)
-        was = json.loads(world.path.read_text())
-        world.path.write_text("{")
-        world.process.send_signal(signal.SIGHUP)
-        world.until(lambda: "reload-failed" in world.errors.read_text())
+            viewer.set_up(n)
+            assert viewer.answer()[0] == "200"
+        assert not harness.hosts[0].out() and not broken_rule(harness.log)
+        was = json.loads(harness.path.read_text())
+        harness.path.write_text("{")
+        harness.process.send_signal(signal.SIGHUP)
+        harness.until(lambda: "reload-failed" in harness.errors.read_text())
         # Once the addresses of a file were taken whose settings no gateway would start with.
         rules = {**SETTINGS["rules"], "warmUp": "soon"}
         wrong = {**was, "journal": "127.0.0.1:9", "settings": {**SETTINGS, "rules": rules}}
-        world.path.write_text(json.dumps(wrong))
-        world.process.send_signal(signal.SIGHUP)
-        world.until(lambda: "rules.warmUp" in world.errors.read_text())
-        assert "journal=127.0.0.1:9" not in world.errors.read_text()
-        world.journal = world.serve_journal()
-        world.write()
-        world.process.send_signal(signal.SIGHUP)
-        third = world.until(lambda: world.feeds[2:])[0]
-        assert world.calls == ["1", "2", "2"]
-        third.send(world.told(3, (world.hosts[1], "gone")))
-        released = {v.next()[2]["session"] for _ in range(3)}
-        assert released == {sid(1), sid(2), sid(3)}
-        v.set_up(4)
-        assert v.answer(2.0)[0] == "453", "no media host is left, and it is said at once"
+        harness.path.write_text(json.dumps(wrong))
+        harness.process.send_signal(signal.SIGHUP)
+        harness.until(lambda: "rules.warmUp" in harness.errors.read_text())
+        assert "journal=127.0.0.1:9" not in harness.errors.read_text()
+        harness.journal = harness.serve_journal()
+        harness.write()
+        harness.process.send_signal(signal.SIGHUP)
+        third = harness.until(lambda: harness.feeds[2:])[0]
+        assert harness.calls == ["1", "2", "2"]
+        third.send(harness.host_event(3, (harness.hosts[1], "gone")))
+        released = {viewer.next()[2]["session"] for _ in range(3)}
+        assert released == {session_id(1), session_id(2), session_id(3)}
+        viewer.set_up(4)
+        assert viewer.answer(2.0)[0] == "453", "no media host is left, and it is said at once"
 
 
 @on_loop
 def test_sigterm_answers_what_was_taken_and_ends(loop: Loop) -> None:
-    with running(loop) as (world, v):
-        for h in world.hosts:
-            h.how = lambda tag: None
-        v.set_up(1)
-        world.until(lambda: any(h.heard for h in world.hosts))
-        world.process.send_signal(signal.SIGTERM)
-        world.until(lambda: "ends" in world.errors.read_text())
-        late = world.viewers()
+    with running_gateway(loop) as (harness, viewer):
+        for h in harness.hosts:
+            h.answer = lambda tag: None
+        viewer.set_up(1)
+        harness.until(lambda: any(h.received for h in harness.hosts))
+        harness.process.send_signal(signal.SIGTERM)
+        harness.until(lambda: "ends" in harness.errors.read_text())
+        late = harness.viewers()
         late.send("OPTIONS", 0, "3", "ping")
         assert late.next()[1] == "503"
         late.set_up(2)
         assert late.answer(1.0)[0] == "503"
-        assert v.answer()[0] == "453" and not judge(world.log)
-        world.until(lambda: world.process.poll() is not None, 4.0)
-        assert world.process.returncode == 0
+        assert viewer.answer()[0] == "453" and not broken_rule(harness.log)
+        harness.until(lambda: harness.process.poll() is not None, 4.0)
+        assert harness.process.returncode == 0
 
 
 @on_loop
 def test_words_of_strangers_are_dropped_and_a_fault_free_gateway_goes_on(loop: Loop) -> None:
-    with running(loop) as (world, v):
+    with running_gateway(loop) as (harness, viewer):
         stranger = Datagrams(loop, endpoint("127.0.0.1:0"))
         for words in (b"", b"\x00" * 300, b"odd", b"\x00\x01\x00\x01"):
-            assert stranger.send(words, endpoint(world.peer_listen))
-        v.set_up(1)
-        assert v.answer()[0] == "200"
-        v.send("TEARDOWN", 1, "2")
-        assert v.answer()[0] == "200"
-        world.process.send_signal(signal.SIGTERM)
-        world.until(lambda: world.process.poll() is not None)
-        assert "strangers=4 " in world.errors.read_text()
+            assert stranger.send(words, endpoint(harness.peer_listen))
+        viewer.set_up(1)
+        assert viewer.answer()[0] == "200"
+        viewer.send("TEARDOWN", 1, "2")
+        assert viewer.answer()[0] == "200"
+        harness.process.send_signal(signal.SIGTERM)
+        harness.until(lambda: harness.process.poll() is not None)
+        assert "strangers=4 " in harness.errors.read_text()
 
 
 @on_loop
 def test_what_a_viewer_gives_up_is_given_up_at_the_media_host(loop: Loop) -> None:
-    with running(loop) as (world, v):
-        for h in world.hosts:
-            h.how = lambda tag: None
-        v.set_up(1)
-        world.until(lambda: any(h.out() for h in world.hosts))
-        v.send("TEARDOWN", 1, "2")
-        assert v.answer()[0] == "200"
-        world.until(lambda: any(m[:2] == ("FINISH", sid(1)) for h in world.hosts for m in h.heard))
-        gone = world.viewers()
+    with running_gateway(loop) as (harness, viewer):
+        for h in harness.hosts:
+            h.answer = lambda tag: None
+        viewer.set_up(1)
+        harness.until(lambda: any(h.out() for h in harness.hosts))
+        viewer.send("TEARDOWN", 1, "2")
+        assert viewer.answer()[0] == "200"
+        harness.until(
+            lambda: any(m[:2] == ("FINISH", session_id(1)) for h in harness.hosts for m in h.received)
+        )
+        gone = harness.viewers()
         gone.set_up(2)
-        world.until(lambda: any(sid(2) in h.out() for h in world.hosts))
+        harness.until(lambda: any(session_id(2) in h.out() for h in harness.hosts))
         gone.stream.close()
-        world.until(lambda: any(m[:2] == ("FINISH", sid(2)) for h in world.hosts for m in h.heard))
+        harness.until(
+            lambda: any(m[:2] == ("FINISH", session_id(2)) for h in harness.hosts for m in h.received)
+        )
         with pytest.raises(TimedOut):
-            v.next(0.3)
+            viewer.next(0.3)
 
 
-def nothing(tag: str) -> None:
+def no_answer(tag: str) -> None:
     return None
 
 
@@ -573,16 +593,16 @@
 def test_where_nothing_fits_viewers_are_told_at_once_and_when_to_come_back(loop: Loop) -> None:
     """Full media hosts, then ones that answer nothing: there once held for 2.97 of 3 s, and nothing sent."""
     for silent, within in ((False, 0.8), (True, 2.6)):
-        with running(loop, retryAfter=True, maxRetryAfter=400) as (world, v):
-            for h in world.hosts:
-                h.echoes, h.how = not silent, nothing if silent else turned_away
+        with running_gateway(loop, retryAfter=True, maxRetryAfter=400) as (harness, viewer):
+            for h in harness.hosts:
+                h.echoes, h.answer = not silent, no_answer if silent else turned_away
             began = time.monotonic()
-            v.set_up(1)
-            _, status, fields, _ = v.next()
+            viewer.set_up(1)
+            _, status, fields, _ = viewer.next()
             took = time.monotonic() - began
-            assert (status, fields["session"], fields["retry-after"]) == ("453", sid(1), "0.400")
-            assert took < within and not judge(world.log)
-            assert any(what == "start" for what, *_ in world.log), "somebody was tried"
+            assert (status, fields["session"], fields["retry-after"]) == ("453", session_id(1), "0.400")
+            assert took < within and not broken_rule(harness.log)
+            assert any(what == "start" for what, *_ in harness.log), "somebody was tried"
 
 
 def test_a_configuration_that_is_missing_or_wrong_ends_with_one_line() -> None:
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -20,7 +20,7 @@
 from ledgehitch.loop import Loop, TimedOut, connect, endpoint
 from ledgehitch.rehearsal.play import free_ports
 from tests.test_platform import SETTINGS
-from tests.test_platform_sockets import BLOB, Host, Viewers, World, on_loop
+from tests.test_platform_sockets import BLOB, FakeMediaHost, Harness, ViewerClient, on_loop
 
 WINDOW, WARM_UP, PLACES = 2.0, 12.0, 150
 ALLOWED = 3 * 0.4 * PLACES * WINDOW / WARM_UP  # N: what the settings allow in a window right after the start
@@ -28,13 +28,13 @@
 BUSY, QUIET = 0.03, 0.4  # seconds between set-ups at a gateway
 
 
-class Counting(Host):
+class Counting(FakeMediaHost):
     """Keeps when each set-up came."""
 
-    def __init__(self, world: World, name: str) -> None:
-        super().__init__(world, name)
+    def __init__(self, harness: Harness, name: str) -> None:
+        super().__init__(harness, name)
         self.came: list[float] = []
-        self.how = self._note
+        self.answer = self._note
 
     def _note(self, tag: str) -> bytes:
         self.came.append(time.monotonic())
@@ -51,9 +51,9 @@
 class Fleet:
     def __init__(self, loop: Loop, folder: Path, n: int) -> None:
         self.loop, self.folder, self.n = loop, folder, n
-        self.world = World(loop, 0, folder, {"peerMessages": False}, start=False)
-        self.host = Counting(self.world, "s-0")
-        self.world.hosts = [self.host]
+        self.harness = Harness(loop, 0, folder, {"peerMessages": False}, start=False)
+        self.host = Counting(self.harness, "s-0")
+        self.harness.hosts = [self.host]
         self.began = 0.0  # Unix time at which the host started; 0: long ago
         self.ports = free_ports(n)
         self.processes: list[subprocess.Popen[bytes]] = []
@@ -61,7 +61,7 @@
         self.over = False
 
     def entry(self, pos: int, complete: bool) -> dict[str, Any]:
-        (member,) = self.world.members((self.host, "ready"))
+        (member,) = self.harness.members((self.host, "ready"))
         member.update(size=4000, up_since_ms=int(self.began * 1000))
         return {"pos": pos, "hosts": {"revision": pos, "complete": complete, "members": [member]}}
 
@@ -77,7 +77,7 @@
                 "seed": str(i),
                 "settings": settings,
                 "limits": {"memory_mb": 32, "sockets": 256},
-                "journal": str(self.world.journal.at),
+                "journal": str(self.harness.journal.at),
                 "known": {"pos": 1, "entries": [self.entry(1, True)]},
             }
             path = self.folder / f"{i}.json"
@@ -114,15 +114,15 @@
 
     def ask(self, i: int, every: float) -> None:
         """Set-ups at one gateway until it is killed; what it had taken then is its duty no more."""
-        self.world.listen = f"127.0.0.1:{self.ports[i]}"
+        self.harness.listen = f"127.0.0.1:{self.ports[i]}"
         try:
-            v = Viewers(self.world)
+            viewer = ViewerClient(self.harness)
             n = int(time.monotonic() * 1000) % (1 << 30) << 12 | i << 4
             while not self.over:
                 n += 1 << 12
-                v.set_up(n)
-                status, sid, _ = v.answer()
-                self.answers[sid] = self.answers.get(sid, 0) + 1
+                viewer.set_up(n)
+                status, session_id, _ = viewer.answer()
+                self.answers[session_id] = self.answers.get(session_id, 0) + 1
                 assert status in ("200", "453")
                 self.loop.sleep(every)
         except (OSError, EOFError, TimedOut):
@@ -148,8 +148,8 @@
             assert ready[n * 9 // 10] < READY
             fleet.began = time.time()
             told = b"data: " + json.dumps(fleet.entry(2, False)).encode() + b"\n\n"
-            fleet.world.until(lambda: len(fleet.world.feeds) == n)
-            for feed in fleet.world.feeds:
+            fleet.harness.until(lambda: len(fleet.harness.feeds) == n)
+            for feed in fleet.harness.feeds:
                 feed.send(told)
             loop.sleep(0.2)
 
@@ -164,7 +164,7 @@
             first = fleet.host.most()
             # All are killed right after they sent what they may, and come back within the window.
             burst = ALLOWED / 2 if even else 4
-            fleet.world.until(lambda: fleet.host.lately(0.3) >= burst)
+            fleet.harness.until(lambda: fleet.host.lately(0.3) >= burst)
             fleet.kill()
             ready = sorted(fleet.start())
             assert ready[n * 9 // 10] < READY
