--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -9,7 +9,7 @@
 
 from ledgehitch.brain import Gateway
 from ledgehitch.facts import BadFact, facts_from, reach_of
-from ledgehitch.gate import Gate
+from ledgehitch.gate import SendGuard
 from ledgehitch.interface import Row
 from ledgehitch.loop.kernel import Event, Loop
 from ledgehitch.loop.sockets import Listener, endpoint
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -12,7 +12,7 @@
 
 from ledgehitch import interface as say
 from ledgehitch.brain import Gateway
-from ledgehitch.gate import Gate, Shut
+from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.interface import Outcome, Package, Row
 from ledgehitch.loop.kernel import Loop
 from ledgehitch.loop.pump import Pump
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -41,17 +41,17 @@
     asked: set[int] = set()  # viewings without an answer
     playing: set[int] = set()
     given_up: set[int] = set()
-    conn = vw = 0
+    conn = viewing_id = 0
     on_way: list[int] = []
     for _ in range(80):
         now += chance.choice([0.0, 0.01, 0.3, 2.0])
         event = chance.randrange(8)
         if event < 3:
-            conn, vw = conn + 1, vw + 1
+            conn, viewing_id = conn + 1, viewing_id + 1
             key = bytes([chance.randrange(4)])
-            if desk.offered(now, conn, key, vw):
-                asked.add(vw)
-                owed[conn] = vw
+            if desk.offered(now, conn, key, viewing_id):
+                asked.add(viewing_id)
+                owed[conn] = viewing_id
             else:
                 owed[conn] = 0
         elif event == 3 and asked:
@@ -266,10 +266,10 @@
 
     mind = Mind(gateway(), Recorder(tmp_path / "r", segment=20000, keep=3))
     for n in range(300):
-        mind.asked(200 + n / 10, n, "plain", "t1", 0, 6, 3, 203 + n / 10)
+        mind.on_viewing_request(200 + n / 10, n, "plain", "t1", 0, 6, 3, 203 + n / 10)
         list(mind.pulled(200 + n / 10))
-        mind.opened(200.05 + n / 10, n, "h0", 0, 0.05)
-        mind.told(200.05 + n / 10, n, "h0", 3, 0.5)
+        mind.on_tune_in_success(200.05 + n / 10, n, "h0", 0, 0.05)
+        mind.on_report(200.05 + n / 10, n, "h0", 3, 0.5)
         list(mind.pulled(200.05 + n / 10))
     assert mind.recorder is not None
     mind.recorder.close()
@@ -295,7 +295,7 @@
     with pytest.raises(BadRecord):
         thawed(b"\x80\x04N.")
     again = thawed(frozen(gateway()))
-    again.listed(200.0, "total", rows())
+    again.on_host_list(200.0, "total", rows())
     assert len(again.hosts) == 6
     with pytest.raises(BadRecord, match="no record there"):
         replayed(Path("/nonexistent/record"))
