--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -57,7 +57,7 @@
         )
         self.peers: PeerChannel | None = None
         self.controller = Controller(
-            loop, brain, sessions, Gate(terms.drain_grace), detector, hosts, self._send_to_peer
+            loop, brain, sessions, SendGuard(terms.drain_grace), detector, hosts, self._send_to_peer
         )
         if configuration.peer_listen and terms.may_tell:
             self.peers = PeerChannel(
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -72,12 +72,18 @@
         loop: Loop,
         brain: Gateway,
         sessions: SessionTable,
-        gate: Gate,
+        guard: SendGuard,
         detector: FailureDetector,
         hosts: HostConnections,
         send_to_peer: Callable[[bytes, int], None],
     ) -> None:
-        self.loop, self.brain, self.sessions, self.gate, self.detector = loop, brain, sessions, gate, detector
+        self.loop, self.brain, self.sessions, self.guard, self.detector = (
+            loop,
+            brain,
+            sessions,
+            guard,
+            detector,
+        )
         self.hosts, self.send_to_peer = hosts, send_to_peer
         self.viewers: ViewerServer
         self.viewings: dict[int, Viewing] = {}
@@ -142,7 +148,7 @@
                 self.count("probes")
                 if not self.hosts.probe(host):
                     failed = Outcome.CONNECT_FAILED
-                    self._failed.append(lambda: self.brain.probed(now, host, failed, 0.0))
+                    self._failed.append(lambda: self.brain.on_probe_result(now, host, failed, 0.0))
             case say.Tell(message, recipient):
                 self.send_to_peer(message, recipient)
             case say.Subscribe():
@@ -153,8 +159,8 @@
         number = viewing.tune_ins
         viewing.tune_ins += 1
         try:
-            self.gate.sending(now, viewing_id, host, within)
-        except Shut as error:
+            self.guard.check_send(now, viewing_id, host, within)
+        except SendForbidden as error:
             log("send-refused", vw=viewing_id, host=host, why=error)
             self._failed.append(
                 lambda: self._on_tune_in_end(now, viewing_id, False, Outcome.MOOT, host, 0.0, number)
@@ -201,10 +207,10 @@
             self._on_viewer_gone(now, viewing_id, connection.host, number)
             return None
         try:
-            self.gate.leaving(now, viewing_id, connection.host)
-            if not self.brain.leaves(now, viewing_id):
-                raise Shut(4, f"{connection.host} accepts no further set-up now")
-        except Shut as error:
+            self.guard.check_delayed_send(now, viewing_id, connection.host)
+            if not self.brain.confirm_delayed_send(now, viewing_id):
+                raise SendForbidden(4, f"{connection.host} accepts no further set-up now")
+        except SendForbidden as error:
             log("held-too-long", vw=viewing_id, host=connection.host, why=error)
             self._on_tune_in_end(
                 now, viewing_id, False, Outcome.MOOT, connection.host, now - viewing.sent_at, number
@@ -246,8 +252,8 @@
             return False
         self.count("asked")
         self.viewings[viewing_id] = Viewing(session_id, package, title, description)
-        self.gate.asked(viewing_id, package, patience)
-        self.brain.asked(now, viewing_id, package.name, title, first, spread, top, patience)
+        self.guard.on_viewing_request(viewing_id, package, patience)
+        self.brain.on_viewing_request(now, viewing_id, package.name, title, first, spread, top, patience)
         self.schedule()
         return True
 
@@ -272,9 +278,9 @@
         self.count("handed_over")
         viewing = self.viewings[viewing_id] = Viewing(session_id, package, title, "")
         viewing.host, viewing.plays, viewing.started_at, viewing.tune_ins = host, True, now, 1
-        self.gate.asked(viewing_id, package, now + package.patience)
+        self.guard.on_viewing_request(viewing_id, package, now + package.patience)
         self.detector.on_viewing_started(now, host)
-        self.brain.handed_over(now, viewing_id, package.name, title, first, spread, top, host)
+        self.brain.on_viewing_handover(now, viewing_id, package.name, title, first, spread, top, host)
         self.schedule()
         return True
 
@@ -299,7 +305,7 @@
         for viewing_id, viewing in list(self.viewings.items()):
             if viewing.in_flight and viewing.connection is not None:
                 self._on_timeout(viewing_id)
-        self.brain.last_call(now)
+        self.brain.expire_waiting(now)
         self.schedule()
 
     def on_connection_closed(self, conn: int) -> None:
@@ -315,7 +321,7 @@
         viewing = self.viewings.get(viewing_id)
         if viewing is None:
             return
-        self.brain.left(now, viewing_id)
+        self.brain.on_viewer_left(now, viewing_id)
         if viewing.in_flight and viewing.connection is not None:
             self.hosts.cancel(viewing.connection, viewing.session_id, False)
             self._on_tune_in_end(
@@ -352,9 +358,9 @@
             return
         self._clear_in_flight(viewing)
         viewing.plays, viewing.started_at, viewing.description = True, viewing.sent_at, ""
-        self.gate.came_back(viewing_id, Outcome.OK)
+        self.guard.on_tune_in_outcome(viewing_id, Outcome.OK)
         self.detector.on_viewing_started(now, host)
-        self.brain.opened(now, viewing_id, host, viewing.tune_ins - 1, now - viewing.sent_at)
+        self.brain.on_tune_in_success(now, viewing_id, host, viewing.tune_ins - 1, now - viewing.sent_at)
         self.sessions.on_playing(viewing_id, description)
         self.schedule()
 
@@ -405,12 +411,12 @@
         found = self._find(session_id)
         kind = REPORT_KINDS.get(note)
         if kind is not None:
-            self.brain.told(now, found[0] if found is not None else 0, host, kind, value)
+            self.brain.on_report(now, found[0] if found is not None else 0, host, kind, value)
             self.schedule()
 
     def on_probe_result(self, now: float, host: str, passed: bool, took: float, loads: list[float]) -> None:
         outcome = Outcome.OK if passed else Outcome.RESET
-        self.brain.probed(now, host, outcome, took, loads)
+        self.brain.on_probe_result(now, host, outcome, took, loads)
         self.schedule()
 
     # ---- the list of media hosts, and peers ----------------------------------------------------------------
@@ -421,17 +427,17 @@
             for host in [host for host in self.hosts.addresses if host not in named]:
                 self.hosts.on_host_listed(host, "", True)
                 self.detector.on_host_listed(now, host, True, 0.0)
-            self.gate.unlisted(now, named)
+            self.guard.on_complete_list(now, named)
         for row, address in rows:
             gone = row.state == "terminated"
-            self.gate.listed(now, row.host, row.state == "in_service")
+            self.guard.on_host_state(now, row.host, row.state == "in_service")
             self.hosts.on_host_listed(row.host, address, gone, row.started)
             self.detector.on_host_listed(now, row.host, gone, row.started)
-        self.brain.listed(now, how, [row for row, _ in rows])
+        self.brain.on_host_list(now, how, [row for row, _ in rows])
         self.schedule()
 
     def on_peer_message(self, now: float, message: bytes) -> None:
-        self.brain.peer_said(now, message)
+        self.brain.on_peer_message(now, message)
         self.schedule()
 
     # ---- ends ----------------------------------------------------------------------------------------------
@@ -459,8 +465,8 @@
             self._clear_in_flight(viewing)
             viewing.connection = None
         self.count(outcome.name.lower())
-        self.gate.came_back(viewing_id, outcome)
-        self.brain.ended(now, viewing_id, closed, outcome, host, latency, tune_in, loads or ())
+        self.guard.on_tune_in_outcome(viewing_id, outcome)
+        self.brain.on_tune_in_end(now, viewing_id, closed, outcome, host, latency, tune_in, loads or ())
         self.schedule()
 
     def _on_viewing_end(
@@ -469,7 +475,7 @@
         """A viewing that played has ended."""
         viewing = self.viewings[viewing_id]
         self.detector.on_viewing_ended(viewing.host)
-        self.brain.ended(
+        self.brain.on_tune_in_end(
             now,
             viewing_id,
             True,
@@ -499,7 +505,7 @@
 
     def _remove(self, viewing_id: int) -> None:
         self.viewings.pop(viewing_id, None)
-        self.gate.done(viewing_id)
+        self.guard.on_viewing_end(viewing_id)
 
     def sweep(self, now: float) -> None:
         """Closes connections that are no longer needed."""
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -36,22 +36,22 @@
     """What rule was broken, or nothing."""
     out: dict[str, str] = {}
     answers: dict[str, int] = {}
-    for what, viewing_id, *more in log:
+    for what, session, *more in log:
         if what == "start":
-            if viewing_id in out:
-                return f"rule 2: {viewing_id} is out at {out[viewing_id]} and at {more[0]}"
-            if viewing_id not in answers:
-                return f"{viewing_id} was never asked for"
-            out[viewing_id] = more[0]
+            if session in out:
+                return f"rule 2: {session} is out at {out[session]} and at {more[0]}"
+            if session not in answers:
+                return f"{session} was never asked for"
+            out[session] = more[0]
         elif what == "end":
-            out.pop(viewing_id, None)
+            out.pop(session, None)
         elif what == "asked":
-            answers[viewing_id] = 0
+            answers[session] = 0
         elif what == "answer":
-            answers[viewing_id] += 1
-            if answers[viewing_id] > 1:
-                return f"rule 1: {viewing_id} was answered twice"
-    missing = [viewing_id for viewing_id, n in answers.items() if n != 1]
+            answers[session] += 1
+            if answers[session] > 1:
+                return f"rule 1: {session} was answered twice"
+    missing = [session for session, n in answers.items() if n != 1]
     return f"rule 1: no answer to {missing}" if missing else ""
 
 
@@ -123,9 +123,9 @@
     def out(self) -> dict[str, bool]:
         """Set-ups that have reached this host, and whether the log has no end of them here."""
         state: dict[str, bool] = {}
-        for what, vw, *more in self.harness.log:
+        for what, session, *more in self.harness.log:
             if what in ("start", "end") and more[0] == self.name:
-                state[viewing_id] = what == "start"
+                state[session] = what == "start"
         return state
 
     def say(self, verb: str, tag: str, fields: Any = None, cause: int | None = None) -> None:
