--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -132,8 +132,8 @@
 @pytest.mark.parametrize("stage", STAGES)
 def test_no_tune_in_begins_at_whatever_stage_its_viewer_goes(stage: str, shared: bool, way: Way) -> None:
     def play(loop: Loop) -> None:
-        sold = {"onTime": 5000, "deadline": 6000, "effect": "once" if stage == "dials" else "repeatable"}
-        with running_gateway(loop, sold=sold, connectTimeout=5000) as (harness, other):
+        package = {"onTime": 5000, "deadline": 6000, "effect": "once" if stage == "dials" else "repeatable"}
+        with running_gateway(loop, package=package, connectTimeout=5000) as (harness, other):
             report_loads(harness, other)
             goes(harness, stage, way, shared)
 
@@ -153,7 +153,7 @@
     phase = "draining" if stage == "waits" else "ready"
     feed.send(harness.host_event(2, (first, phase), (second, "draining")))
     loop.sleep(0.1)
-    viewer = harness.viewers()
+    viewer = harness.connect()
     fields = [("X-Tier", "clip"), ("X-Deadline", "6000"), ("X-Attrs", "home:0;copies:6;top:2")]
     for one in ids:
         harness.log.append(("asked", session_id(one)))
@@ -202,7 +202,7 @@
         with running_gateway(loop) as (harness, _):
             for host in harness.hosts:
                 host.answer = no_answer
-            viewer = harness.viewers()
+            viewer = harness.connect()
             viewer.set_up(1)
             if shared:
                 viewer.set_up(2)
@@ -218,12 +218,12 @@
             if not shared or way is cancels:
                 assert finishes(harness, 1) == 1, "what was out is given up, once"
             harness.log.append(("end", session_id(1), first.name))
-            first.say("FINISH", session_id(1), {}, ERROR)
+            first.send("FINISH", session_id(1), {}, ERROR)
             loop.sleep(0.3)
             assert setups_sent(harness, 1) == [first.name] and finishes(harness, 1) == 1
             if shared and way is cancels:
                 other = host_of(harness, 2)
-                other.say("STARTED", session_id(2))
+                other.send("STARTED", session_id(2))
                 while viewer.next()[2].get("session") != session_id(2):
                     pass  # the refusals of the faults
 
@@ -240,14 +240,14 @@
             for host in harness.hosts:
                 host.answer = no_answer
             for n, viewer_first in ((1, True), (2, False), (3, True), (4, False)):
-                viewer = harness.viewers()
+                viewer = harness.connect()
                 viewer.set_up(n)
                 host = host_of(harness, n)
                 with Paused(harness):
                     if viewer_first:
                         way(viewer, n)
                     harness.log.append(("end", session_id(n), host.name))
-                    host.say("FINISH", session_id(n), {}, ERROR)
+                    host.send("FINISH", session_id(n), {}, ERROR)
                     if not viewer_first:
                         way(viewer, n)
                     loop.sleep(DEPARTURE_S)
@@ -266,7 +266,7 @@
             harness = Harness(loop, 2, Path(folder), {"peerMessages": False}, start=False)
             gateway = RunningGateway(loop, load_configuration(str(harness.path)), str(harness.path))
             gateway.start()
-            viewer = harness.ready()
+            viewer = harness.wait_ready()
             report_loads(harness, viewer)
             for host in harness.hosts:
                 host.answer = no_answer
@@ -296,13 +296,13 @@
         for host in harness.hosts:
             host.answer = no_answer
         for n, viewer_first in ((1, True), (2, False), (3, True), (4, False)):
-            viewer = harness.viewers()
+            viewer = harness.connect()
             viewer.set_up(n)
             host = host_of(harness, n)
             with Paused(harness):
                 if viewer_first:
                     viewer.stream.close()
-                host.say("STARTED", session_id(n))
+                host.send("STARTED", session_id(n))
                 if not viewer_first:
                     viewer.stream.close()
                 loop.sleep(0.05)
@@ -319,7 +319,7 @@
             harness = Harness(loop, 1, Path(folder), {"peerMessages": False, "probes": False}, start=False)
             gateway = RunningGateway(loop, load_configuration(str(harness.path)), str(harness.path))
             gateway.start()
-            controller, viewer = gateway.controller, harness.ready()
+            controller, viewer = gateway.controller, harness.wait_ready()
             held = BlockedListener()
             controller.hosts.on_host_listed("s-0", held.at, False)
             viewer.set_up(1)
@@ -347,7 +347,7 @@
             report_loads(harness, other)
             other.got.clear()
             for n, viewer_first in ((1, True), (2, False), (3, True), (4, False)):
-                viewer = harness.viewers()
+                viewer = harness.connect()
                 viewer.set_up(n)
                 assert viewer.answer()[0] == "200"
                 host = host_of(harness, n)
@@ -372,7 +372,7 @@
     """It went out on the connection that had brought the latest set-up, whosever that was."""
     with running_gateway(loop) as (harness, usual):
         report_loads(harness, usual)
-        viewer, stranger = harness.viewers(), harness.viewers()
+        viewer, stranger = harness.connect(), harness.connect()
         stranger.stream.close()
         sock = socket.socket()
         sock.bind(("127.0.0.9", 0))
@@ -386,7 +386,7 @@
         assert stranger.answer()[0] == "200"
         viewer.stream.close()
         loop.sleep(0.1)
-        host_of(harness, 1).say("FINISH", session_id(1), None, 16)
+        host_of(harness, 1).send("FINISH", session_id(1), None, 16)
         method, _, fields, _ = usual.next(1.0)
         assert (method, fields["session"]) == ("TEARDOWN", session_id(1))
         with pytest.raises(TimedOut):
@@ -400,7 +400,7 @@
         for n in range(1, 13):
             viewer.set_up(n)
             assert viewer.answer()[0] == "200"
-            host_of(harness, n).say("FINISH", session_id(n), None, 16)
+            host_of(harness, n).send("FINISH", session_id(n), None, 16)
             assert viewer.next()[0] == "TEARDOWN"
         for n in range(1, 13):
             viewer.send("TEARDOWN", n, "2")
@@ -449,7 +449,10 @@
     def play(loop: Loop) -> None:
         held = BlockedListener()
         rules = {"stopSendingWithin": 200}
-        with running_gateway(loop, hosts=1, sold=ONCE, rules=rules, connectTimeout=5000) as (harness, viewer):
+        with running_gateway(loop, hosts=1, package=ONCE, rules=rules, connectTimeout=5000) as (
+            harness,
+            viewer,
+        ):
             host = harness.hosts[0]
             feed = harness.until(lambda: harness.feeds)[0]
             host.at, was = held.at, host.at
@@ -457,7 +460,7 @@
             loop.sleep(0.1)
             for n in (1, 2):
                 viewer.set_up(n)
-            leaver = harness.viewers()
+            leaver = harness.connect()
             leaver.set_up(3)
             loop.sleep(0.2)
             leaver.stream.close()
@@ -488,7 +491,10 @@
     held = BlockedListener()
     rules = {"warmUp": 12000}
     settings = {**ONCE, "deadline": 8000}
-    with running_gateway(loop, hosts=1, sold=settings, rules=rules, connectTimeout=6000) as (harness, viewer):
+    with running_gateway(loop, hosts=1, package=settings, rules=rules, connectTimeout=6000) as (
+        harness,
+        viewer,
+    ):
         host = harness.hosts[0]
         feed = harness.until(lambda: harness.feeds)[0]
         # One that plays there tells that this gateway was not away, so that its list is as good as any.
@@ -605,7 +611,7 @@
         host.answer = no_answer
         viewer.set_up(1)
         harness.until(lambda: setups_sent(harness, 1))
-        other = harness.viewers()
+        other = harness.connect()
         other.set_up(1)  # while the first is open: refused, and the first goes on
         assert other.answer()[0] == "400"
         harness.log[:] = [entry for entry in harness.log if entry[0] == "start"]
@@ -802,8 +808,8 @@
     """A deadline of 60 s counts as 3 s before the kill: the process once stayed for 60 s, and was killed."""
 
     def play(loop: Loop) -> None:
-        sold = {"effect": effect, "deadline": 60000, "onTime": 40000}
-        with running_gateway(loop, sold=sold, tryLimit=1) as (harness, viewer):
+        package = {"effect": effect, "deadline": 60000, "onTime": 40000}
+        with running_gateway(loop, package=package, tryLimit=1) as (harness, viewer):
             for host in harness.hosts:
                 host.answer = no_answer
             harness.log.append(("asked", session_id(1)))
@@ -830,7 +836,7 @@
             host.answer = lambda tag: (
                 hostline.encode("STARTED", tag, {}, None, blob) + hostline.encode("FINISH", tag, {}, 16)
             )
-        slow = harness.viewers()
+        slow = harness.connect()
         # As much as the two sockets' buffers take, and half of what the gateway keeps beyond.
         took, answered = socket_buffer_bytes(), 0
         n = 0
@@ -948,7 +954,7 @@
         began = time.monotonic()
         while time.monotonic() - began < 2.5:
             try:
-                idle.append(harness.viewers().stream)
+                idle.append(harness.connect().stream)
             except (OSError, TimedOut):
                 loop.sleep(0.05)
             if len(idle) % 8 == 0:
@@ -972,7 +978,7 @@
     with running_gateway(loop) as (harness, viewer):
         first, good = harness.until(lambda: harness.feeds)[0], harness.journal
         harness.journal = held  # type: ignore[assignment]
-        harness.write()
+        harness.write_config()
         harness.process.send_signal(signal.SIGHUP)
         harness.until(lambda: f"reloaded journal={held.at}" in harness.errors.read_text())
         first.close()
@@ -980,7 +986,7 @@
         others = [harness.serve_journal() for _ in range(2)]
         for journal in (others[0], others[1]):
             harness.journal = journal
-            harness.write()
+            harness.write_config()
             harness.process.send_signal(signal.SIGHUP)
             loop.sleep(0.05)
         feed = harness.until(lambda: harness.feeds[1:] and harness.errors.read_text().count("reloaded") == 3)
@@ -1058,7 +1064,7 @@
             plays = host_of(harness, 1)
             for host in harness.hosts:
                 host.answer = no_answer
-            crowd = [harness.viewers() for _ in range(conns)]
+            crowd = [harness.connect() for _ in range(conns)]
             good = [("X-Tier", "clip"), ("X-Deadline", "3000"), ("X-Attrs", "home:0;copies:6;top:2")]
             bad = [("X-Tier", "gold"), *good[1:]]
             for k in range(1200):
@@ -1074,7 +1080,7 @@
                 if k % 50 == 0:
                     loop.sleep(0.01)
             began = time.monotonic()
-            plays.say("FINISH", session_id(1), None, 16)
+            plays.send("FINISH", session_id(1), None, 16)
             assert viewer.next(1.0)[0] == "TEARDOWN", "a release is not held up"
             memory, descriptors = resource_use(harness)
             assert memory < 40 and descriptors <= 256
@@ -1104,7 +1110,7 @@
 @on_loop
 def test_sigterm_at_each_stage_of_a_session_with_set_ups_up_to_the_last_that_may_come(loop: Loop) -> None:
     held = BlockedListener()
-    with running_gateway(loop, hosts=2, connectTimeout=3000, sold=ONCE | {"deadline": 3000}) as (
+    with running_gateway(loop, hosts=2, connectTimeout=3000, package=ONCE | {"deadline": 3000}) as (
         harness,
         viewer,
     ):
@@ -1132,7 +1138,7 @@
         harness.process.send_signal(signal.SIGTERM)
         late = []
         for n in range(10, 22):  # on new connections and on open ones, 0.6 s long
-            who = harness.viewers() if n % 2 else viewer
+            who = harness.connect() if n % 2 else viewer
             who.set_up(n)
             late.append((n, who))
             loop.sleep(0.045)
@@ -1172,11 +1178,11 @@
 
 @pytest.mark.parametrize("name", OTHERS)
 def test_settings_of_other_customers_serve_refuse_and_give_up_in_time(name: str) -> None:
-    sold, ceilings, hosts = OTHERS[name]
+    package, ceilings, hosts = OTHERS[name]
 
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=hosts, sold=sold, **ceilings) as (harness, viewer):
-            wait = int(harness.sold["deadline"])
+        with running_gateway(loop, hosts=hosts, package=package, **ceilings) as (harness, viewer):
+            wait = int(harness.package["deadline"])
             fields = [("X-Tier", "clip"), ("X-Deadline", str(wait)), ("X-Attrs", "home:0;copies:6;top:2")]
 
             def asks(n: int) -> tuple[str, float]:
@@ -1201,7 +1207,7 @@
             if wait < 10000:
                 status, took = asks(5)
                 # Failed where it may have run and not be repeated, else refused, and never late.
-                harmless = sold.get("effect", "repeatable") == "repeatable" or not setups_sent(harness, 5)
+                harmless = package.get("effect", "repeatable") == "repeatable" or not setups_sent(harness, 5)
                 assert status == ("453" if harmless else "500")
                 assert took < wait / 1000 + 0.05
             assert not broken_rule(harness.log) and all(
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -38,7 +38,7 @@
     """A viewers' connection that notes when each answer came, in seconds from its request."""
 
     def __init__(self, harness: Harness) -> None:
-        self.harness, self.viewer = harness, harness.viewers()
+        self.harness, self.viewer = harness, harness.connect()
         self.asked_at: dict[str, float] = {}
         self.got: dict[str, list[tuple[str, float]]] = {}
 
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("state", [*OUT, "dialling"])
 def test_an_attempt_that_is_out_at_the_deadline(state: str, effect: str) -> None:
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=1, sold=to_the_end(effect), connectTimeout=4000) as (
+        with running_gateway(loop, hosts=1, package=to_the_end(effect), connectTimeout=4000) as (
             harness,
             viewer,
         ):
@@ -135,7 +135,9 @@
             client.ask(1, 2, wait=0.6)
             if state == "late":
                 harness.until(lambda: setups_sent(harness, 2))
-                loop.call_at(client.asked_at[session_id(1)] + 0.6, lambda: host.say("STARTED", session_id(1)))
+                loop.call_at(
+                    client.asked_at[session_id(1)] + 0.6, lambda: host.send("STARTED", session_id(1))
+                )
             got = client.one_each(0.6)
             ran = bool(setups_sent(harness, 1))
             assert ran == (state != "dialling")
@@ -154,8 +156,8 @@
     "reset": lambda host, tag: host.reset(),
     "closed": lambda host, tag: host.streams[-1].close(),
     "dead": lambda host, tag: host.kill(),
-    "error": lambda host, tag: host.say("FINISH", tag, {}, ERROR),
-    "another cause": lambda host, tag: host.say("FINISH", tag, {}, 16),
+    "error": lambda host, tag: host.send("FINISH", tag, {}, ERROR),
+    "another cause": lambda host, tag: host.send("FINISH", tag, {}, 16),
 }
 
 
@@ -163,7 +165,7 @@
 @pytest.mark.parametrize("end", ENDS)
 def test_what_ends_without_an_answer_is_told_at_once_to_all_that_shared_it(end: str, effect: str) -> None:
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=1, sold=to_the_end(effect), tryLimit=1) as (harness, viewer):
+        with running_gateway(loop, hosts=1, package=to_the_end(effect), tryLimit=1) as (harness, viewer):
             host = harness.hosts[0]
             report_loads(harness, viewer)
             host.answer = no_answer
@@ -216,7 +218,7 @@
 @pytest.mark.parametrize("crossing", ["answered", "error", "reset", "withdrawn", "drains"])
 def test_what_crossed_the_deadline_while_the_process_stood_still_is_answered_once(crossing: str) -> None:
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=1, sold=to_the_end("once")) as (harness, viewer):
+        with running_gateway(loop, hosts=1, package=to_the_end("once")) as (harness, viewer):
             host, feed = harness.hosts[0], harness.until(lambda: harness.feeds)[0]
             report_loads(harness, viewer)
             host.answer = no_answer
@@ -226,9 +228,9 @@
             with Paused(harness):
                 for n in (1, 2):
                     if crossing == "answered":
-                        host.say("STARTED", session_id(n))
+                        host.send("STARTED", session_id(n))
                     elif crossing == "error":
-                        host.say("FINISH", session_id(n), {}, ERROR)
+                        host.send("FINISH", session_id(n), {}, ERROR)
                 if crossing == "reset":
                     host.reset()
                 elif crossing == "drains":
@@ -251,7 +253,7 @@
     """The connection was closed at once, and with it went the answers to what had been taken there."""
 
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=1, sold=to_the_end("once")) as (harness, viewer):
+        with running_gateway(loop, hosts=1, package=to_the_end("once")) as (harness, viewer):
             host = harness.hosts[0]
             report_loads(harness, viewer)
             host.answer = no_answer
@@ -259,7 +261,7 @@
             client.ask(1, 2)
             client.viewer.stream.send(b"no message\r\n\r\n" + request(3, 1.0))
             harness.until(lambda: setups_sent(harness, 2))
-            host.say("STARTED", session_id(1))
+            host.send("STARTED", session_id(1))
             got = client.one_each()
             assert got[1][0] == "200" and got[2][0] == "500"
             assert not setups_sent(harness, 3), "nothing after it can be relied on"
@@ -270,7 +272,7 @@
 
 def test_a_viewer_who_goes_after_what_cannot_be_read_is_heard_at_once() -> None:
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=1, sold=to_the_end("once")) as (harness, viewer):
+        with running_gateway(loop, hosts=1, package=to_the_end("once")) as (harness, viewer):
             host = harness.hosts[0]
             report_loads(harness, viewer)
             host.answer = no_answer
@@ -291,7 +293,7 @@
     """Its time was counted from when it was read, up to a second after it had come."""
 
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=1, sold=to_the_end("once")) as (harness, viewer):
+        with running_gateway(loop, hosts=1, package=to_the_end("once")) as (harness, viewer):
             host = harness.hosts[0]
             report_loads(harness, viewer)
             host.answer = no_answer
@@ -310,7 +312,7 @@
 
 def test_a_request_in_pieces_has_its_time_from_its_last_one() -> None:
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=1, sold=to_the_end("once")) as (harness, viewer):
+        with running_gateway(loop, hosts=1, package=to_the_end("once")) as (harness, viewer):
             host = harness.hosts[0]
             report_loads(harness, viewer)
             host.answer = no_answer
@@ -356,7 +358,7 @@
 
 def test_a_connection_that_waited_for_a_descriptor_is_served_when_there_is_one() -> None:
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=1, sold=to_the_end("once")) as (harness, viewer):
+        with running_gateway(loop, hosts=1, package=to_the_end("once")) as (harness, viewer):
             host = harness.hosts[0]
             report_loads(harness, viewer)
             host.answer = no_answer
@@ -375,7 +377,7 @@
 
 def test_a_gateway_that_comes_back_answers_each_request_that_reaches_it() -> None:
     def play(loop: Loop) -> None:
-        with running_gateway(loop, hosts=2, sold=to_the_end("once")) as (harness, viewer):
+        with running_gateway(loop, hosts=2, package=to_the_end("once")) as (harness, viewer):
             report_loads(harness, viewer)
             for host in harness.hosts:
                 host.answer = no_answer
@@ -413,10 +415,10 @@
     def play(loop: Loop) -> None:
         with tempfile.TemporaryDirectory() as folder:
             ceilings = {"peerMessages": False}
-            harness = Harness(loop, 1, Path(folder), ceilings, sold=to_the_end("once"), start=False)
+            harness = Harness(loop, 1, Path(folder), ceilings, package=to_the_end("once"), start=False)
             gateway = RunningGateway(loop, load_configuration(str(harness.path)), str(harness.path))
             gateway.start()
-            report_loads(harness, harness.ready())
+            report_loads(harness, harness.wait_ready())
             host = harness.hosts[0]
             host.answer = no_answer
             old, new = Client(harness), Client(harness)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -47,19 +47,19 @@
 ]
 
 
-def fed(reader: Any, parts: list[bytes]) -> tuple[list[Any], str]:
-    """The messages, and why it broke."""
-    out: list[Any] = []
+def read_all(reader: Any, parts: list[bytes]) -> tuple[list[Any], str]:
+    """Returns the messages, and the error that ended the reading."""
+    messages: list[Any] = []
     try:
         for part in parts:
             for message in reader.feed(part):
-                out.append(message)  # one by one: those before a fault count
-    except (rtsp.Malformed, hostline.Malformed) as why:
-        return out, str(why)
-    return out, ""
+                messages.append(message)  # one by one, to keep those before an error
+    except (rtsp.Malformed, hostline.Malformed) as error:
+        return messages, str(error)
+    return messages, ""
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
+def split(data: bytes, at: list[int]) -> list[bytes]:
     edges = sorted({0, len(data), *(i % (len(data) + 1) for i in at)})
     return [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
 
@@ -67,9 +67,9 @@
 @seed(3)
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.sampled_from(GOOD), max_size=5), st.lists(st.integers(0, 9999), max_size=12))
-def test_rtsp_reads_the_same_messages_from_any_cut(messages: list[bytes], at: list[int]) -> None:
-    whole = fed(rtsp.Reader(), [b"".join(messages)])
-    assert whole == fed(rtsp.Reader(), cut(b"".join(messages), at)) and len(whole[0]) == len(messages)
+def test_rtsp_messages_do_not_depend_on_how_the_bytes_are_split(messages: list[bytes], at: list[int]) -> None:
+    whole = read_all(rtsp.Reader(), [b"".join(messages)])
+    assert whole == read_all(rtsp.Reader(), split(b"".join(messages), at)) and len(whole[0]) == len(messages)
 
 
 LINES = [
@@ -82,17 +82,17 @@
 @seed(4)
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.sampled_from(LINES), max_size=5), st.lists(st.integers(0, 9999), max_size=12))
-def test_lines_read_the_same_from_any_cut(sent: list[bytes], at: list[int]) -> None:
-    whole = fed(hostline.Reader(), [b"".join(sent)])
-    assert whole == fed(hostline.Reader(), cut(b"".join(sent), at)) and len(whole[0]) == len(sent)
+def test_host_lines_do_not_depend_on_how_the_bytes_are_split(sent: list[bytes], at: list[int]) -> None:
+    whole = read_all(hostline.Reader(), [b"".join(sent)])
+    assert whole == read_all(hostline.Reader(), split(b"".join(sent), at)) and len(whole[0]) == len(sent)
 
 
 @seed(5)
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.one_of(st.binary(max_size=300), st.sampled_from([*GOOD, *LINES])), max_size=30))
-def test_no_input_raises_more_than_the_codecs_error_or_is_kept_beyond_the_limit(parts: list[bytes]) -> None:
+def test_no_input_raises_another_error_or_is_buffered_beyond_the_limit(parts: list[bytes]) -> None:
     for reader in (rtsp.Reader(), hostline.Reader()):
-        fed(reader, parts)
+        read_all(reader, parts)
         assert len(reader._rest) <= rtsp.MAX_MESSAGE_BYTES
 
 
@@ -110,12 +110,12 @@
         (b"A" * rtsp.MAX_MESSAGE_BYTES, 413),
     ],
 )
-def test_what_is_no_message_is_refused_at_once(data: bytes, status: int) -> None:
+def test_invalid_rtsp_is_refused_at_once(data: bytes, status: int) -> None:
     reader = rtsp.Reader()
     before = list(reader.feed(GOOD[1]))
-    with pytest.raises(rtsp.Malformed) as why:
+    with pytest.raises(rtsp.Malformed) as error:
         list(reader.feed(data))
-    assert why.value.status == status and len(before) == 1
+    assert error.value.status == status and len(before) == 1
     assert list(reader.feed(GOOD[0])) == [] and not reader._rest
 
 
@@ -134,29 +134,29 @@
         b"x" * hostline.MAX_LINE_BYTES,
     ],
 )
-def test_what_is_no_line_is_told_at_once(line: bytes) -> None:
+def test_an_invalid_host_line_is_refused_at_once(line: bytes) -> None:
     with pytest.raises(hostline.Malformed):
         list(hostline.Reader().feed(line))
 
 
-def test_a_report_is_read_in_the_order_of_the_settings() -> None:
+def test_a_load_report_is_read_in_the_order_of_the_settings() -> None:
     fields: hostline.codec.Fields = {"load": "x0:0.4;active:12;odd:nan"}
     assert hostline.parse_loads(fields, ("active", "x0")) == [12.0, 0.4]
     assert hostline.parse_loads(fields, ("odd", "x1")) == [-1.0, -1.0]
     assert hostline.parse_loads({}, ("active",)) == []
 
 
-# ---- who is owed what --------------------------------------------------------------------------------------
+# ---- responses and releases --------------------------------------------------------------------------------
 
 
 def decisions_of(sessions: SessionTable) -> list[Any]:
-    out = []
+    decisions = []
     while (decision := sessions.decide()) is not None:
-        out.append(decision)
-    return out
+        decisions.append(decision)
+    return decisions
 
 
-def test_each_set_up_gets_one_answer_and_an_open_id_is_not_taken_twice() -> None:
+def test_each_set_up_gets_one_response_and_an_open_id_is_not_accepted_twice() -> None:
     sessions = SessionTable()
     viewing_id = sessions.on_setup(1, SESSION_ID, "1")
     assert viewing_id is not None and sessions.on_setup(2, SESSION_ID, "1") is None
@@ -170,7 +170,7 @@
     assert not (sessions.by_viewing_id or sessions.by_session_id or sessions.by_conn or sessions.pending)
 
 
-def test_a_connection_that_is_gone_gives_up_what_waits_and_leaves_what_plays() -> None:
+def test_a_closed_connection_drops_pending_set_ups_and_keeps_playing_viewings() -> None:
     sessions = SessionTable()
     plays, waits = sessions.on_setup(1, SESSION_ID, "1"), sessions.on_setup(1, "0" * 16, "1")
     assert plays is not None and waits is not None
@@ -178,12 +178,12 @@
     decisions_of(sessions)
     assert sessions.on_connection_closed(1) == [waits] and sessions.on_connection_closed(1) == []
     sessions.on_ended(plays, 41)
-    assert decisions_of(sessions) == []  # no connection is there to tell it on
+    assert decisions_of(sessions) == []  # no connection is open to send it on
     sessions.on_setup(2, "1" * 16, "1")
     assert decisions_of(sessions) == [Release(2, SESSION_ID, 41)]
 
 
-def test_a_release_goes_where_set_ups_come_from_when_its_own_connection_is_gone() -> None:
+def test_a_release_whose_connection_is_gone_goes_where_set_ups_come_from() -> None:
     sessions = SessionTable()
     viewing_id = sessions.on_setup(1, SESSION_ID, "1")
     assert viewing_id is not None
@@ -195,7 +195,7 @@
     assert decisions_of(sessions) == [Release(2, SESSION_ID, 16)]
 
 
-def test_a_release_goes_to_where_its_viewer_comes_from_else_to_who_carries_most() -> None:
+def test_a_release_prefers_its_viewers_address_then_the_connection_with_most_sessions() -> None:
     sessions = SessionTable()
     for conn, peer in ((1, "10.0.0.1"), (2, "10.0.0.2"), (3, "10.0.0.1"), (4, "10.0.0.9")):
         sessions.on_connection_opened(conn, peer)
@@ -215,7 +215,7 @@
     assert set(sessions.peers) == set()
 
 
-def test_a_release_whose_connection_turned_out_to_be_gone_goes_out_on_another_or_waits() -> None:
+def test_an_undelivered_release_goes_out_on_another_connection_or_waits() -> None:
     sessions = SessionTable()
     viewing_id = sessions.on_setup(1, SESSION_ID, "1")
     assert viewing_id is not None
@@ -234,7 +234,7 @@
     assert decisions_of(sessions) == [Release(3, SESSION_ID, 16)]
 
 
-def test_what_its_viewer_ended_is_owed_no_release() -> None:
+def test_a_viewing_that_its_viewer_ended_gets_no_release() -> None:
     sessions = SessionTable()
     viewing_id = sessions.on_setup(1, SESSION_ID, "1")
     assert viewing_id is not None
@@ -245,7 +245,7 @@
     assert decisions_of(sessions) == []
 
 
-# ---- what is lost ------------------------------------------------------------------------------------------
+# ---- failure detector and send guard -----------------------------------------------------------------------
 
 
 def detector_with_viewing(report_interval: float = 3.0) -> FailureDetector:
@@ -257,14 +257,14 @@
     return detector
 
 
-def test_a_reset_proves_nothing_and_a_refused_connection_does() -> None:
+def test_a_refused_connection_is_a_failure_and_a_reset_is_not() -> None:
     detector = detector_with_viewing()
     detector.on_connection_closed("h")
     assert detector.decide(1.0) == OpenConnection("h")
     detector.on_connecting("h")
     assert detector.decide(1.0) is None
     detector.on_connect_failed(1.1, "h", False)
-    assert detector.decide(1.12) is None  # time ran out, and it was heard a moment ago
+    assert detector.decide(1.12) is None  # a time-out, but the host was heard recently
     assert detector.decide(1.3) == OpenConnection("h")
     detector.on_connecting("h")
     detector.on_connect_failed(1.3, "h", True)
@@ -283,7 +283,7 @@
     assert now > 3.0
 
 
-def test_a_host_that_is_silent_but_takes_connections_is_kept() -> None:
+def test_a_silent_host_that_accepts_connections_is_not_lost() -> None:
     detector = detector_with_viewing()
     for now in (4.0, 8.0, 12.0):
         assert detector.decide(now) == OpenConnection("h")
@@ -292,10 +292,10 @@
         assert detector.decide(now) is None
 
 
-def test_the_list_tells_of_ends_and_new_starts_and_nothing_stays_of_a_host_that_is_over() -> None:
+def test_listed_ends_and_restarts_are_failures_and_a_host_that_is_over_is_forgotten() -> None:
     detector = detector_with_viewing()
     detector.on_host_listed(2.0, "h", False, 1.5)
-    assert detector.decide(2.0) == HostLost("h", 1.5)  # what was set up after its new start stands
+    assert detector.decide(2.0) == HostLost("h", 1.5)  # viewings set up after the restart are kept
     detector.on_host_listed(3.0, "h", True, 1.5)
     assert detector.decide(3.0) == HostLost("h", 3.0)
     detector.on_viewing_ended("h")
@@ -306,24 +306,24 @@
     assert not detector.hosts
 
 
-def test_a_host_that_came_back_gets_a_connection_though_one_of_its_former_life_ends_late() -> None:
-    """Once the count of those on their way fell below none, and no connection was opened for good."""
-    for ends in ("failed", "opened and broke"):
+def test_a_host_that_came_back_gets_a_connection_though_an_earlier_one_ends_late() -> None:
+    """The number of connections being opened became negative, and none was ever opened again."""
+    for late_end in ("failed", "opened and broke"):
         detector = FailureDetector(3.0)
         detector.on_host_listed(0.0, "h", False, 0.0)
         detector.on_connecting("h")
         detector.on_host_listed(1.0, "h", True, 0.0)
         detector.on_host_listed(1.1, "h", False, 1.1)
-        if ends == "failed":
+        if late_end == "failed":
             detector.on_connect_failed(1.2, "h", False)
         else:
             detector.on_connected(1.2, "h")
             detector.on_connection_closed("h")
         detector.on_viewing_started(2.0, "h")
-        assert detector.decide(3.0) == OpenConnection("h"), ends
+        assert detector.decide(3.0) == OpenConnection("h"), late_end
 
 
-def test_the_gate_forgets_hosts_that_nothing_may_be_sent_to_any_more() -> None:
+def test_the_send_guard_forgets_hosts_that_take_no_more_sends() -> None:
     gate = SendGuard(1.0)
     for n in range(50):
         gate.on_host_state(n, f"h{n}", True)
@@ -353,7 +353,7 @@
         self.last_used_at, self.established, self.suspect = last_used_at, established, suspect
 
 
-def test_set_ups_go_to_a_connection_that_is_up_and_undoubted_with_the_fewest() -> None:
+def test_a_set_up_goes_to_the_established_unsuspected_connection_with_fewest_pending() -> None:
     opening, busy, free, suspect = (
         FakeConnection(0, established=False),
         FakeConnection(0, 2),
@@ -366,21 +366,21 @@
     assert lines.choose([suspect, busy], 2, 1.0, 30.0) is None
 
 
-def test_no_set_up_goes_where_the_other_side_may_close_or_a_copy_of_its_last_outcome_may_come() -> None:
+def test_no_set_up_goes_where_the_host_may_close_or_a_duplicate_outcome_may_come() -> None:
     for idle in (0.2, 1.0, 2.0, 30.0):
-        kept = lines.usable_for(idle)
-        assert kept <= idle * 0.9 and kept <= max(idle - 0.25, idle / 2)
+        usable = lines.usable_for(idle)
+        assert usable <= idle * 0.9 and usable <= max(idle - 0.25, idle / 2)
         unused, used = FakeConnection(10.0), FakeConnection(10.0, 1)
-        assert lines.choose([unused], 32, 10.0 + kept - 0.01, idle) is unused
-        assert lines.choose([unused], 32, 10.01 + kept, idle) is None
-        assert lines.choose([unused, used], 32, 10.01 + kept, idle) is used
-        assert lines.expired(10.01 + kept, [unused, used], 0, idle) == [unused]
+        assert lines.choose([unused], 32, 10.0 + usable - 0.01, idle) is unused
+        assert lines.choose([unused], 32, 10.01 + usable, idle) is None
+        assert lines.choose([unused, used], 32, 10.01 + usable, idle) is used
+        assert lines.expired(10.01 + usable, [unused, used], 0, idle) == [unused]
     had, other = FakeConnection(0.0, recent="a"), FakeConnection(0.0, 1)
     assert lines.choose([had, other], 32, 0.0, 30.0, "a") is other
     assert lines.choose([had, other], 32, 0.0, 30.0, "b") is had
 
 
-def test_connections_are_let_go_when_doubted_or_idle_and_never_the_last_one_needed() -> None:
+def test_suspect_or_idle_connections_are_closed_but_never_the_last_one_needed() -> None:
     old, older, busy, opening = (
         FakeConnection(5.0),
         FakeConnection(0.0),
@@ -400,10 +400,10 @@
     ]
 
 
-# ---- pace and life -----------------------------------------------------------------------------------------
+# ---- throttle and lifecycle --------------------------------------------------------------------------------
 
 
-def test_faults_slow_a_connection_down_and_silence_ends_it_within_three_seconds() -> None:
+def test_faults_slow_a_connection_down_and_silence_closes_it_within_three_seconds() -> None:
     throttle = Throttle(10.0)
     assert (
         not throttle.should_close(10.0 + MESSAGE_TIMEOUT_S)
@@ -413,7 +413,7 @@
     throttle.on_data(10.5, True, False)
     assert not throttle.should_close(99.0)
     throttle.on_data(20.0, False, True)
-    throttle.on_data(21.0, False, True)  # half a message does not become younger by another byte
+    throttle.on_data(21.0, False, True)  # a further byte does not extend the time of an incomplete message
     assert throttle.should_close(20.1 + MESSAGE_TIMEOUT_S)
     throttle.on_data(22.0, True, False)
     pauses = []
@@ -427,7 +427,7 @@
     assert throttle.should_close(23.0)
 
 
-def test_faults_are_forgiven_in_time_and_a_connection_on_which_somebody_waits_is_read_on() -> None:
+def test_faults_expire_and_a_connection_with_a_pending_set_up_is_read_soon() -> None:
     throttle = Throttle(0.0)
     for _ in range(12):
         throttle.on_fault(1.0)
@@ -437,13 +437,15 @@
     assert throttle.faults == 1.0 and throttle.pause(60.0, False) == 0.0
 
 
-def test_room_is_made_by_who_needs_a_connection_least() -> None:
+def test_the_connection_that_is_needed_least_is_evicted() -> None:
     now = 9.0 + FIRST_REQUEST_GRACE_S + 0.1
-    mute, idle = (1, False, 0, False, 9.0), (2, True, 0, False, 8.0)
+    silent, idle = (1, False, 0, False, 9.0), (2, True, 0, False, 8.0)
     plays, waits = (3, True, 2, False, 1.0), (4, True, 1, True, 0.0)
     new, newer = (5, False, 0, False, now - FIRST_REQUEST_GRACE_S), (6, False, 0, False, now)
-    assert eviction_candidate(now, [waits, plays, newer, new, idle, mute]) == 1
-    assert eviction_candidate(now, [waits, plays, newer, new, idle]) == 2, "one may be on its way to the new"
+    assert eviction_candidate(now, [waits, plays, newer, new, idle, silent]) == 1
+    assert eviction_candidate(now, [waits, plays, newer, new, idle]) == 2, (
+        "a request may be on its way to the new ones"
+    )
     assert eviction_candidate(now, [waits, plays, newer, new]) == 5
     assert eviction_candidate(now, [waits, plays]) == 3
     assert (
@@ -453,7 +455,7 @@
     )
 
 
-def test_a_gateway_that_ends_answers_what_may_still_come_and_goes_before_it_is_killed() -> None:
+def test_a_terminated_gateway_answers_late_set_ups_and_exits_before_sigkill() -> None:
     lifecycle = Lifecycle(3.0)
     assert not lifecycle.healthy and lifecycle.accepts_setups
     lifecycle.on_serving()
@@ -470,18 +472,18 @@
 
 
 @pytest.mark.parametrize("longest", [0.1, 0.5, 1.0, 3.0, 8.0, 60.0])
-def test_a_gateway_goes_after_the_last_set_up_and_before_the_kill(longest: float) -> None:
-    """Deadlines over 3 s count as 3 s before the kill: one of 60 s once meant staying until it came."""
+def test_a_gateway_exits_after_the_last_set_up_and_before_sigkill(longest: float) -> None:
+    """Patience over 3 s counts as 3 s: with one of 60 s the process used to stay until SIGKILL."""
     lifecycle = Lifecycle(longest)
     lifecycle.on_sigterm(0.0)
-    kill = min(3.0, longest) + 0.7
-    gone = next(t / 100 for t in range(1000) if lifecycle.may_exit(t / 100, 1, 1, 1))
-    calls = next(t / 100 for t in range(1000) if lifecycle.final_responses_due(t / 100))
-    assert 0.7 <= gone <= kill - 0.08 and calls < gone
-    assert calls >= min(longest, 3.0), "what could still be answered in time was not cut short"
+    killed_at = min(3.0, longest) + 0.7
+    exit_at = next(t / 100 for t in range(1000) if lifecycle.may_exit(t / 100, 1, 1, 1))
+    final_at = next(t / 100 for t in range(1000) if lifecycle.final_responses_due(t / 100))
+    assert 0.7 <= exit_at <= killed_at - 0.08 and final_at < exit_at
+    assert final_at >= min(longest, 3.0), "a set-up that could still be answered in time was cut short"
 
 
-# ---- facts -------------------------------------------------------------------------------------------------
+# ---- settings ----------------------------------------------------------------------------------------------
 
 SETTINGS: dict[str, Any] = {
     "categories": [{"name": "clip", "onTime": 800.0, "deadline": 3000, "worth": 1.5, "effect": "repeatable"}],
@@ -530,7 +532,7 @@
 
 
 def pairs(thing: Any, path: str = "") -> list[str]:
-    """The same settings as the simulator's wire writes them."""
+    """Returns the settings as the simulator's wire writes them."""
     if isinstance(thing, dict):
         return [p for k, v in thing.items() for p in pairs(v, f"{path}.{k}" if path else k)]
     if isinstance(thing, list) and thing and isinstance(thing[0], dict):
@@ -545,18 +547,18 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def test_both_doors_derive_the_same_facts_and_decisions() -> None:
+def test_the_simulator_and_the_platform_derive_the_same_facts_and_decisions() -> None:
     flat = pairs(SETTINGS)
-    folded = nested([p.partition("=")[::2] for p in flat])
-    assert facts_from(folded) == facts_from(SETTINGS)
+    nested_settings = nested([p.partition("=")[::2] for p in flat])
+    assert facts_from(nested_settings) == facts_from(SETTINGS)
     rows = [Row(f"h{i}", i, 2.0, "k", "a", "in_service", 0.0) for i in range(6)]
-    told = [f"row\t{r.cell}\t2\tk\t{r.host}\ta\tin_service\t-" for r in rows]
+    row_lines = [f"row\t{r.cell}\t2\tk\t{r.host}\ta\tin_service\t-" for r in rows]
     wire = [
         "batch\t100000\t1",
         "at\t0",
         "create\t7\t" + "\t".join(flat),
         "snapshot_rows\t0\t6",
-        *told,
+        *row_lines,
         "view\twarm_copy\t1\t0",
         "query\t1\t103000\tk\t0\t6\t-\tt1\t0\t2\t-\tclip",
         "end",
@@ -564,12 +566,12 @@
     ]
     out = io.BytesIO()
     assert simhost(io.BytesIO("\n".join(wire).encode()), out, io.StringIO()) == 0
-    gw = Gateway(7, 100.0, *facts_from(json.loads(json.dumps(SETTINGS))))
-    gw.on_host_list(100.0, "warm_copy", rows)
-    gw.on_viewing_request(100.0, 1, "clip", "t1", 0, 6, 2, 103.0)
+    gateway = Gateway(7, 100.0, *facts_from(json.loads(json.dumps(SETTINGS))))
+    gateway.on_host_list(100.0, "warm_copy", rows)
+    gateway.on_viewing_request(100.0, 1, "clip", "t1", 0, 6, 2, 103.0)
     lines = [line for line in out.getvalue().decode().splitlines() if not line.startswith(("notify", "ack"))]
     decisions = []
-    while (decision := gw.decide(100.0)) is not None:
+    while (decision := gateway.decide(100.0)) is not None:
         decisions.append(decision)
     assert [f"{d.viewing_id}\t{d.host}" for d in decisions if isinstance(d, say.TuneIn)] == [
         line.removeprefix("forward\t").rpartition("\t")[0] for line in lines if line.startswith("forward")
@@ -627,14 +629,14 @@
         ("limits", {"sockets": 0}),
     ],
 )
-def test_a_configuration_that_is_wrong_names_its_key(key: str, value: Any) -> None:
+def test_an_invalid_configuration_names_its_key(key: str, value: Any) -> None:
     assert parse_configuration(json.dumps(CONFIG).encode()).sockets == 256
-    with pytest.raises(BadFact) as why:
+    with pytest.raises(BadFact) as error:
         parse_configuration(json.dumps({**CONFIG, key: value}).encode())
-    assert key.partition(".")[0] in str(why.value) or "address" in str(why.value)
+    assert key.partition(".")[0] in str(error.value) or "address" in str(error.value)
 
 
-def test_a_setting_that_is_wrong_names_its_key() -> None:
+def test_an_invalid_setting_names_its_key() -> None:
     with pytest.raises(BadFact, match="rules.warmUp"):
         facts_from({**SETTINGS, "rules": {"warmUp": "soon"}})
     with pytest.raises(BadFact, match="categories"):
@@ -642,17 +644,17 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """The settings with one of them changed, or taken out where the value is `...`."""
-    out = json.loads(json.dumps(SETTINGS))
-    *way, last = path.split(".")
-    at = out
-    for part in way:
-        at = at[int(part)] if isinstance(at, list) else at[part]
-    at.pop(last) if value is ... else at.update({last: value})
-    return dict(out)
+    """Returns the settings with one of them changed, or removed where the value is `...`."""
+    settings = json.loads(json.dumps(SETTINGS))
+    *parents, last = path.split(".")
+    parent = settings
+    for part in parents:
+        parent = parent[int(part)] if isinstance(parent, list) else parent[part]
+    parent.pop(last) if value is ... else parent.update({last: value})
+    return dict(settings)
 
 
-WRONG: list[tuple[str, Any, str]] = [
+INVALID: list[tuple[str, Any, str]] = [
     ("rules.warmUp", -1, ""),
     ("rules.tipAfter", "nan", ""),
     ("prices.crossZone", float("inf"), ""),
@@ -687,8 +689,8 @@
 ]
 
 
-@pytest.mark.parametrize("path, value, named", WRONG)
-def test_a_setting_without_safe_default_out_of_range_or_contradictory_is_named_at_both_doors(
+@pytest.mark.parametrize("path, value, named", INVALID)
+def test_a_missing_out_of_range_or_contradictory_setting_is_named_by_both_programs(
     path: str,
     value: Any,
     named: str,
@@ -709,32 +711,32 @@
     file.write_text(json.dumps({**CONFIG, "settings": conf}))
     monkeypatch.setenv("ROUTER_CONFIG", str(file))
     assert platform() == 2
-    told = capsys.readouterr().err
-    assert f"{named or path}: " in told and told.count("\n") == 1
+    reported = capsys.readouterr().err
+    assert f"{named or path}: " in reported and reported.count("\n") == 1
 
 
-def test_settings_that_nothing_reads_are_ignored_and_a_site_without_warm_up_needs_no_figures_for_it() -> None:
+def test_unknown_settings_are_ignored_and_a_site_without_warm_up_needs_no_settings_for_it() -> None:
     odd = {**SETTINGS, "novel": {"kind": [-1, "x"]}, "rules": {**SETTINGS["rules"], "novel": "nan"}}
     assert facts_from(odd) == facts_from(SETTINGS)
     bare = {key: value for key, value in SETTINGS.items() if key not in ("peersTotal", "ordinal")}
     assert facts_from({**bare, "rules": {"warmUp": 0}})[3].gateways == 1
 
 
-def test_a_row_without_a_readable_cell_keeps_no_other_from_being_heard() -> None:
-    """Once no cell was the first one, and one that could not be read dropped all rows beside it."""
+def test_a_row_with_an_invalid_cell_does_not_affect_other_rows() -> None:
+    """A missing cell used to count as the first one, and an invalid one dropped all rows of its event."""
     plain = {"host_port": "127.0.0.1:9", "phase": "ready", "size": 4}
     members = [{**plain, "id": "a"}, {**plain, "id": "b", "cell": "?"}, {**plain, "id": "c", "cell": 2}]
-    news = parse_host_list({"hosts": {"members": members}}, 0.0)
-    assert news is not None
-    assert [(row.host, row.cell) for row, _ in news[1]] == [("a", UNPLACED), ("b", UNPLACED), ("c", 2)]
+    host_list = parse_host_list({"hosts": {"members": members}}, 0.0)
+    assert host_list is not None
+    assert [(row.host, row.cell) for row, _ in host_list[1]] == [("a", UNPLACED), ("b", UNPLACED), ("c", 2)]
 
 
-def test_rows_carry_the_gateways_clock_and_bounds_fit_the_limits() -> None:
-    told = parse_configuration(json.dumps(CONFIG).encode())
-    news = parse_host_list(told.known_events[0][1], 2.0)
-    assert news is not None and news[0] == "total"
-    assert news[1] == [(Row("s-1", 2, 4.0, "", "", "in_service", 3.0), "127.0.0.1:9")]
-    limits = limits_for(told.memory_mb, told.sockets)
+def test_rows_use_the_gateways_clock_and_resource_limits_fit_the_machine() -> None:
+    configuration = parse_configuration(json.dumps(CONFIG).encode())
+    host_list = parse_host_list(configuration.known_events[0][1], 2.0)
+    assert host_list is not None and host_list[0] == "total"
+    assert host_list[1] == [(Row("s-1", 2, 4.0, "", "", "in_service", 3.0), "127.0.0.1:9")]
+    limits = limits_for(configuration.memory_mb, configuration.sockets)
     assert (
         limits.viewer_connections > 256 // 3
         and limits.viewer_connections + limits.host_connections <= 256 - 24
@@ -742,7 +744,7 @@
     assert limits.pending * 16384 <= 32 << 17
     for sockets in (24, 32, 48, 64, 96, 128, 256, 1024):
         small = limits_for(32.0, sockets)
-        # Guards against idle viewers that leave none for the list, signals, peers, logs, one being accepted.
+        # Idle viewers must leave descriptors for the journal, signals, peers, logs and one being accepted.
         assert small.viewer_connections + small.host_connections <= sockets - 12, sockets
         assert small.viewer_connections >= sockets // 3 or sockets < 64
         assert small.viewer_connections >= 4 and small.host_connections >= 2, sockets
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -1,6 +1,6 @@
-"""The gateway on the platform as a process on loopback, with scripted viewers, media hosts and a journal.
+"""The platform gateway as a process on loopback, with scripted viewers, media hosts and a journal service.
 
-The six rules as far as they can be seen from outside are judged from what crossed the sockets (`judge`).
+`broken_rule` checks the messages on the sockets against those of the six rules that are visible there.
 """
 
 import json
@@ -24,53 +24,53 @@
 from ledgehitch.rehearsal.play import free_ports
 from tests.test_platform import SETTINGS
 
-Log = list[tuple[str, ...]]  # (what, id, more): "asked"; "answer" and status; "start", "end" and host
+Log = list[tuple[str, ...]]  # (event, id, ...): "asked"; "answer" with status; "start" and "end" with host
 BLOB = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\r\nm=audio\r\n"
 
 
-def session_id(n: int) -> str:
-    return f"{n:016x}"
+def session_id(number: int) -> str:
+    return f"{number:016x}"
 
 
 def broken_rule(log: Log) -> str:
-    """What rule was broken, or nothing."""
-    out: dict[str, str] = {}
+    """Returns which rule was broken and by what, "" where none was."""
+    in_flight: dict[str, str] = {}
     answers: dict[str, int] = {}
-    for what, session, *more in log:
-        if what == "start":
-            if session in out:
-                return f"rule 2: {session} is out at {out[session]} and at {more[0]}"
+    for event_name, session, *more in log:
+        if event_name == "start":
+            if session in in_flight:
+                return f"rule 2: {session} is in flight at {in_flight[session]} and at {more[0]}"
             if session not in answers:
-                return f"{session} was never asked for"
-            out[session] = more[0]
-        elif what == "end":
-            out.pop(session, None)
-        elif what == "asked":
+                return f"{session} was never requested"
+            in_flight[session] = more[0]
+        elif event_name == "end":
+            in_flight.pop(session, None)
+        elif event_name == "asked":
             answers[session] = 0
-        elif what == "answer":
+        elif event_name == "answer":
             answers[session] += 1
             if answers[session] > 1:
                 return f"rule 1: {session} was answered twice"
-    missing = [session for session, n in answers.items() if n != 1]
+    missing = [session for session, count in answers.items() if count != 1]
     return f"rule 1: no answer to {missing}" if missing else ""
 
 
 @pytest.mark.parametrize(
-    "log, broken",
+    "log, expected",
     [
         ([("asked", "a"), ("start", "a", "h"), ("start", "a", "i"), ("answer", "a", "200")], "rule 2"),
         ([("asked", "a"), ("answer", "a", "200"), ("answer", "a", "453")], "rule 1"),
         ([("asked", "a")], "rule 1"),
-        ([("start", "a", "h")], "never asked"),
+        ([("start", "a", "h")], "never requested"),
         ([("asked", "a"), ("start", "a", "h"), ("end", "a", "h"), ("answer", "a", "200")], ""),
     ],
 )
-def test_the_judge_sees_broken_rules(log: Log, broken: str) -> None:
-    assert broken in broken_rule(log) and bool(broken_rule(log)) == bool(broken)
+def test_broken_rule_finds_each_violation(log: Log, expected: str) -> None:
+    assert expected in broken_rule(log) and bool(broken_rule(log)) == bool(expected)
 
 
 class FakeMediaHost:
-    """A media host: answers each set-up as `how` says (a list of lines, or raw bytes; None: not at all)."""
+    """A media host that answers each set-up with the bytes that `answer` returns, None for no answer."""
 
     def __init__(self, harness: "Harness", name: str) -> None:
         self.harness, self.name = harness, name
@@ -115,20 +115,20 @@
                         stream.send(hostline.encode("ECHOED", tag, {"load": "x0:0.1;active:1"}, 1))
         except OSError:
             pass
-        for tag, out in list(self.out().items()):
-            if out:
+        for tag, in_flight in list(self.in_flight().items()):
+            if in_flight:
                 self.harness.log.append(("end", tag, self.name))
         stream.close()
 
-    def out(self) -> dict[str, bool]:
-        """Set-ups that have reached this host, and whether the log has no end of them here."""
+    def in_flight(self) -> dict[str, bool]:
+        """Returns the set-ups that have reached this host, each with whether it has not ended here."""
         state: dict[str, bool] = {}
-        for what, session, *more in self.harness.log:
-            if what in ("start", "end") and more[0] == self.name:
-                state[session] = what == "start"
+        for event_name, session, *more in self.harness.log:
+            if event_name in ("start", "end") and more[0] == self.name:
+                state[session] = event_name == "start"
         return state
 
-    def say(self, verb: str, tag: str, fields: Any = None, cause: int | None = None) -> None:
+    def send(self, verb: str, tag: str, fields: Any = None, cause: int | None = None) -> None:
         self.streams[-1].send(hostline.encode(verb, tag, fields or {}, cause))
 
     def reset(self) -> None:
@@ -142,7 +142,7 @@
 
 
 class ViewerClient:
-    """One viewers' connection."""
+    """A viewers' connection to the gateway."""
 
     def __init__(self, harness: "Harness") -> None:
         self.harness = harness
@@ -152,22 +152,25 @@
         self.got: list[rtsp.codec.Message] = []
 
     def send(
-        self, method: str, n: int, cseq: str = "1", title: str = "7f3a", fields: Any = (), body: str = ""
+        self, method: str, number: int, cseq: str = "1", title: str = "7f3a", fields: Any = (), body: str = ""
     ) -> None:
-        at = f"rtsp://media/{title}"
-        self.stream.send(rtsp.request(method, at, cseq, session_id(n), list(fields), body.encode()))
+        target = f"rtsp://media/{title}"
+        self.stream.send(rtsp.request(method, target, cseq, session_id(number), list(fields), body.encode()))
 
-    def set_up(self, n: int, attrs: str = "home:0;copies:6;top:2", **more: Any) -> None:
+    def set_up(self, number: int, attrs: str = "home:0;copies:6;top:2", **more: Any) -> None:
         fields = [("X-Tier", "clip"), ("X-Deadline", "3000"), ("X-Attrs", attrs)]
-        self.harness.log.append(("asked", session_id(n)))
-        self.send("SETUP", n, fields=fields, body=BLOB, **more)
+        self.harness.log.append(("asked", session_id(number)))
+        self.send("SETUP", number, fields=fields, body=BLOB, **more)
 
     def next(self, within: float = 5.0) -> rtsp.codec.Message:
+        """Returns the next message of the gateway; raises `TimedOut`, or `EOFError` where it closed."""
         with self.harness.loop.deadline(within):
             while not self.got:
                 data = self.stream.receive()
                 if not data:
-                    raise EOFError(f"closed; the gateway says: {self.harness.errors.read_text()[-2000:]}")
+                    raise EOFError(
+                        f"closed by the gateway; its log: {self.harness.errors.read_text()[-2000:]}"
+                    )
                 for message in self.reader.feed(data):
                     method, target, fields, _ = message
                     if method == "" and fields.get("cseq") == "1":
@@ -176,13 +179,15 @@
         return self.got.pop(0)
 
     def answer(self, within: float = 5.0) -> tuple[str, str, str]:
-        """Status, id and description of the next message, which is an answer."""
+        """Returns status, id and description of the next message, which must be a response."""
         method, status, fields, body = self.next(within)
         assert method == "", method
         return status, fields.get("session", ""), body.decode()
 
 
 class Harness:
+    """A gateway process with its configuration, media hosts and journal service."""
+
     def __init__(
         self,
         loop: Loop,
@@ -190,23 +195,23 @@
         folder: Path,
         ceilings: dict[str, Any],
         sockets: int = 256,
-        sold: Any = None,
+        package: Any = None,
         rules: Any = None,
         start: bool = True,
     ) -> None:
-        """`sold` changes the package's settings, `rules` those of the rules."""
+        """`package` and `rules` override settings of the package and of the rules."""
         self.loop, self.folder, self.sockets = loop, folder, sockets
         self.ceilings = {**SETTINGS["ceilings"], "peerMessages": True, **ceilings}
-        self.sold = {**SETTINGS["categories"][0], **(sold or {})}
-        # No media host counts as just started, unless a test says so.
+        self.package = {**SETTINGS["categories"][0], **(package or {})}
+        # No media host counts as just started, unless a test overrides this.
         self.rules = {**SETTINGS["rules"], "warmUp": 0, **(rules or {})}
-        self.comments = True  # whether the journal sends a comment now and then
+        self.comments = True  # whether the journal service sends comments
         self.log: Log = []
         self.calls: list[str] = []  # Last-Event-ID of each call to the journal
         self.feeds: list[Stream] = []
         self.hosts = [FakeMediaHost(self, f"s-{i}") for i in range(hosts)]
         self.journal = self.serve_journal()
-        # Not one that the machine gives to whoever asks: a connection of another test may have it by then.
+        # Not an ephemeral port: a connection of another test could be using that by the time it is bound.
         self.listen = f"127.0.0.1:{free_ports(1)[0]}"
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind(("127.0.0.1", 0))
@@ -214,7 +219,7 @@
         self.peers = [self.peer_listen]
         self.path, self.errors = folder / "config.json", folder / "log"
         self.errors.touch()
-        self.write()
+        self.write_config()
         if start:
             self.start()
 
@@ -225,25 +230,25 @@
             self.process = subprocess.Popen(command, env=env, stderr=log, cwd=Path(__file__).parents[1])
 
     def members(self, *changes: tuple[FakeMediaHost, str]) -> list[dict[str, Any]]:
-        told = changes or tuple((host, "ready") for host in self.hosts)
+        listed = changes or tuple((host, "ready") for host in self.hosts)
         return [
             {
-                "id": h.name,
-                "host_port": h.at,
+                "id": host.name,
+                "host_port": host.at,
                 "locality": "a",
                 "flavor": "k",
-                "cell": int(h.name[2:]),
+                "cell": int(host.name[2:]),
                 "phase": phase,
                 "size": 2,
                 "up_since_ms": 0,
             }
-            for h, phase in told
+            for host, phase in listed
         ]
 
-    def write(self) -> None:
+    def write_config(self) -> None:
         hosts = {"revision": 1, "complete": True, "members": self.members()}
         entry = {"pos": 1, "hosts": hosts}
-        settings = {**SETTINGS, "ceilings": self.ceilings, "rules": self.rules, "categories": [self.sold]}
+        settings = {**SETTINGS, "ceilings": self.ceilings, "rules": self.rules, "categories": [self.package]}
         config = {
             "name": "n0",
             "listen": self.listen,
@@ -268,11 +273,13 @@
                 stream = listener.accept()
             except OSError:
                 return
-            asked = stream.receive().decode()
-            if not asked:  # given up before it was heard here
+            request = stream.receive().decode()
+            if not request:  # the gateway closed before it was read here
                 stream.close()
                 continue
-            self.calls.append(next(x for x in asked.split("\r\n") if x.startswith("Last-Event-ID"))[15:])
+            self.calls.append(
+                next(line for line in request.split("\r\n") if line.startswith("Last-Event-ID"))[15:]
+            )
             stream.send(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
             self.feeds.append(stream)
             self.loop.spawn(self._comments, stream)
@@ -287,16 +294,18 @@
             pass
 
     def host_event(self, pos: int, *changes: tuple[FakeMediaHost, str]) -> bytes:
+        """Returns a journal event that changes the phase of media hosts."""
         hosts = {"revision": pos, "complete": False, "members": self.members(*changes)}
         return event(json.dumps({"pos": pos, "hosts": hosts}), number=str(pos))
 
-    def viewers(self) -> ViewerClient:
+    def connect(self) -> ViewerClient:
         return ViewerClient(self)
 
-    def ready(self) -> ViewerClient:
+    def wait_ready(self) -> ViewerClient:
+        """Returns a connection on which the health check has passed."""
         for _ in range(200):
             try:
-                viewer = self.viewers()
+                viewer = self.connect()
                 viewer.send("OPTIONS", 0, "3", "ping")
                 assert viewer.next()[1] == "200"
                 return viewer
@@ -304,22 +313,24 @@
                 self.loop.sleep(0.05)
         raise AssertionError(self.errors.read_text())
 
-    def until(self, what: Callable[[], Any], within: float = 6.0) -> Any:
+    def until(self, condition: Callable[[], Any], within: float = 6.0) -> Any:
+        """Waits until the condition is true and returns its value; fails after `within` seconds."""
         end = time.monotonic() + within
-        while not (seen := what()):
+        while not (value := condition()):
             assert time.monotonic() < end, self.errors.read_text()[-2000:]
             self.loop.sleep(0.02)
-        return seen
+        return value
 
 
 @contextmanager
 def running_gateway(
-    loop: Loop, hosts: int = 2, sockets: int = 256, sold: Any = None, rules: Any = None, **ceilings: Any
+    loop: Loop, hosts: int = 2, sockets: int = 256, package: Any = None, rules: Any = None, **ceilings: Any
 ) -> Iterator[tuple[Harness, ViewerClient]]:
+    """Starts a gateway and yields its harness and a connection to it; checks that it did not crash."""
     with tempfile.TemporaryDirectory() as folder:
-        harness = Harness(loop, hosts, Path(folder), ceilings, sockets, sold, rules)
+        harness = Harness(loop, hosts, Path(folder), ceilings, sockets, package, rules)
         try:
-            yield harness, harness.ready()
+            yield harness, harness.wait_ready()
             assert harness.process.poll() is None or harness.process.returncode == 0
             assert "failed:" not in harness.errors.read_text()
         finally:
@@ -329,6 +340,8 @@
 
 
 def on_loop(test: Callable[[Loop], None]) -> Callable[[], None]:
+    """Decorates a test so that it runs as a task of an event loop."""
+
     def run() -> None:
         loop = Loop()
         loop.run(lambda: test(loop))
@@ -347,36 +360,40 @@
         assert got == [("200", session_id(1), BLOB), ("200", session_id(2), BLOB)] and not broken_rule(
             harness.log
         )
-        host = next(h for h in harness.hosts if h.out().get(session_id(1)))
-        _, _, fields, _, blob = next(m for m in host.received if m[:2] == ("START", session_id(1)))
-        assert blob == BLOB and fields["class"] == "clip" and fields["key"] == "7f3a"
+        host = next(host for host in harness.hosts if host.in_flight().get(session_id(1)))
+        _, _, fields, _, description = next(m for m in host.received if m[:2] == ("START", session_id(1)))
+        assert description == BLOB and fields["class"] == "clip" and fields["key"] == "7f3a"
         assert 0 < int(fields["left"]) <= 3000 and 0 <= int(fields["rung"]) <= 2
-        host.say("FINISH", session_id(1), None, 16)
-        method, _, told, _ = viewer.next()
-        assert (method, told["session"], told["reason"]) == ("TEARDOWN", session_id(1), "cause=16")
-        other = harness.viewers()
-        other.send("TEARDOWN", 2, "2")  # what plays is tied to no connection
+        host.send("FINISH", session_id(1), None, 16)
+        method, _, release, _ = viewer.next()
+        assert (method, release["session"], release["reason"]) == ("TEARDOWN", session_id(1), "cause=16")
+        other = harness.connect()
+        other.send("TEARDOWN", 2, "2")  # a viewing that plays is bound to no connection
         assert other.answer()[0] == "200"
         harness.until(
-            lambda: any(m[:2] == ("FINISH", session_id(2)) for h in harness.hosts for m in h.received)
+            lambda: any(
+                message[:2] == ("FINISH", session_id(2))
+                for host in harness.hosts
+                for message in host.received
+            )
         )
         other.send("TEARDOWN", 2, "2")
         assert other.answer()[0] == "454"
         viewer.set_up(3, "home:0;copies:6;top:2;at:s-1")
-        harness.log.pop()  # one that plays already wants no answer
+        harness.log.pop()  # a viewing that plays already needs no response
         harness.until(lambda: harness.hosts[1].streams)
         loop.sleep(0.1)
-        harness.hosts[1].say("FINISH", session_id(3), None, 16)
+        harness.hosts[1].send("FINISH", session_id(3), None, 16)
         assert viewer.next()[0] == "TEARDOWN"
 
 
 @on_loop
-def test_bad_input_gets_a_refusal_or_a_close_and_harms_nobody(loop: Loop) -> None:
+def test_invalid_input_is_refused_or_closed_without_effect_on_others(loop: Loop) -> None:
     with running_gateway(loop) as (harness, viewer):
         viewer.set_up(1)
         assert viewer.answer()[0] == "200"
         good = [("X-Tier", "clip"), ("X-Deadline", "3000"), ("X-Attrs", "home:0;copies:6;top:2")]
-        wrong = [
+        invalid = [
             ("X-Tier", "gold"),
             ("X-Deadline", "-5"),
             ("X-Deadline", "1e9"),
@@ -388,13 +405,13 @@
             ("X-Attrs", ""),
             ("X-Attrs", "home:0;copies:6;top:2;at:s-nowhere"),
         ]
-        for i, (name, value) in enumerate(wrong):
-            bad = harness.viewers()
-            fields = [(n, value if n == name else held) for n, held in good]
+        for i, (name, value) in enumerate(invalid):
+            bad = harness.connect()
+            fields = [(n, value if n == name else valid) for n, valid in good]
             bad.send("SETUP", 100 + i, fields=fields, body=BLOB)
             assert bad.next()[1] in ("400", "451", "454"), (name, value)
-        bad = harness.viewers()
-        bad.send("SETUP", 1, fields=good, body="another description")  # the id of one that plays
+        bad = harness.connect()
+        bad.send("SETUP", 1, fields=good, body="another description")  # the id of a viewing that plays
         assert bad.next()[1] == "400"
         for raw in (
             b"\x00\x01noise\r\n\r\n",
@@ -404,62 +421,66 @@
             b"SETUP rtsp://media/a RTSP/1.0\r\nCSe",
             b"",
         ):
-            bad = harness.viewers()
+            bad = harness.connect()
             try:
                 bad.stream.send(raw)
                 bad.next(3.0)
             except (OSError, EOFError):
                 continue
-        silent = [harness.viewers() for _ in range(180)]  # more than there is room for
+        silent = [harness.connect() for _ in range(180)]  # more than the limit
         viewer.set_up(2)
         assert viewer.answer()[0] == "200"
-        reached = [e[1] for e in harness.log if e[0] == "start"]
-        assert reached == [session_id(1), session_id(2)], "none of it reached a media host"
+        reached = [entry[1] for entry in harness.log if entry[0] == "start"]
+        assert reached == [session_id(1), session_id(2)], "an invalid set-up reached a media host"
         with loop.deadline(3.0):
-            for mute in silent:
+            for connection in silent:
                 try:
-                    assert mute.stream.receive() == b""
+                    assert connection.stream.receive() == b""
                 except OSError:
                     continue
-        host = next(h for h in harness.hosts if h.out().get(session_id(1)))
-        host.say("FINISH", session_id(1), None, 16)
+        host = next(host for host in harness.hosts if host.in_flight().get(session_id(1)))
+        host.send("FINISH", session_id(1), None, 16)
         assert viewer.next()[2]["session"] == session_id(1)
 
 
 @on_loop
-def test_spoilt_second_and_late_answers_of_media_hosts(loop: Loop) -> None:
+def test_malformed_duplicate_and_late_answers_of_media_hosts(loop: Loop) -> None:
     with running_gateway(loop) as (harness, viewer):
-        spoilt = [
+        malformed = [
             b"noise\n",
             b'{"verb":"STARTED","tag":"%s","blob":"' % session_id(1).encode() + b"x" * 40000,
             hostline.encode("FINISH", session_id(1), {}, 47),
         ]
-        for h in harness.hosts:
-            h.answer = lambda tag: (
-                spoilt.pop(0) if spoilt else hostline.encode("STARTED", tag, {}, None, BLOB)
+        for host in harness.hosts:
+            host.answer = lambda tag: (
+                malformed.pop(0) if malformed else hostline.encode("STARTED", tag, {}, None, BLOB)
             )
         viewer.set_up(1)
-        status, who, body = viewer.answer()
+        status, answered, body = viewer.answer()
         assert (
-            who == session_id(1)
+            answered == session_id(1)
             and (status, body) in (("200", BLOB), ("453", ""))
             and not broken_rule(harness.log)
         )
-        stranger = hostline.encode("STARTED", session_id(99), {}, None, BLOB)
-        for h in harness.hosts:
-            h.answer = lambda tag: stranger + 2 * hostline.encode("STARTED", tag, {}, None, BLOB)
+        unsolicited = hostline.encode("STARTED", session_id(99), {}, None, BLOB)
+        for host in harness.hosts:
+            host.answer = lambda tag: unsolicited + 2 * hostline.encode("STARTED", tag, {}, None, BLOB)
         viewer.set_up(2)
         assert viewer.answer() == ("200", session_id(2), BLOB)
         harness.until(
-            lambda: any(m[:2] == ("FINISH", session_id(99)) for h in harness.hosts for m in h.received)
+            lambda: any(
+                message[:2] == ("FINISH", session_id(99))
+                for host in harness.hosts
+                for message in host.received
+            )
         )
-        for h in harness.hosts:
-            h.answer = lambda tag: None  # not in time
+        for host in harness.hosts:
+            host.answer = lambda tag: None  # none in time
         viewer.set_up(3)
         assert viewer.answer()[:2] == ("453", session_id(3)) and not broken_rule(harness.log)
-        host = next(h for h in harness.hosts if session_id(3) in h.out() and h.streams)
+        host = next(host for host in harness.hosts if session_id(3) in host.in_flight() and host.streams)
         seen = len(host.received)
-        host.say("STARTED", session_id(3))
+        host.send("STARTED", session_id(3))
         harness.until(lambda: any(m[:2] == ("FINISH", session_id(3)) for m in host.received[seen:]))
         assert not broken_rule(harness.log)
         loop.sleep(0.2)
@@ -467,16 +488,19 @@
 
 
 @on_loop
-def test_a_reset_loses_nothing_and_a_death_is_told(loop: Loop) -> None:
+def test_a_reset_keeps_viewings_and_a_dead_host_releases_them(loop: Loop) -> None:
     with running_gateway(loop, hosts=1) as (harness, viewer):
         viewer.set_up(1)
         assert viewer.answer()[0] == "200"
         host = harness.hosts[0]
         before = host.accepted
         host.reset()
-        harness.until(lambda: host.accepted > before)  # opened anew, since releases come there
+        harness.until(lambda: host.accepted > before)  # reconnects, since releases come on that connection
         viewer.set_up(2)
-        assert viewer.answer()[0] in ("200", "453")  # a host that reset may be cold: few set-ups go there
+        assert viewer.answer()[0] in (
+            "200",
+            "453",
+        )  # a host that reset may be warming up: few set-ups go there
         host.kill()
         lost = {viewer.next()[2]["session"]}
         assert session_id(1) in lost | {m[2]["session"] for m in viewer.got} or viewer.next()[2][
@@ -485,35 +509,37 @@
 
 
 @on_loop
-def test_the_journal_is_followed_over_breaks_doubles_and_a_new_address(loop: Loop) -> None:
+def test_the_journal_is_followed_over_breaks_duplicates_and_a_new_address(loop: Loop) -> None:
     with running_gateway(loop) as (harness, viewer):
         first = harness.until(lambda: harness.feeds)[0]
         assert harness.calls == ["1"]
         first.send(harness.host_event(2, (harness.hosts[0], "draining")) * 2)
-        first.send(harness.host_event(3, (harness.hosts[0], "gone"))[:40])  # breaks off in the middle
+        first.send(harness.host_event(3, (harness.hosts[0], "gone"))[:40])  # cut off in the middle
         loop.sleep(0.1)
         first.close()
         second = harness.until(lambda: harness.feeds[1:])[0]
         assert harness.calls == ["1", "2"]
-        second.send(harness.host_event(2, (harness.hosts[0], "ready")))  # told before: it does not come back
+        second.send(
+            harness.host_event(2, (harness.hosts[0], "ready"))
+        )  # a duplicate: the host stays draining
         loop.sleep(0.1)
         for n in range(1, 4):
             viewer.set_up(n)
             assert viewer.answer()[0] == "200"
-        assert not harness.hosts[0].out() and not broken_rule(harness.log)
-        was = json.loads(harness.path.read_text())
+        assert not harness.hosts[0].in_flight() and not broken_rule(harness.log)
+        valid = json.loads(harness.path.read_text())
         harness.path.write_text("{")
         harness.process.send_signal(signal.SIGHUP)
         harness.until(lambda: "reload-failed" in harness.errors.read_text())
-        # Once the addresses of a file were taken whose settings no gateway would start with.
+        # A reload used to take addresses from a file with whose settings no gateway would start.
         rules = {**SETTINGS["rules"], "warmUp": "soon"}
-        wrong = {**was, "journal": "127.0.0.1:9", "settings": {**SETTINGS, "rules": rules}}
+        wrong = {**valid, "journal": "127.0.0.1:9", "settings": {**SETTINGS, "rules": rules}}
         harness.path.write_text(json.dumps(wrong))
         harness.process.send_signal(signal.SIGHUP)
         harness.until(lambda: "rules.warmUp" in harness.errors.read_text())
         assert "journal=127.0.0.1:9" not in harness.errors.read_text()
         harness.journal = harness.serve_journal()
-        harness.write()
+        harness.write_config()
         harness.process.send_signal(signal.SIGHUP)
         third = harness.until(lambda: harness.feeds[2:])[0]
         assert harness.calls == ["1", "2", "2"]
@@ -521,19 +547,19 @@
         released = {viewer.next()[2]["session"] for _ in range(3)}
         assert released == {session_id(1), session_id(2), session_id(3)}
         viewer.set_up(4)
-        assert viewer.answer(2.0)[0] == "453", "no media host is left, and it is said at once"
+        assert viewer.answer(2.0)[0] == "453", "without media hosts a set-up is refused at once"
 
 
 @on_loop
-def test_sigterm_answers_what_was_taken_and_ends(loop: Loop) -> None:
+def test_sigterm_answers_accepted_set_ups_and_exits(loop: Loop) -> None:
     with running_gateway(loop) as (harness, viewer):
-        for h in harness.hosts:
-            h.answer = lambda tag: None
+        for host in harness.hosts:
+            host.answer = lambda tag: None
         viewer.set_up(1)
-        harness.until(lambda: any(h.received for h in harness.hosts))
+        harness.until(lambda: any(host.received for host in harness.hosts))
         harness.process.send_signal(signal.SIGTERM)
         harness.until(lambda: "ends" in harness.errors.read_text())
-        late = harness.viewers()
+        late = harness.connect()
         late.send("OPTIONS", 0, "3", "ping")
         assert late.next()[1] == "503"
         late.set_up(2)
@@ -544,11 +570,11 @@
 
 
 @on_loop
-def test_words_of_strangers_are_dropped_and_a_fault_free_gateway_goes_on(loop: Loop) -> None:
+def test_datagrams_of_unknown_senders_are_dropped(loop: Loop) -> None:
     with running_gateway(loop) as (harness, viewer):
         stranger = Datagrams(loop, endpoint("127.0.0.1:0"))
-        for words in (b"", b"\x00" * 300, b"odd", b"\x00\x01\x00\x01"):
-            assert stranger.send(words, endpoint(harness.peer_listen))
+        for datagram in (b"", b"\x00" * 300, b"odd", b"\x00\x01\x00\x01"):
+            assert stranger.send(datagram, endpoint(harness.peer_listen))
         viewer.set_up(1)
         assert viewer.answer()[0] == "200"
         viewer.send("TEARDOWN", 1, "2")
@@ -559,23 +585,31 @@
 
 
 @on_loop
-def test_what_a_viewer_gives_up_is_given_up_at_the_media_host(loop: Loop) -> None:
+def test_a_set_up_that_its_viewer_cancels_is_cancelled_at_the_media_host(loop: Loop) -> None:
     with running_gateway(loop) as (harness, viewer):
-        for h in harness.hosts:
-            h.answer = lambda tag: None
+        for host in harness.hosts:
+            host.answer = lambda tag: None
         viewer.set_up(1)
-        harness.until(lambda: any(h.out() for h in harness.hosts))
+        harness.until(lambda: any(host.in_flight() for host in harness.hosts))
         viewer.send("TEARDOWN", 1, "2")
         assert viewer.answer()[0] == "200"
         harness.until(
-            lambda: any(m[:2] == ("FINISH", session_id(1)) for h in harness.hosts for m in h.received)
+            lambda: any(
+                message[:2] == ("FINISH", session_id(1))
+                for host in harness.hosts
+                for message in host.received
+            )
         )
-        gone = harness.viewers()
+        gone = harness.connect()
         gone.set_up(2)
-        harness.until(lambda: any(session_id(2) in h.out() for h in harness.hosts))
+        harness.until(lambda: any(session_id(2) in host.in_flight() for host in harness.hosts))
         gone.stream.close()
         harness.until(
-            lambda: any(m[:2] == ("FINISH", session_id(2)) for h in harness.hosts for m in h.received)
+            lambda: any(
+                message[:2] == ("FINISH", session_id(2))
+                for host in harness.hosts
+                for message in host.received
+            )
         )
         with pytest.raises(TimedOut):
             viewer.next(0.3)
@@ -585,36 +619,36 @@
     return None
 
 
-def turned_away(tag: str) -> bytes:
+def host_full(tag: str) -> bytes:
     return hostline.encode("FINISH", tag, {"load": "x0:1.2;active:30"}, 34)
 
 
 @on_loop
-def test_where_nothing_fits_viewers_are_told_at_once_and_when_to_come_back(loop: Loop) -> None:
-    """Full media hosts, then ones that answer nothing: there once held for 2.97 of 3 s, and nothing sent."""
+def test_without_capacity_viewers_are_refused_early_with_a_retry_after(loop: Loop) -> None:
+    """Media hosts are full, then silent; a set-up used to wait for 2.97 of its 3 s without being sent."""
     for silent, within in ((False, 0.8), (True, 2.6)):
         with running_gateway(loop, retryAfter=True, maxRetryAfter=400) as (harness, viewer):
-            for h in harness.hosts:
-                h.echoes, h.answer = not silent, no_answer if silent else turned_away
+            for host in harness.hosts:
+                host.echoes, host.answer = not silent, no_answer if silent else host_full
             began = time.monotonic()
             viewer.set_up(1)
             _, status, fields, _ = viewer.next()
             took = time.monotonic() - began
             assert (status, fields["session"], fields["retry-after"]) == ("453", session_id(1), "0.400")
             assert took < within and not broken_rule(harness.log)
-            assert any(what == "start" for what, *_ in harness.log), "somebody was tried"
+            assert any(event_name == "start" for event_name, *_ in harness.log), "no media host was tried"
 
 
-def test_a_configuration_that_is_missing_or_wrong_ends_with_one_line() -> None:
+def test_a_missing_or_invalid_configuration_is_reported_in_one_line() -> None:
     with tempfile.TemporaryDirectory() as folder:
         wrong = Path(folder) / "config.json"
         wrong.write_text('{"listen": 5}')
         for path in (str(wrong), "", folder + "/none"):
-            done = subprocess.run(
+            finished = subprocess.run(
                 [sys.executable, "-m", "ledgehitch.platform"],
                 env={**os.environ, "ROUTER_CONFIG": path},
                 capture_output=True,
                 timeout=20,
                 cwd=Path(__file__).parents[1],
             )
-            assert done.returncode == 2 and done.stderr.count(b"\n") == 1, done.stderr
+            assert finished.returncode == 2 and finished.stderr.count(b"\n") == 1, finished.stderr
