--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -40,6 +40,8 @@
 
 
 class RunningGateway:
+    """The parts of a gateway process and their wiring."""
+
     def __init__(self, loop: Loop, configuration: Configuration, path: str) -> None:
         now = time.monotonic()
         self.loop, self.path = loop, path
@@ -49,7 +51,7 @@
         allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         sockets = configuration.sockets if allowed < 0 else min(configuration.sockets, allowed)
         reach, limits = reach_of(configuration.settings), limits_for(configuration.memory_mb, sockets)
-        brain = Gateway(configuration.seed, now, *facts)
+        gateway = Gateway(configuration.seed, now, *facts)
         self.lifecycle = Lifecycle(max((package.patience for package in packages), default=0.0))
         detector, sessions = FailureDetector(fleet.told_every), SessionTable()
         hosts = HostConnections(
@@ -57,7 +59,7 @@
         )
         self.peers: PeerChannel | None = None
         self.controller = Controller(
-            loop, brain, sessions, SendGuard(terms.drain_grace), detector, hosts, self._send_to_peer
+            loop, gateway, sessions, SendGuard(terms.drain_grace), detector, hosts, self._send_to_peer
         )
         if configuration.peer_listen and terms.may_tell:
             self.peers = PeerChannel(
@@ -108,7 +110,7 @@
 
     def start(self) -> None:
         viewers, spawn = self.controller.viewers, self.loop.spawn
-        spawn(viewers.serve, self.listener, name="front")
+        spawn(viewers.serve, self.listener, name="viewer-server")
         self.journal.start()
         if self.peers is not None:
             spawn(self.peers.run, name="peers")
@@ -128,7 +130,7 @@
 
     def log_counts(self) -> None:
         controller, viewers, hosts = self.controller, self.controller.viewers, self.controller.hosts
-        aside = sum(host.aside_until > self.loop.now for host in controller.brain.hosts.values())
+        aside = sum(host.aside_until > self.loop.now for host in controller.gateway.hosts.values())
         try:
             with open("/proc/self/statm") as pages:
                 resident_kb = int(pages.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") >> 10
--- a/ledgehitch/platform/bounds.py
+++ b/ledgehitch/platform/bounds.py
@@ -5,6 +5,8 @@
 
 @dataclass(frozen=True)
 class ResourceLimits:
+    """Upper limits on the connections, set-ups and viewings of a gateway."""
+
     viewer_connections: int
     host_connections: int
     send_buffer_bytes: int  # unsent bytes of one connection
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -1,16 +1,15 @@
-"""Executes the decisions of the module over the platform's two protocols and reports the outcomes back.
+"""Executes the decisions of `brain.Gateway` over the platform's two protocols and reports the outcomes back.
 
-Each input goes at once to the module (`brain.Gateway`), to the session table (which viewer is owed which
-response) and to the failure detector (which media hosts lost their viewings). Once a turn of the loop all
-three are then asked for their decisions until none is left. A decision that cannot be executed becomes an
-outcome.
+Each input goes at once to that module, to the session table (which viewer is owed which response) and to the
+failure detector (which media hosts lost their viewings). Once a turn of the loop the decisions of all three
+are then executed until none is left. A decision that cannot be executed is reported as an outcome.
 """
 
 import math
 import time
 from collections.abc import Callable
 
-from ledgehitch import interface as say
+from ledgehitch import interface
 from ledgehitch.brain import Gateway
 from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.interface import Outcome, Package, Row
@@ -23,6 +22,7 @@
 from ledgehitch.platform.log import log
 from ledgehitch.platform.lost import FailureDetector, OpenConnection
 
+# By the cause that a media host gives.
 OUTCOMES = {
     16: Outcome.OK,
     31: Outcome.CANCELLED,
@@ -30,7 +30,7 @@
     41: Outcome.RESET,
     47: Outcome.ERROR,
     102: Outcome.MOOT,
-}  # by the cause that a media host gives
+}
 REPORT_KINDS = {"kept_up": 1, "tier": 2, "wire": 3, "trunk": 4}
 CAUSE_HOST_LOST = 41  # in releases to viewers whose media host was lost
 
@@ -67,19 +67,21 @@
 
 
 class Controller:
+    """Connects the decision module with viewers, media hosts, the journal and peers."""
+
     def __init__(
         self,
         loop: Loop,
-        brain: Gateway,
+        gateway: Gateway,
         sessions: SessionTable,
         guard: SendGuard,
         detector: FailureDetector,
         hosts: HostConnections,
         send_to_peer: Callable[[bytes, int], None],
     ) -> None:
-        self.loop, self.brain, self.sessions, self.guard, self.detector = (
+        self.loop, self.gateway, self.sessions, self.guard, self.detector = (
             loop,
-            brain,
+            gateway,
             sessions,
             guard,
             detector,
@@ -100,7 +102,7 @@
         """Executes all decisions that are due and returns when it has to run again."""
         while True:
             now = time.monotonic()
-            while (decision := self.brain.decide(now)) is not None:
+            while (decision := self.gateway.decide(now)) is not None:
                 self._execute(now, decision)
             done = not self._failed
             failed, self._failed = self._failed, []
@@ -127,31 +129,31 @@
                             self.sessions.on_release_failed(due)
             if done:
                 break
-        return min(self.brain.wake_at() or math.inf, self.detector.wake_at())
+        return min(self.gateway.wake_at() or math.inf, self.detector.wake_at())
 
-    def _execute(self, now: float, decision: say.Decision) -> None:
+    def _execute(self, now: float, decision: interface.Decision) -> None:
         match decision:
-            case say.TuneIn(viewing_id, host, within):
+            case interface.TuneIn(viewing_id, host, within):
                 self._tune_in(now, viewing_id, host, within)
-            case say.SetRung(viewing_id, rung):
+            case interface.SetRung(viewing_id, rung):
                 viewing = self.viewings[viewing_id]
                 viewing.rung = rung
                 if viewing.plays:
                     self.hosts.set_rung(viewing.host, viewing.session_id, viewing.connection, rung)
-            case say.Block(viewing_id, stay_away):
+            case interface.Block(viewing_id, stay_away):
                 self._remove(viewing_id)
                 self.sessions.on_blocked(viewing_id, stay_away)
-            case say.Abort(viewing_id):
+            case interface.Abort(viewing_id):
                 self._remove(viewing_id)
                 self.sessions.on_aborted(viewing_id)
-            case say.Probe(host):
+            case interface.Probe(host):
                 self.count("probes")
                 if not self.hosts.probe(host):
                     failed = Outcome.CONNECT_FAILED
-                    self._failed.append(lambda: self.brain.on_probe_result(now, host, failed, 0.0))
-            case say.Tell(message, recipient):
+                    self._failed.append(lambda: self.gateway.on_probe_result(now, host, failed, 0.0))
+            case interface.Tell(message, recipient):
                 self.send_to_peer(message, recipient)
-            case say.Subscribe():
+            case interface.Subscribe():
                 pass  # the journal is followed all the time
 
     def _tune_in(self, now: float, viewing_id: int, host: str, within: float) -> None:
@@ -208,7 +210,7 @@
             return None
         try:
             self.guard.check_delayed_send(now, viewing_id, connection.host)
-            if not self.brain.confirm_delayed_send(now, viewing_id):
+            if not self.gateway.confirm_delayed_send(now, viewing_id):
                 raise SendForbidden(4, f"{connection.host} accepts no further set-up now")
         except SendForbidden as error:
             log("held-too-long", vw=viewing_id, host=connection.host, why=error)
@@ -253,7 +255,7 @@
         self.count("asked")
         self.viewings[viewing_id] = Viewing(session_id, package, title, description)
         self.guard.on_viewing_request(viewing_id, package, patience)
-        self.brain.on_viewing_request(now, viewing_id, package.name, title, first, spread, top, patience)
+        self.gateway.on_viewing_request(now, viewing_id, package.name, title, first, spread, top, patience)
         self.schedule()
         return True
 
@@ -280,7 +282,7 @@
         viewing.host, viewing.plays, viewing.started_at, viewing.tune_ins = host, True, now, 1
         self.guard.on_viewing_request(viewing_id, package, now + package.patience)
         self.detector.on_viewing_started(now, host)
-        self.brain.on_viewing_handover(now, viewing_id, package.name, title, first, spread, top, host)
+        self.gateway.on_viewing_handover(now, viewing_id, package.name, title, first, spread, top, host)
         self.schedule()
         return True
 
@@ -305,12 +307,15 @@
         for viewing_id, viewing in list(self.viewings.items()):
             if viewing.in_flight and viewing.connection is not None:
                 self._on_timeout(viewing_id)
-        self.brain.expire_waiting(now)
+        self.gateway.expire_waiting(now)
         self.schedule()
 
     def on_connection_closed(self, conn: int) -> None:
-        """A viewers' connection ended. The module is told before its next decision, so that no tune-in begins
-        for a viewer who has gone."""
+        """A viewers' connection ended.
+
+        The decision module is notified before its next decision, so that no tune-in begins for a viewer that
+        has gone.
+        """
         now = time.monotonic()
         for viewing_id in self.sessions.on_connection_closed(conn):
             self._on_viewer_left(now, viewing_id)
@@ -321,7 +326,7 @@
         viewing = self.viewings.get(viewing_id)
         if viewing is None:
             return
-        self.brain.on_viewer_left(now, viewing_id)
+        self.gateway.on_viewer_left(now, viewing_id)
         if viewing.in_flight and viewing.connection is not None:
             self.hosts.cancel(viewing.connection, viewing.session_id, False)
             self._on_tune_in_end(
@@ -360,7 +365,7 @@
         viewing.plays, viewing.started_at, viewing.description = True, viewing.sent_at, ""
         self.guard.on_tune_in_outcome(viewing_id, Outcome.OK)
         self.detector.on_viewing_started(now, host)
-        self.brain.on_tune_in_success(now, viewing_id, host, viewing.tune_ins - 1, now - viewing.sent_at)
+        self.gateway.on_tune_in_success(now, viewing_id, host, viewing.tune_ins - 1, now - viewing.sent_at)
         self.sessions.on_playing(viewing_id, description)
         self.schedule()
 
@@ -411,12 +416,12 @@
         found = self._find(session_id)
         kind = REPORT_KINDS.get(note)
         if kind is not None:
-            self.brain.on_report(now, found[0] if found is not None else 0, host, kind, value)
+            self.gateway.on_report(now, found[0] if found is not None else 0, host, kind, value)
             self.schedule()
 
     def on_probe_result(self, now: float, host: str, passed: bool, took: float, loads: list[float]) -> None:
         outcome = Outcome.OK if passed else Outcome.RESET
-        self.brain.on_probe_result(now, host, outcome, took, loads)
+        self.gateway.on_probe_result(now, host, outcome, took, loads)
         self.schedule()
 
     # ---- the list of media hosts, and peers ----------------------------------------------------------------
@@ -433,11 +438,11 @@
             self.guard.on_host_state(now, row.host, row.state == "in_service")
             self.hosts.on_host_listed(row.host, address, gone, row.started)
             self.detector.on_host_listed(now, row.host, gone, row.started)
-        self.brain.on_host_list(now, how, [row for row, _ in rows])
+        self.gateway.on_host_list(now, how, [row for row, _ in rows])
         self.schedule()
 
     def on_peer_message(self, now: float, message: bytes) -> None:
-        self.brain.on_peer_message(now, message)
+        self.gateway.on_peer_message(now, message)
         self.schedule()
 
     # ---- ends ----------------------------------------------------------------------------------------------
@@ -466,7 +471,7 @@
             viewing.connection = None
         self.count(outcome.name.lower())
         self.guard.on_tune_in_outcome(viewing_id, outcome)
-        self.brain.on_tune_in_end(now, viewing_id, closed, outcome, host, latency, tune_in, loads or ())
+        self.gateway.on_tune_in_end(now, viewing_id, closed, outcome, host, latency, tune_in, loads or ())
         self.schedule()
 
     def _on_viewing_end(
@@ -475,7 +480,7 @@
         """A viewing that played has ended."""
         viewing = self.viewings[viewing_id]
         self.detector.on_viewing_ended(viewing.host)
-        self.brain.on_tune_in_end(
+        self.gateway.on_tune_in_end(
             now,
             viewing_id,
             True,
--- a/ledgehitch/platform/desk.py
+++ b/ledgehitch/platform/desk.py
@@ -42,6 +42,8 @@
 
 
 class Session:
+    """One session: a pending set-up or a viewing that plays."""
+
     __slots__ = ("viewing_id", "session_id", "conn", "cseq", "plays", "peer")
 
     def __init__(
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -78,6 +78,8 @@
 
 
 class ViewerConnection:
+    """State of one viewers' connection."""
+
     __slots__ = ("number", "stream", "writer", "throttle", "reader", "task", "last_heard_at")
 
     def __init__(self, number: int, stream: Stream, now: float) -> None:
@@ -90,6 +92,8 @@
 
 
 class ViewerServer:
+    """Accepts viewers' connections and exchanges messages on them."""
+
     def __init__(
         self,
         loop: Loop,
--- a/ledgehitch/platform/hosts.py
+++ b/ledgehitch/platform/hosts.py
@@ -108,6 +108,8 @@
 
 
 class HostConnections:
+    """All connections to media hosts."""
+
     def __init__(
         self,
         loop: Loop,
--- a/ledgehitch/platform/journal.py
+++ b/ledgehitch/platform/journal.py
@@ -22,6 +22,8 @@
 
 
 class JournalClient:
+    """Follows the journal and passes its host lists on to the controller."""
+
     def __init__(self, loop: Loop, controller: Controller, address: str, pos: int, seed: int) -> None:
         self.loop, self.controller, self.address, self.pos = loop, controller, address, pos
         self.random = random.Random(seed)
--- a/ledgehitch/platform/life.py
+++ b/ledgehitch/platform/life.py
@@ -4,10 +4,12 @@
 
 LATE_SETUPS_S = 0.7  # after SIGTERM in which set-ups may still arrive, by the platform's specification
 MAX_PATIENCE_S = 3.0  # that the longest patience counts as at most, by the same
-EXIT_MARGIN_S = 0.3  # kept free before SIGKILL, and for the last responses to go out before the exit
+EXIT_MARGIN_S = 0.3  # left before SIGKILL, and for the last responses to go out before the exit
 
 
 class Lifecycle:
+    """Tracks readiness and termination of the process."""
+
     def __init__(self, longest_patience: float) -> None:
         self.longest_patience = min(MAX_PATIENCE_S, longest_patience)
         self.ready = False
--- a/ledgehitch/platform/lines.py
+++ b/ledgehitch/platform/lines.py
@@ -14,6 +14,8 @@
 
 
 class Connection(Protocol):
+    """The part of a connection that these decisions use."""
+
     pending: dict[str, None]
     recent: dict[str, None]
     suspect: bool
--- a/ledgehitch/platform/lost.py
+++ b/ledgehitch/platform/lost.py
@@ -4,7 +4,7 @@
 there came to its end after a new connection was refused, or after the list said that the host was gone. So
 either counts as a failure at once. A reset or a closed connection proves nothing, since the host may have
 closed that connection only. Viewings are lost at a host that refuses connections, that the list calls gone or
-restarted since, or that was silent for long while new connections were never established. Releases come on
+restarted since, or that were silent for long while new connections were never established. Releases come on
 the next connection that is opened, so one is opened to each host that has viewings and no connection.
 """
 
@@ -36,6 +36,8 @@
 
 
 class _HostState:
+    """What is known of one media host."""
+
     __slots__ = (
         "viewings",
         "connections",
@@ -61,6 +63,8 @@
 
 
 class FailureDetector:
+    """Tracks connections to media hosts and the viewings that play there."""
+
     def __init__(self, report_interval: float) -> None:
         """`report_interval`: seconds between reports of a host that plays viewings of this gateway, 0 where
         hosts send none."""
--- a/ledgehitch/platform/peers.py
+++ b/ledgehitch/platform/peers.py
@@ -9,6 +9,8 @@
 
 
 class PeerChannel:
+    """Sends messages to other gateways and receives theirs."""
+
     def __init__(
         self, loop: Loop, listen: str, peers: tuple[str, ...], on_message: Callable[[float, bytes], None]
     ) -> None:
--- a/ledgehitch/platform/pipe.py
+++ b/ledgehitch/platform/pipe.py
@@ -7,6 +7,8 @@
 
 
 class BufferedWriter:
+    """Writes to a stream without blocking."""
+
     def __init__(
         self,
         loop: Loop,
--- a/ledgehitch/platform/told.py
+++ b/ledgehitch/platform/told.py
@@ -17,6 +17,8 @@
 
 @dataclass(frozen=True)
 class Configuration:
+    """The checked configuration; `settings` holds what `ledgehitch.facts` reads."""
+
     name: str
     listen: str
     seed: int
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,8 +9,7 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from ledgehitch import hostline, rtsp
-from ledgehitch import interface as say
+from ledgehitch import hostline, interface, rtsp
 from ledgehitch.brain import Gateway
 from ledgehitch.facts import BadFact, facts_from, nested, reach_of
 from ledgehitch.gate import SendForbidden, SendGuard
@@ -573,7 +572,7 @@
     decisions = []
     while (decision := gateway.decide(100.0)) is not None:
         decisions.append(decision)
-    assert [f"{d.viewing_id}\t{d.host}" for d in decisions if isinstance(d, say.TuneIn)] == [
+    assert [f"{d.viewing_id}\t{d.host}" for d in decisions if isinstance(d, interface.TuneIn)] == [
         line.removeprefix("forward\t").rpartition("\t")[0] for line in lines if line.startswith("forward")
     ]
     assert len(decisions) == len(lines) - 1 > 0
