--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -25,9 +25,8 @@
 from tests.test_platform_sockets import BLOB, FakeMediaHost, Harness, ViewerClient, on_loop
 
 WINDOW_S, WARM_UP_S, PLACES = 2.0, 12.0, 150
-ALLOWED = (
-    3 * 0.4 * PLACES * WINDOW_S / WARM_UP_S
-)  # set-ups in a window right after the start, by the settings
+# Set-ups in a window right after the start, by the settings.
+ALLOWED = 3 * 0.4 * PLACES * WINDOW_S / WARM_UP_S
 READY_WITHIN_S = 10.0  # for nine in ten of the gateways that were started
 BUSY_INTERVAL_S, QUIET_INTERVAL_S = 0.03, 0.4  # between set-ups at a gateway
 
@@ -55,6 +54,8 @@
 
 
 class GatewayFleet:
+    """Gateway processes with one media host and one journal service."""
+
     def __init__(self, loop: Loop, folder: Path, n: int) -> None:
         self.loop, self.folder, self.n = loop, folder, n
         self.harness = Harness(loop, 0, folder, {"peerMessages": False}, start=False)
