--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -456,7 +456,7 @@
         rig.run(script)
         for what, (since, until, who) in windows.items():
             out[what] = round(rig.let_in(since, until, who) / (until - since) / 20.0, 3)
-        out["broken"] = [f"{b.promise}: {b.what}" for b in rig.over_budget()]
+        out["broken"] = [f"{b.invariant}: {b.message}" for b in rig.over_budget()]
     return out
 
 
@@ -479,8 +479,8 @@
         with tempfile.TemporaryDirectory() as directory:
             rig = FleetRig(Path(directory), 5, seed=seed, hosts=9, rate=60.0, watch=0.3, door=door)
             rig.run(lambda rig, seed=seed: script(rig, random.Random(seed)))  # type: ignore[misc]
-            found = [f"{b.promise}: {b.what}" for b in [*rig.over_budget(), *rig.broken()]]
-            found += [f"rule {b.rule}: {b.what}" for b in rig.rules_broken() if b.rule == 4]
+            found = [f"{b.invariant}: {b.message}" for b in [*rig.over_budget(), *rig.broken()]]
+            found += [f"rule {b.rule}: {b.message}" for b in rig.rules_broken() if b.rule == 4]
             if found:
                 broken[seed] = found
     return {
--- a/benchmarks/cut.py
+++ b/benchmarks/cut.py
@@ -98,7 +98,7 @@
     if below and below[-1] >= int(heal - cut):
         del figures["enough_from_s"]  # never
     for b in broken:
-        print(f"BROKEN: {b.promise}: {b.what}")
+        print(f"BROKEN: {b.invariant}: {b.message}")
     print(json.dumps(figures))
     phase = "equal-split-regions" if "regions" in more else "equal-split"
     point = Point(
--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -13,7 +13,7 @@
 from ledgehitch.config import Day, read_day
 from ledgehitch.lab.facts import PORTS
 from ledgehitch.model.day import played
-from ledgehitch.proof.check import figures_of, judged
+from ledgehitch.proof.check import check_rules, rule_parameters
 from ledgehitch.standins.plan import site_of, steps_of
 
 DAYS = Path(__file__).parent.parent / "days"
@@ -46,7 +46,7 @@
     site = site_of(day, seed, PORTS)
     result = played(day, site, steps_of(day, site, seed), seed)
     told = result.service.told()
-    breaches = judged(result.tape, figures_of(site))
+    breaches = check_rules(result.tape, rule_parameters(site))
     cells = {int(s): both for s, both in told["by_second"].items()}
 
     def service(first: float, last: float) -> float:
@@ -63,7 +63,7 @@
         "after": round(service(OVER[1] + 10, CALM - 5), 3),
         "whole_after_s": None if whole is None else whole - int(OVER[1]),
         "answers": told["answers"],
-        "breaches": [b.told() for b in breaches[:5]],
+        "breaches": [b.describe() for b in breaches[:5]],
     }
 
 
--- a/benchmarks/failures.py
+++ b/benchmarks/failures.py
@@ -69,7 +69,7 @@
         rig.run(lambda rig: script(rig, spans))
         times, broken = let_in(rig), rig.over_budget()
     for b in broken:
-        print(f"BROKEN: {b.promise}: {b.what}", flush=True)
+        print(f"BROKEN: {b.invariant}: {b.message}", flush=True)
     over = len(broken)
     since, until, _ = spans.pop("nothing")
     usual = sum(since <= t < until for t in times) / (until - since)  # a second, of all
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -17,7 +17,7 @@
 
 from ledgehitch.config import Day
 from ledgehitch.loop import Loop
-from ledgehitch.proof.check import figures_of, judged_tape
+from ledgehitch.proof.check import check_tapes, rule_parameters
 from ledgehitch.rehearsal.play import Stage
 
 GATEWAYS, RATE = 20, 25.0
@@ -129,12 +129,12 @@
 
     site = loop.run(main)
     service = json.loads((directory / "service.json").read_text())
-    breaches, tape = judged_tape(directory / "tape", figures_of(site))
+    breaches, tape = check_tapes(directory / "tape", rule_parameters(site))
     lines = (directory / "tool.log").read_text().splitlines()
     told["done_lines"] = sum(line.startswith("done") for line in lines)
     told["service"], told["joins_s"] = service["service"], service["joins_s"]
     told["answers"], told["asks"] = service["answers"], tape.get("ask")
-    told["breaches"] = [b.told() for b in breaches[:5]]
+    told["breaches"] = [b.describe() for b in breaches[:5]]
     told["broken_rules"] = len(breaches)
     told["worst_10s"] = service["worst_10s"]
     return told
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -257,7 +257,7 @@
         "asked_at_most_s": 2 * lease + 1,
         "drains": len(drains),
         "handed_over_s": [round(median(drains), 3), round(max(drains), 3)] if drains else [],
-        "broken": [b.what for b in broken],
+        "broken": [b.message for b in broken],
     }
 
 
@@ -300,7 +300,7 @@
         with tempfile.TemporaryDirectory() as directory:
             rig = FleetRig(Path(directory), 5, seed=seed)
             rig.run(script)
-            found = [f"{b.promise}: {b.what}" for b in rig.broken()]
+            found = [f"{b.invariant}: {b.message}" for b in rig.broken()]
             if found:
                 broken[seed] = found
     return {"seeds": [first, first + number - 1], "seconds": seconds, "plans": ended, "broken": broken}
--- a/ledgehitch/cli/days.py
+++ b/ledgehitch/cli/days.py
@@ -11,7 +11,7 @@
 
 from ledgehitch.config import BadInput, read_day, read_site
 from ledgehitch.gateway.replay import replayed
-from ledgehitch.proof.check import figures_of, judged_tape
+from ledgehitch.proof.check import check_tapes, rule_parameters
 from ledgehitch.rehearsal.imported import imported
 from ledgehitch.rehearsal.play import Result, rehearse
 
@@ -73,7 +73,7 @@
         )
     out.print(faults)
     for breach in result.breaches[:20]:
-        out.print(f"[red]{breach.told(result.started_at)}[/red]", soft_wrap=True)
+        out.print(f"[red]{breach.describe(result.started_at)}[/red]", soft_wrap=True)
     out.print(
         f"rules: {'kept' if not result.breaches else 'BROKEN'}; tape in {result.directory}", soft_wrap=True
     )
@@ -90,16 +90,16 @@
     )
     if site_file is None or not list(tapes.glob("*.tape")):
         raise BadInput(f"{directory}: no tapes with their site.json there")
-    breaches, held = judged_tape(tapes, figures_of(read_site(site_file)))
+    breaches, held = check_tapes(tapes, rule_parameters(read_site(site_file)))
     if as_json:
         told = [
-            {"rule": b.rule, "what": b.what, "viewing": b.viewing, "times": b.times, "lines": b.lines}
+            {"rule": b.rule, "what": b.message, "viewing": b.viewing, "times": b.times, "lines": b.lines}
             for b in breaches
         ]
         click.echo(json.dumps({"kept": not breaches, "breaches": told, "tape": held}, indent=1))
     else:
         for breach in breaches:
-            click.echo(breach.told())
+            click.echo(breach.describe())
         click.echo(f"rules {'BROKEN' if breaches else 'kept'}; the tape holds {held}")
     sys.exit(1 if breaches else 0)
 
--- a/ledgehitch/lab/carry.py
+++ b/ledgehitch/lab/carry.py
@@ -19,7 +19,7 @@
 from ledgehitch.lab.facts import PORTS, Plan, Run, code_version
 from ledgehitch.lab.store import Store
 from ledgehitch.model.day import played
-from ledgehitch.proof.check import figures_of, judged
+from ledgehitch.proof.check import check_rules, rule_parameters
 from ledgehitch.standins.plan import site_of, steps_of
 
 LOOK = 2.0  # seconds between signs of life in the file of results
@@ -31,7 +31,7 @@
     began = time.process_time()
     site = site_of(day, seed, PORTS)
     result = played(day, site, steps_of(day, site, seed), seed, gates_out=gates_out)
-    breaches = judged(result.tape, figures_of(site))
+    breaches = check_rules(result.tape, rule_parameters(site))
     rules: dict[str, int] = {}
     for breach in breaches:
         rules[str(breach.rule)] = rules.get(str(breach.rule), 0) + 1
@@ -51,7 +51,7 @@
     return {
         "measures": measures,
         "rules": rules,
-        "first_breaches": [b.told() for b in breaches[:5]],
+        "first_breaches": [b.describe() for b in breaches[:5]],
         "seconds": time.process_time() - began,
         "most_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         **told,
--- a/ledgehitch/proof/budgeted.py
+++ b/ledgehitch/proof/budgeted.py
@@ -12,15 +12,15 @@
 from itertools import zip_longest
 from typing import NamedTuple
 
-from ledgehitch.proof.check import OVERLAP, SetUp, set_ups
-from ledgehitch.proof.owned import Broken
+from ledgehitch.proof.check import CLOCK_TOLERANCE_S, SetUp, collect_set_ups
+from ledgehitch.proof.owned import Violation
 from ledgehitch.proof.tape import Line
 
-GRACE = 0.2  # seconds by which a question may have been noted later than it was asked
+REQUEST_NOTE_DELAY_S = 0.2  # seconds by which a question may have been noted later than it was asked
 
 
 @dataclass(frozen=True)
-class Wholes:
+class FleetLimits:
     """What the site gives the whole fleet. `own`: parts of `whole` that a gateway has without a loan, of each
     budget in the order of loans; `burst`: seconds' worth of a rate that may come at once, beside one offer
     for each gateway."""
@@ -35,23 +35,23 @@
     regions: Mapping[str, tuple[Sequence[str], int]] = field(default_factory=dict)  # gateways, parts of each
 
 
-def judged_budgets(lines: Sequence[Line], wholes: Wholes, since: float = 0.0) -> list[Broken]:
+def check_budgets(lines: Sequence[Line], wholes: FleetLimits, since: float = 0.0) -> list[Violation]:
     """`since`: what began before that, of the tape's clock, is not judged by these wholes."""
-    sent = sorted((s for s in set_ups(lines) if s.begun >= since), key=lambda s: s.begun)
-    slack = _longest_way(lines, wholes.patience)
+    sent = sorted((s for s in collect_set_ups(lines) if s.started_at >= since), key=lambda s: s.started_at)
+    slack = _longest_admission_delay(lines, wholes.patience)
     out = []
     for package, rate in sorted(wholes.rates.items()):
         firsts = [s for s in sent if s.number == 0 and s.line["package"] == package]
-        out += rate_kept(firsts, package, rate, wholes.burst * rate + wholes.gateways + rate * slack)
+        out += check_rate(firsts, package, rate, wholes.burst * rate + wholes.gateways + rate * slack)
     if wholes.set_ups:
-        out += at_once_kept(sent, wholes.set_ups)
-    out += parts_kept(lines, wholes)
+        out += check_concurrency(sent, wholes.set_ups)
+    out += check_loans(lines, wholes)
     for region, (names, share) in wholes.regions.items():
-        out += parts_kept(lines, replace(wholes, whole=share), frozenset(names), region)
+        out += check_loans(lines, replace(wholes, whole=share), frozenset(names), region)
     return out
 
 
-def _longest_way(lines: Iterable[Line], patience: float) -> float:
+def _longest_admission_delay(lines: Iterable[Line], patience: float) -> float:
     """Seconds that lay between an offer's being let in and its first tune-in at most: no answer took
     longer."""
     asked, longest = dict[object, float](), 0.0
@@ -60,42 +60,45 @@
             asked[line["conn"]] = line["t"]
         elif line["ev"] == "answer" and line["conn"] in asked and line["kind"] in ("plays", "aborted"):
             longest = max(longest, line["t"] - asked[line["conn"]])
-    return min(patience, longest) + OVERLAP
+    return min(patience, longest) + CLOCK_TOLERANCE_S
 
 
-def rate_kept(firsts: Sequence[SetUp], package: str, rate: float, more: float) -> list[Broken]:
+def check_rate(firsts: Sequence[SetUp], package: str, rate: float, more: float) -> list[Violation]:
     """In no window more first tune-ins than its length gives at this rate, and `more`."""
     best: tuple[float, SetUp] | None = None  # the window's beginning that leaves least room
     for n, one in enumerate(firsts):
-        paid = n - rate * one.begun
+        paid = n - rate * one.started_at
         if best is None or paid < best[0]:
             best = paid, one
         if paid - best[0] + 1 > more + 1e-6:
-            took = one.begun - best[1].begun
+            took = one.started_at - best[1].started_at
             count = round(paid - best[0] + rate * took) + 1
             return [
-                Broken(
+                Violation(
                     "rates are kept",
                     f"{count} offers of {package} in {took:.3f} s, the rate is "
                     f"{rate:g} a second and {more:.1f} may come at once",
-                    (best[1].begun, one.begun),
+                    (best[1].started_at, one.started_at),
                     (best[1].line.at, one.line.at),
                 )
             ]
     return []
 
 
-def at_once_kept(sent: Sequence[SetUp], most: float) -> list[Broken]:
+def check_concurrency(sent: Sequence[SetUp], most: float) -> list[Violation]:
     changes = []
     for one in sent:
-        over = one.over if one.over is not None else float("inf")
-        changes += [(one.begun + OVERLAP, 1, one), (max(over, one.begun + OVERLAP), -1, one)]
+        over = one.ended_at if one.ended_at is not None else float("inf")
+        changes += [
+            (one.started_at + CLOCK_TOLERANCE_S, 1, one),
+            (max(over, one.started_at + CLOCK_TOLERANCE_S), -1, one),
+        ]
     out = 0
     for t, change, one in sorted(changes, key=lambda c: (c[0], c[1])):
         out += change
         if change > 0 and out > most:
             what = f"{out} were out, {most:g} may be"
-            return [Broken("set-ups at once are kept", what, (t,), (one.line.at,))]
+            return [Violation("set-ups at once are kept", what, (t,), (one.line.at,))]
     return []
 
 
@@ -109,12 +112,12 @@
     line: Line
 
 
-def parts_kept(
-    tape: Sequence[Line], wholes: Wholes, of: Set[str] | None = None, region: str = ""
-) -> list[Broken]:
+def check_loans(
+    tape: Sequence[Line], wholes: FleetLimits, of: Set[str] | None = None, region: str = ""
+) -> list[Violation]:
     """At no moment own parts and loans that were surely in force above the whole. `of`: the gateways that are
     looked at, all where it is left out; those of a region stay within its share, which is their whole."""
-    held = [h for h in loans_held(tape) if of is None or h.who in of]
+    held = [h for h in loans_in_force(tape) if of is None or h.who in of]
     for budget in range(max((len(h.loans) for h in held), default=0)):
         parts = dict[str, Held]()
         changes = [(t, n, h) for h in held for t, n in ((h.first, 1), (h.last, 0))]
@@ -134,11 +137,11 @@
                 what = f"{names} had {total / wholes.whole:.3f} of {of_it}budget {budget} together"
                 lines = tuple(h.line.at for h in parts.values())
                 promise = "parts are within the region's share" if region else "parts are within the whole"
-                return [Broken(promise, f"{region}: {what}" if region else what, (t,), lines)]
+                return [Violation(promise, f"{region}: {what}" if region else what, (t,), lines)]
     return []
 
 
-def loans_held(lines: Sequence[Line]) -> list[Held]:
+def loans_in_force(lines: Sequence[Line]) -> list[Held]:
     """Only loans that a later question says were taken count: up to the next that was, to their end or to the
     end of the process; and of one that then lends itself, until it does: what it lends to itself crosses no
     wire, and takes the place of what it had under a former term."""
@@ -167,7 +170,7 @@
             since = asked.get((who, life, term, line["sequence"]))
             if since is None:
                 continue
-            last = since + line["seconds"] - GRACE
+            last = since + line["seconds"] - REQUEST_NOTE_DELAY_S
             last = min([last, *(t for t in ended.get(who, []) if t >= line["t"])])
             last = min([last, *(t for later, t in lends.get(who, []) if later > term)])
             if following is not None:
--- a/ledgehitch/proof/check.py
+++ b/ledgehitch/proof/check.py
@@ -11,14 +11,14 @@
 from typing import Any
 
 from ledgehitch.config import Site
-from ledgehitch.proof.tape import Line, lines_of
+from ledgehitch.proof.tape import Line, read_tapes
 
-OVERLAP = 0.1  # seconds: two ends of a wire are noted by two processes whose turns may cross
-NEVER_RAN = (503,)  # answers of a media host after which nothing can have run
+CLOCK_TOLERANCE_S = 0.1  # seconds: two ends of a wire are noted by two processes whose turns may cross
+NOT_RUN_STATUSES = (503,)  # answers of a media host after which nothing can have run
 
 
 @dataclass(frozen=True)
-class Sold:
+class PackageTerms:
     floor: int = 0
     seats: int = 0
     effect: str = "repeatable"
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class Figures:
+class RuleParameters:
     """The rules' figures, as the terms of a site state them. Times in seconds."""
 
     answer_slack: float = 0.25
@@ -39,15 +39,17 @@
     extra_free: float | None = None
     extra_ratio: float = 0.0
     extra_window: float = 0.0
-    packages: Mapping[str, Sold] = field(default_factory=dict)
+    packages: Mapping[str, PackageTerms] = field(default_factory=dict)
     zones: Mapping[str, str] = field(default_factory=dict)  # of media hosts, for packages set up by key
     cells: Mapping[str, int] = field(default_factory=dict)
 
 
-def figures_of(site: Site) -> Figures:
+def rule_parameters(site: Site) -> RuleParameters:
     t = site.terms
-    sold = {p.name: Sold(p.floor, p.seats, p.effect, p.key_scope, p.key_window) for p in site.packages}
-    return Figures(
+    sold = {
+        p.name: PackageTerms(p.floor, p.seats, p.effect, p.key_scope, p.key_window) for p in site.packages
+    }
+    return RuleParameters(
         t.answer_slack,
         t.drain_grace,
         t.warm_up,
@@ -66,34 +68,45 @@
 @dataclass(frozen=True)
 class Breach:
     rule: int
-    what: str
+    message: str
     viewing: str
     times: tuple[float, ...]
     lines: tuple[str, ...]
 
-    def told(self, start: float = 0.0) -> str:
+    def describe(self, start: float = 0.0) -> str:
         times = ", ".join(f"{t - start:.3f}" for t in self.times)
-        return f"rule {self.rule}: {self.what}; {self.viewing}; at {times} s; {', '.join(self.lines)}"
+        return f"rule {self.rule}: {self.message}; {self.viewing}; at {times} s; {', '.join(self.lines)}"
 
 
 class SetUp:
     """One tune-in as the media host's end shows it."""
 
-    __slots__ = ("line", "key", "number", "begun", "over", "status", "stopped", "rungs", "host", "over_line")
+    __slots__ = (
+        "line",
+        "key",
+        "number",
+        "started_at",
+        "ended_at",
+        "status",
+        "stopped_at",
+        "rungs",
+        "host",
+        "end_line",
+    )
 
     def __init__(self, line: Line) -> None:
         self.line, self.host = line, line["host"]
         gateway, boot, vw, number = (line["key"].split(".") + ["", "", "", "0"])[:4]
         self.key, self.number = f"{gateway}.{boot}.{vw}", int(number or 0)
-        self.begun: float = line["t"]
-        self.over: float | None = None
-        self.over_line: Line | None = None
+        self.started_at: float = line["t"]
+        self.ended_at: float | None = None
+        self.end_line: Line | None = None
         self.status = 0  # 0: no answer left the host
-        self.stopped: float | None = None
+        self.stopped_at: float | None = None
         self.rungs: list[tuple[Line, int]] = [(line, line["rung"])]
 
 
-def set_ups(lines: Iterable[Line]) -> list[SetUp]:
+def collect_set_ups(lines: Iterable[Line]) -> list[SetUp]:
     found: dict[str, SetUp] = {}
     down: dict[str, list[SetUp]] = {}
     for line in lines:
@@ -103,25 +116,25 @@
                 down.setdefault(one.host, []).append(one)
             case "setup_out" | "setup_gone" as ev:
                 one = found[line["id"]]
-                if one.over is None:
-                    one.over, one.over_line = line["t"], line
+                if one.ended_at is None:
+                    one.ended_at, one.end_line = line["t"], line
                     one.status = line["status"] if ev == "setup_out" else 0
             case "rung":
                 found[line["id"]].rungs.append((line, line["rung"]))
             case "stop":
-                if found[line["id"]].stopped is None:
-                    found[line["id"]].stopped = line["t"]
+                if found[line["id"]].stopped_at is None:
+                    found[line["id"]].stopped_at = line["t"]
             case "down" | "fell":
                 for one in down.pop(line["host"], []):
-                    one.over = one.over if one.over is not None else line["t"]
-                    one.stopped = one.stopped if one.stopped is not None else line["t"]
+                    one.ended_at = one.ended_at if one.ended_at is not None else line["t"]
+                    one.stopped_at = one.stopped_at if one.stopped_at is not None else line["t"]
     return list(found.values())
 
 
 # ---- the rules ---------------------------------------------------------------------------------------------
 
 
-def rule_1(lines: Sequence[Line], f: Figures) -> list[Breach]:
+def rule_1(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
     """Every viewing that a running gateway took has exactly one answer within viewer patience. While a
     gateway stands still (its process is stopped) it does not run: that time is not counted."""
     asks = {line["conn"]: line for line in lines if line["ev"] == "ask"}
@@ -152,9 +165,9 @@
                 Breach(1, what, viewing, tuple(x["t"] for x in shown), tuple(x.at for x in shown))
             )
 
-        killed = any(ask["t"] - OVERLAP <= t <= until for t in downs.get(ask["gateway"], ()))
+        killed = any(ask["t"] - CLOCK_TOLERANCE_S <= t <= until for t in downs.get(ask["gateway"], ()))
         answers = [x for x in ends[conn] if x["ev"] == "answer"]
-        left = [x for x in ends[conn] if x["ev"] == "hangup" and x["t"] < until - OVERLAP]
+        left = [x for x in ends[conn] if x["ev"] == "hangup" and x["t"] < until - CLOCK_TOLERANCE_S]
         if len(answers) > 1 or any(x["extra"] for x in answers):
             breach("answered more than once", *answers)
         for answer in answers[:1]:
@@ -175,39 +188,41 @@
     return breaches
 
 
-def rule_2(lines: Sequence[Line], f: Figures) -> list[Breach]:
+def rule_2(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
     """Never two tune-ins out for a viewing; none set up twice where that is paid for."""
     by_key: dict[str, list[SetUp]] = {}
-    for one in set_ups(lines):
+    for one in collect_set_ups(lines):
         by_key.setdefault(one.key, []).append(one)
     breaches = []
     for key, tries in by_key.items():
-        tries.sort(key=lambda x: x.begun)
-        sold = f.packages.get(tries[0].line["package"], Sold())
+        tries.sort(key=lambda x: x.started_at)
+        sold = f.packages.get(tries[0].line["package"], PackageTerms())
         for a, b in zip(tries, tries[1:], strict=False):
-            over = a.over if a.over is not None else float("inf")
-            if b.begun < over - OVERLAP:
-                breaches.append(_pair(2, "two tune-ins out at once", key, a, b))
-        ran = [x for x in tries if x.status not in NEVER_RAN]
+            over = a.ended_at if a.ended_at is not None else float("inf")
+            if b.started_at < over - CLOCK_TOLERANCE_S:
+                breaches.append(_breach_of_pair(2, "two tune-ins out at once", key, a, b))
+        ran = [x for x in tries if x.status not in NOT_RUN_STATUSES]
         for a, b in zip(ran, ran[1:], strict=False):
             first = ran[0]
             if sold.effect == "once":
-                breaches.append(_pair(2, "set up again though paid for", key, a, b))
+                breaches.append(_breach_of_pair(2, "set up again though paid for", key, a, b))
             elif sold.effect == "by_key":
                 place = {"zone": f.zones, "cell": f.cells}.get(sold.key_scope)
                 if place is not None and place.get(first.host) != place.get(b.host):
-                    breaches.append(_pair(2, f"set up again in another {sold.key_scope}", key, first, b))
-                if b.begun > first.begun + sold.key_window + OVERLAP:
-                    breaches.append(_pair(2, "set up again after its key's window", key, first, b))
+                    breaches.append(
+                        _breach_of_pair(2, f"set up again in another {sold.key_scope}", key, first, b)
+                    )
+                if b.started_at > first.started_at + sold.key_window + CLOCK_TOLERANCE_S:
+                    breaches.append(_breach_of_pair(2, "set up again after its key's window", key, first, b))
     return breaches
 
 
-def _pair(rule: int, what: str, viewing: str, a: SetUp, b: SetUp) -> Breach:
-    shown = [a.line, *([a.over_line] if a.over_line is not None else []), b.line]
+def _breach_of_pair(rule: int, what: str, viewing: str, a: SetUp, b: SetUp) -> Breach:
+    shown = [a.line, *([a.end_line] if a.end_line is not None else []), b.line]
     return Breach(rule, what, viewing, tuple(x["t"] for x in shown), tuple(x.at for x in shown))
 
 
-def rule_3(lines: Sequence[Line], f: Figures) -> list[Breach]:
+def rule_3(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
     """Nothing new to a media host later than the grace after hearing that it drains or is gone."""
     told: dict[tuple[str, str], Line | None] = {}
     breaches = []
@@ -220,14 +235,14 @@
                 told[line["gateway"], line["host"]] = line
         elif line["ev"] == "setup":
             gone = told.get((line["gateway"], line["host"]))
-            if gone is not None and line["t"] > gone["t"] + f.drain_grace + OVERLAP:
+            if gone is not None and line["t"] > gone["t"] + f.drain_grace + CLOCK_TOLERANCE_S:
                 late = line["t"] - gone["t"]
                 what = f"set up at {line['host']} {late:.3f} s after it was told to be {gone['state']}"
                 breaches.append(Breach(3, what, line["key"], (gone["t"], line["t"]), (gone.at, line.at)))
     return breaches
 
 
-def rule_4(lines: Sequence[Line], f: Figures) -> list[Breach]:
+def rule_4(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
     """A cold media host is not pushed over by all gateways together."""
     started: dict[str, Line] = {}
     recent: dict[str, deque[Line]] = {}
@@ -258,24 +273,24 @@
     return breaches
 
 
-def rule_5(lines: Sequence[Line], f: Figures) -> list[Breach]:
+def rule_5(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
     """Never under a package's floor; no more of a title and package at one gateway than its seats."""
     breaches = []
     held: dict[tuple[str, str, str], list[tuple[float, int, Line]]] = {}
-    for one in set_ups(lines):
+    for one in collect_set_ups(lines):
         package, title = one.line["package"], one.line["title"]
-        sold = f.packages.get(package, Sold())
+        sold = f.packages.get(package, PackageTerms())
         for line, rung in one.rungs:
             if rung < sold.floor:
                 what = f"rung {rung} of {package} is under its floor, {sold.floor}"
                 breaches.append(Breach(5, what, one.key, (line["t"],), (line.at,)))
         if sold.seats:
             # A seat is free again with an end that the gateway knows of; what it cannot know yet counts not.
-            ended = one.stopped if one.status == 201 and one.stopped is not None else one.over
-            if one.status == 201 and one.stopped is None:
+            ended = one.stopped_at if one.status == 201 and one.stopped_at is not None else one.ended_at
+            if one.status == 201 and one.stopped_at is None:
                 ended = float("inf")
             changes = held.setdefault((one.key.partition(".")[0], title, package), [])
-            changes.append((one.begun + OVERLAP, 1, one.line))
+            changes.append((one.started_at + CLOCK_TOLERANCE_S, 1, one.line))
             changes.append((ended if ended is not None else float("inf"), -1, one.line))
     for (gateway, title, package), changes in held.items():
         count = 0
@@ -287,7 +302,7 @@
     return breaches
 
 
-def rule_6(lines: Sequence[Line], f: Figures) -> list[Breach]:
+def rule_6(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
     """Tune-ins beyond each viewing's first stay within a few, plus a share of the viewings taken."""
     if f.extra_free is None:
         return []
@@ -303,7 +318,7 @@
             more.append(line)
             while more[0]["t"] <= since:
                 more.popleft()
-            while all_asked and all_asked[0] <= since - OVERLAP:
+            while all_asked and all_asked[0] <= since - CLOCK_TOLERANCE_S:
                 all_asked.popleft()
             budget = f.extra_free + f.extra_ratio * len(all_asked)
             if len(more) > budget + 1e-9:
@@ -314,7 +329,7 @@
     return breaches
 
 
-RULES: tuple[Callable[[Sequence[Line], Figures], list[Breach]], ...] = (
+RULES: tuple[Callable[[Sequence[Line], RuleParameters], list[Breach]], ...] = (
     rule_1,
     rule_2,
     rule_3,
@@ -324,15 +339,15 @@
 )
 
 
-def judged(lines: Sequence[Line], figures: Figures) -> list[Breach]:
+def check_rules(lines: Sequence[Line], figures: RuleParameters) -> list[Breach]:
     """All breaches, rule by rule."""
     return [breach for rule in RULES for breach in rule(lines, figures)]
 
 
-def judged_tape(directory: Path, figures: Figures) -> tuple[list[Breach], dict[str, Any]]:
+def check_tapes(directory: Path, figures: RuleParameters) -> tuple[list[Breach], dict[str, Any]]:
     """The breaches of a directory of tapes, and what the tapes held (a tape of nothing proves nothing)."""
-    lines = lines_of(directory)
+    lines = read_tapes(directory)
     counts: dict[str, int] = {}
     for line in lines:
         counts[line["ev"]] = counts.get(line["ev"], 0) + 1
-    return judged(lines, figures), counts
+    return check_rules(lines, figures), counts
--- a/ledgehitch/proof/owned.py
+++ b/ledgehitch/proof/owned.py
@@ -17,11 +17,11 @@
 
 
 @dataclass(frozen=True)
-class Broken:
+class Violation:
     """A promise that was not kept. `lines`: where the tape shows it."""
 
-    promise: str
-    what: str
+    invariant: str
+    message: str
     times: tuple[float, ...]
     lines: tuple[str, ...]
 
@@ -31,59 +31,59 @@
 
     def __init__(self, line: Line) -> None:
         self.line = line
-        self.owner, self.to, self.duty = line["owner"], line["to"], line["duty"]
+        self.owner, self.recipient, self.duty = line["owner"], line["to"], line["duty"]
         self.term: int = line["term"]
-        self.acts = line["path"] == "/v1/drain"
+        self.is_drain = line["path"] == "/v1/drain"
         self.ticket: str = line.get("ticket", "")
-        self.given = self.over = float("inf")
+        self.delivered_at = self.answered_at = float("inf")
         self.status = 0
-        self.told: dict[str, Any] = {}
+        self.answer: dict[str, Any] = {}
 
     @property
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         return self.status == 200
 
 
-def steps_of(lines: Iterable[Line]) -> list[Step]:
+def collect_steps(lines: Iterable[Line]) -> list[Step]:
     found: dict[int, Step] = {}
     for line in lines:
         if line["ev"] == "step":
             found[line["id"]] = Step(line)
         elif line["ev"] == "step_in":
-            found[line["id"]].given = line["t"]
+            found[line["id"]].delivered_at = line["t"]
         elif line["ev"] == "step_out":
             step = found[line["id"]]
-            step.over, step.status, step.told = line["t"], line["status"], line
+            step.answered_at, step.status, step.answer = line["t"], line["status"], line
     return list(found.values())
 
 
-def fence_held(steps: Sequence[Step]) -> list[Broken]:
+def check_fencing(steps: Sequence[Step]) -> list[Violation]:
     """At one receiver no effect is taken under a term once one under a higher term was taken."""
     out = []
     highest: dict[tuple[str, str], Step] = {}
-    taken = deque(sorted((s for s in steps if s.duty and s.taken), key=lambda s: s.over))
-    for step in sorted((s for s in steps if s.duty), key=lambda s: s.given):
+    taken = deque(sorted((s for s in steps if s.duty and s.accepted), key=lambda s: s.answered_at))
+    for step in sorted((s for s in steps if s.duty), key=lambda s: s.delivered_at):
         # What was answered before this one was handed over is surely earlier.
-        while taken and taken[0].over <= step.given:
+        while taken and taken[0].answered_at <= step.delivered_at:
             other = taken.popleft()
-            best = highest.setdefault((other.duty, other.to), other)
+            best = highest.setdefault((other.duty, other.recipient), other)
             if other.term > best.term:
-                highest[other.duty, other.to] = other
-        before = highest.get((step.duty, step.to))
-        if step.taken and before is not None and before.term > step.term:
+                highest[other.duty, other.recipient] = other
+        before = highest.get((step.duty, step.recipient))
+        if step.accepted and before is not None and before.term > step.term:
             out.append(
-                Broken(
+                Violation(
                     "terms fence",
-                    f"{step.to} took a step of {step.owner} under term {step.term} "
+                    f"{step.recipient} took a step of {step.owner} under term {step.term} "
                     f"after one under term {before.term}",
-                    (before.over, step.given),
+                    (before.answered_at, step.delivered_at),
                     (before.line.at, step.line.at),
                 )
             )
     return out
 
 
-def one_owner_a_term(steps: Sequence[Step], verdicts: Sequence[Line]) -> list[Broken]:
+def check_owner_of_term(steps: Sequence[Step], verdicts: Sequence[Line]) -> list[Violation]:
     """A term of a duty is used by one member alone."""
     out, by = [], dict[tuple[str, int], tuple[str, Line]]()
     said = [(s.duty, s.term, s.owner, s.line) for s in steps if s.duty]
@@ -92,7 +92,7 @@
         first = by.setdefault((duty, term), (owner, line))
         if first[0] != owner:
             out.append(
-                Broken(
+                Violation(
                     "one owner a term",
                     f"{first[0]} and {owner} used term {term} of {duty}",
                     (first[1]["t"], line["t"]),
@@ -102,56 +102,56 @@
     return out
 
 
-def restarted_once(steps: Sequence[Step], names: Iterable[str], whole: bool) -> list[Broken]:
+def check_restarts(steps: Sequence[Step], names: Iterable[str], whole: bool) -> list[Violation]:
     """For each plan no gateway has two lives that it began; `whole`: and each has one."""
     lives: dict[str, dict[str, Line]] = {}
     for step in steps:
-        by, boot = step.told.get("started_by", ""), step.told.get("boot", "")
-        if by.endswith(f"/{step.to}") and boot:
+        by, boot = step.answer.get("started_by", ""), step.answer.get("boot", "")
+        if by.endswith(f"/{step.recipient}") and boot:
             lives.setdefault(by, {})[boot] = step.line
     out = []
     for ticket, some in sorted(lives.items()):
         if len(some) > 1:
             lines = tuple(line.at for line in some.values())
             times = tuple(line["t"] for line in some.values())
-            out.append(Broken("restarted once", f"{ticket} began {len(some)} lives", times, lines))
+            out.append(Violation("restarted once", f"{ticket} began {len(some)} lives", times, lines))
     if whole:
         begun = {ticket.rpartition("/")[2] for ticket in lives}
         for name in sorted(set(names) - begun):
-            out.append(Broken("nobody left out", f"no life of {name} was begun by the plan", (), ()))
+            out.append(Violation("nobody left out", f"no life of {name} was begun by the plan", (), ()))
     return out
 
 
-def most_at_once(steps: Sequence[Step], most: int) -> list[Broken]:
+def check_away_together(steps: Sequence[Step], most: int) -> list[Violation]:
     """From when a restart was taken until its gateway says to an owner that it serves, no more than the plan
     says. A life that was begun by somebody else serves too: it is not away."""
     away: dict[str, Step] = {}
     out = []
-    for step in sorted(steps, key=lambda s: s.over):
-        if step.acts and step.taken and step.line.get("then") == "restart":
-            if step.to not in away and step.told.get("phase") != "ready":
-                away[step.to] = step
+    for step in sorted(steps, key=lambda s: s.answered_at):
+        if step.is_drain and step.accepted and step.line.get("then") == "restart":
+            if step.recipient not in away and step.answer.get("phase") != "ready":
+                away[step.recipient] = step
             if len(away) > most:
                 names = ", ".join(sorted(away))
                 out.append(
-                    Broken(
+                    Violation(
                         "never more at once",
                         f"{names} were away together, {most} may be",
-                        tuple(s.over for s in away.values()),
+                        tuple(s.answered_at for s in away.values()),
                         tuple(s.line.at for s in away.values()),
                     )
                 )
         elif (
-            step.taken
-            and step.told.get("phase") == "ready"
-            and step.to in away
-            and step.given > away[step.to].over
+            step.accepted
+            and step.answer.get("phase") == "ready"
+            and step.recipient in away
+            and step.delivered_at > away[step.recipient].answered_at
         ):  # what was asked before may be answered late
-            del away[step.to]
+            del away[step.recipient]
     return out
 
 
-def told_once(verdicts: Sequence[Line]) -> list[Broken]:
+def check_verdicts(verdicts: Sequence[Line]) -> list[Violation]:
     """No window got two verdicts that differ, and none was taken under a term below an earlier one's."""
     out, by, highest = [], dict[int, Line](), 0
     for v in verdicts:
@@ -159,7 +159,7 @@
             continue
         if v["term"] < highest:
             out.append(
-                Broken(
+                Violation(
                     "terms fence",
                     f"a verdict of term {v['term']} was taken after term {highest}",
                     (v["t"],),
@@ -170,7 +170,7 @@
         first = by.setdefault(v["window"], v)
         if first["verdict"] != v["verdict"]:
             out.append(
-                Broken(
+                Violation(
                     "one verdict a window",
                     f"window {v['window']} was told twice, differently",
                     (first["t"], v["t"]),
@@ -180,7 +180,7 @@
     return out
 
 
-def one_lender_a_term(tape: Sequence[Line], regions: Mapping[str, str]) -> list[Broken]:
+def check_lender_of_term(tape: Sequence[Line], regions: Mapping[str, str]) -> list[Violation]:
     """In one region a term of budgets is used by one member alone, and nobody lends to another region.
     `regions`: of each gateway; without any, all are one."""
     out, by, told = [], dict[tuple[str, int], Line](), set[tuple[str, int]]()
@@ -188,7 +188,7 @@
         here, there = regions.get(line["who"], ""), regions.get(line["to"], "")
         if here != there:
             out.append(
-                Broken(
+                Violation(
                     "each region lends for itself",
                     f"{line['who']} of {here or 'none'} lent to {line['to']} of {there or 'none'}",
                     (line["t"],),
@@ -200,26 +200,26 @@
             told.add((here, line["term"]))
             what = f"{first['who']} and {line['who']} used term {line['term']} of budgets"
             times, at = (first["t"], line["t"]), (first.at, line.at)
-            out.append(Broken("one owner a term", f"{what} of {here}" if here else what, times, at))
+            out.append(Violation("one owner a term", f"{what} of {here}" if here else what, times, at))
     return out
 
 
-def judged_owned(
+def check_owners(
     lines: Sequence[Line],
     names: Iterable[str] = (),
     most: int = 1,
     whole: bool = False,
     regions: Mapping[str, str] | None = None,
-) -> list[Broken]:
+) -> list[Violation]:
     """All promises on owners. `whole`: a plan of all `names` was carried to its end. `regions`: of each
     gateway, where the site has any."""
-    steps = steps_of(lines)
+    steps = collect_steps(lines)
     verdicts = [line for line in lines if line["ev"] == "verdict"]
     return [
-        *fence_held(steps),
-        *one_owner_a_term(steps, verdicts),
-        *restarted_once(steps, names, whole),
-        *most_at_once(steps, most),
-        *told_once(verdicts),
-        *one_lender_a_term(lines, regions or {}),
+        *check_fencing(steps),
+        *check_owner_of_term(steps, verdicts),
+        *check_restarts(steps, names, whole),
+        *check_away_together(steps, most),
+        *check_verdicts(verdicts),
+        *check_lender_of_term(lines, regions or {}),
     ]
--- a/ledgehitch/proof/tape.py
+++ b/ledgehitch/proof/tape.py
@@ -60,16 +60,16 @@
     at: str = ""
 
 
-def lines_of(directory: Path) -> list[Line]:
+def read_tapes(directory: Path) -> list[Line]:
     """All lines of a directory's tapes (`*.tape`) in the order of time; a last line cut off is left out."""
     found: list[Line] = []
     for path in sorted(directory.glob("*.tape")):
-        found += _read(path)
+        found += _read_tape(path)
     found.sort(key=lambda line: line["t"])
     return found
 
 
-def _read(path: Path) -> Iterator[Line]:
+def _read_tape(path: Path) -> Iterator[Line]:
     with open(path, "rb") as file:
         for number, raw in enumerate(file, 1):
             if not raw.endswith(b"\n"):
--- a/ledgehitch/rehearsal/fleet.py
+++ b/ledgehitch/rehearsal/fleet.py
@@ -35,10 +35,10 @@
 from ledgehitch.config import BadInput, Day, Fault, Site
 from ledgehitch.http import ConnectFailed, Interrupted
 from ledgehitch.loop import Child, Loop, TimedOut, endpoint
-from ledgehitch.proof.budgeted import Wholes, judged_budgets
-from ledgehitch.proof.check import Breach, figures_of, judged_tape
-from ledgehitch.proof.owned import Broken, judged_owned
-from ledgehitch.proof.tape import lines_of
+from ledgehitch.proof.budgeted import FleetLimits, check_budgets
+from ledgehitch.proof.check import Breach, check_tapes, rule_parameters
+from ledgehitch.proof.owned import Violation, check_owners
+from ledgehitch.proof.tape import read_tapes
 from ledgehitch.regions.facts import regions_of
 from ledgehitch.rehearsal.play import READY_WITHIN, Stage, free_ports
 from ledgehitch.standins.cuts import Bad
@@ -404,17 +404,17 @@
 
     def lines(self) -> list[Any]:
         self.tape.flush()
-        return list(lines_of(self.tapes))
+        return list(read_tapes(self.tapes))
 
-    def broken(self, whole: bool = False, most: int = 1) -> list[Broken]:
+    def broken(self, whole: bool = False, most: int = 1) -> list[Violation]:
         regions = {name: r.name for r in regions_of(self.site) for name in r.gateways}
-        return judged_owned(self.lines(), self.names, most, whole, regions)
+        return check_owners(self.lines(), self.names, most, whole, regions)
 
-    def over_budget(self, site: Site | None = None) -> list[Broken]:
+    def over_budget(self, site: Site | None = None) -> list[Violation]:
         """`site`: whose limits hold, where they were changed by a reload: the largest that was in force."""
-        return judged_budgets(self.lines(), self.wholes(site))
+        return check_budgets(self.lines(), self.wholes(site))
 
-    def wholes(self, site: Site | None = None) -> Wholes:
+    def wholes(self, site: Site | None = None) -> FleetLimits:
         """What a site gives the whole fleet, and each gateway and region of it."""
         site = site or self.site
         names, patience = [g.name for g in site.gateways], max(p.patience for p in site.packages)
@@ -429,7 +429,7 @@
             }
             for b in budgets
         ]
-        return Wholes(
+        return FleetLimits(
             site.door.package_rates,
             site.door.set_ups,
             len(names),
@@ -451,7 +451,7 @@
         )
 
     def rules_broken(self) -> list[Breach]:
-        return judged_tape(self.tapes, figures_of(self.site))[0]
+        return check_tapes(self.tapes, rule_parameters(self.site))[0]
 
     def log_of(self, name: str) -> str:
         return (self.directory / "logs" / f"{name}.log").read_text(errors="replace")
--- a/ledgehitch/rehearsal/play.py
+++ b/ledgehitch/rehearsal/play.py
@@ -22,7 +22,7 @@
 from ledgehitch.gateway.reports import EXCHANGED_EVERY
 from ledgehitch.http import Client, ConnectFailed, Interrupted
 from ledgehitch.loop import Child, Loop, TimedOut
-from ledgehitch.proof.check import Breach, figures_of, judged_tape
+from ledgehitch.proof.check import Breach, check_tapes, rule_parameters
 from ledgehitch.proof.tape import Tape
 from ledgehitch.standins.plan import Step, site_of, steps_of
 
@@ -61,7 +61,7 @@
             "seed": self.seed,
             "kept": not self.breaches,
             "breaches": rules,
-            "first_breaches": [b.told(self.started_at) for b in self.breaches[:10]],
+            "first_breaches": [b.describe(self.started_at) for b in self.breaches[:10]],
             "tape": self.tape,
             "service": {k: v for k, v in self.service.items() if k != "by_second"},
             "faults": self.faults,
@@ -267,7 +267,7 @@
     result = Result(day.name, seed, directory=str(directory))
     loop = Loop()
     site = loop.run(_played, loop, day, seed, directory, record, result)
-    result.breaches, result.tape = judged_tape(directory / "tape", figures_of(site))
+    result.breaches, result.tape = check_tapes(directory / "tape", rule_parameters(site))
     return result
 
 
--- a/ledgehitch/scale/play.py
+++ b/ledgehitch/scale/play.py
@@ -429,7 +429,7 @@
     figures = Figures(rig, terms)
     for p in play.played:
         figures.of(p)
-    parts = [f"{b.promise}: {b.what}" for b in rig.over_budget()]
+    parts = [f"{b.invariant}: {b.message}" for b in rig.over_budget()]
     wrong = [
         f"{h} had {n} failed tasks"
         for h, told in play.played[-1].after.hollow.items()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -26,7 +26,7 @@
 from ledgehitch.lab.facts import PORTS
 from ledgehitch.loop import connect, endpoint
 from ledgehitch.model.day import played
-from ledgehitch.proof.check import figures_of, judged
+from ledgehitch.proof.check import check_rules, rule_parameters
 from ledgehitch.quality.keep import Keep
 from ledgehitch.standins.plan import site_of, steps_of
 from tests.rig import Host, Rig, answer, request
@@ -610,7 +610,7 @@
     day = msgspec.structs.replace(bad, site={"door": narrow})
     site = site_of(day, 1, PORTS)
     result = played(day, site, steps_of(day, site, 1), 1)
-    assert judged(result.tape, figures_of(site)) == []
+    assert check_rules(result.tape, rule_parameters(site)) == []
     assert result.service.answers["blocked"] > 10 and result.service.answers["plays"] > 200
     again = played(day, site, steps_of(day, site, 1), 1)
     assert [dict(line) for line in again.tape] == [dict(line) for line in result.tape], "one seed, one day"
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ledgehitch.budgets.facts import WHOLE, loan_of
-from ledgehitch.proof.budgeted import Wholes, judged_budgets
+from ledgehitch.proof.budgeted import FleetLimits, check_budgets
 from ledgehitch.proof.tape import Line
 from ledgehitch.rehearsal.fleet import FleetRig
 
@@ -146,7 +146,7 @@
         rig.reload(msgspec.structs.replace(whole, door=half))
         since = time.monotonic()
         rig.until(lambda: rig.let_in(since) >= 60, 60.0, 0.5)
-        assert judged_budgets(rig.lines(), Wholes({"recorded": RATE / 2}, 15.0, 3), since) == []
+        assert check_budgets(rig.lines(), FleetLimits({"recorded": RATE / 2}, 15.0, 3), since) == []
         return whole
 
     rig = lending(tmp_path, 3)
@@ -246,7 +246,7 @@
     ]
 
 
-WHOLES = Wholes({"recorded": 10.0}, 4.0, 3, 3.0, {f"g{n}": [WHOLE // 30] for n in range(3)})
+WHOLES = FleetLimits({"recorded": 10.0}, 4.0, 3, 3.0, {f"g{n}": [WHOLE // 30] for n in range(3)})
 PLANTED: dict[str, Told] = {
     "rates are kept": [x for n in range(60) for x in setup(n, n / 20, n / 20 + 0.01)],
     "set-ups at once are kept": [x for n in range(5) for x in setup(n, n / 5, 9.0)],
@@ -256,22 +256,22 @@
 
 @pytest.mark.parametrize("promise", PLANTED)
 def test_each_check_is_seen_to_fail_on_a_planted_tape(promise: str) -> None:
-    assert [b.promise for b in judged_budgets(tape(PLANTED[promise]), WHOLES)] == [promise]
+    assert [b.invariant for b in check_budgets(tape(PLANTED[promise]), WHOLES)] == [promise]
     good = [x for n in range(60) for x in setup(n, n / 9, n / 9 + 0.3)]
     good += [*lent("g0", 1.0, 1, 0.6), *lent("g1", 6.1, 2, 0.4), *lent("g2", 12.0, 3, 0.9)]
     good += [(13.5, "gateway", {"gateway": "g2", "how": "killed"}), *lent("g2", 13.6, 1, 0.9, life=2)]
     good += [(20.0, "want", {"who": "g1", "to": "g9", "term": 2, "life": 1, "sequence": 9, "number": 7})]
-    assert judged_budgets(tape(good), WHOLES) == []
+    assert check_budgets(tape(good), WHOLES) == []
 
 
 def test_what_a_lender_had_under_a_former_term_counts_until_it_lends_itself() -> None:
     """What it lends to itself crosses no wire, and takes the place of what it had."""
     had = lent("g0", 1.0, 1, 0.6)
     with_it = [*had, *lent("g1", 2.0, 2, 0.4, by="g0", term=2)]
-    assert judged_budgets(tape(with_it), WHOLES) == []
+    assert check_budgets(tape(with_it), WHOLES) == []
     for other in (lent("g1", 2.0, 2, 0.4, by="g2", term=2), lent("g1", 2.0, 2, 0.4, by="g0", term=1)):
-        assert [b.promise for b in judged_budgets(tape([*had, *other]), WHOLES)] == [
+        assert [b.invariant for b in check_budgets(tape([*had, *other]), WHOLES)] == [
             "parts are within the whole"
         ], "another lends, or it does under no later term"
     before = [*had, *lent("g1", 1.5, 2, 0.4), *lent("g2", 3.0, 3, 0.1, by="g0", term=2)]
-    assert [b.promise for b in judged_budgets(tape(before), WHOLES)] == ["parts are within the whole"]
+    assert [b.invariant for b in check_budgets(tape(before), WHOLES)] == ["parts are within the whole"]
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -15,7 +15,7 @@
 from ledgehitch.lab.facts import PORTS
 from ledgehitch.model.agenda import Agenda
 from ledgehitch.model.day import Ground, Result, played
-from ledgehitch.proof.check import figures_of, judged
+from ledgehitch.proof.check import check_rules, rule_parameters
 from ledgehitch.standins.places import ORPHANED
 from ledgehitch.standins.plan import site_of, steps_of
 from ledgehitch.standins.visiting import Seen
@@ -44,7 +44,7 @@
 
 
 def broken(what: Day, result: Result, seed: int = 1) -> list[str]:
-    return [b.told() for b in judged(result.tape, figures_of(site_of(what, seed, PORTS)))]
+    return [b.describe() for b in check_rules(result.tape, rule_parameters(site_of(what, seed, PORTS)))]
 
 
 def test_calls_are_made_in_the_order_of_their_times_and_then_of_their_coming() -> None:
--- a/tests/test_owning.py
+++ b/tests/test_owning.py
@@ -9,7 +9,7 @@
 
 from ledgehitch.config import BadInput, Fault, read_day
 from ledgehitch.config.day import BETWEEN
-from ledgehitch.proof.owned import judged_owned
+from ledgehitch.proof.owned import check_owners
 from ledgehitch.proof.tape import Line
 from ledgehitch.rehearsal.fleet import FleetRig
 from ledgehitch.standins.cuts import Bad, Cuts
@@ -321,15 +321,15 @@
 
 @pytest.mark.parametrize("promise", PLANTED)
 def test_each_check_is_seen_to_fail_on_a_planted_tape(promise: str) -> None:
-    broken = judged_owned(tape(PLANTED[promise]), ["g0", "g4"], 1, promise == "nobody left out")
-    assert [b.promise for b in broken] == [promise] or promise == "nobody left out"
-    assert broken[0].promise == promise
+    broken = check_owners(tape(PLANTED[promise]), ["g0", "g4"], 1, promise == "nobody left out")
+    assert [b.invariant for b in broken] == [promise] or promise == "nobody left out"
+    assert broken[0].invariant == promise
     good = [
         *call(1, 1, "g0", 1, "g0", boot="a"),
         *call(2, 2, "g1", 2, "g0", then="", boot="b", started_by="p/g0", phase="ready"),
         *call(3, 3, "g0", 1, "g0", status=409),
     ]
-    assert judged_owned(tape(good), ["g0"], 1, True) == []
+    assert check_owners(tape(good), ["g0"], 1, True) == []
 
 
 def test_a_day_of_one_process_has_no_faults_between_daemons(tmp_path: Path) -> None:
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -9,12 +9,19 @@
 from ledgehitch.brain import Gateway
 from ledgehitch.gate import Gate
 from ledgehitch.http import NoAnswer, Request, Response
-from ledgehitch.proof.check import Breach, Figures, Sold, figures_of, judged, judged_tape
-from ledgehitch.proof.tape import Line, Tape, lines_of
+from ledgehitch.proof.check import (
+    Breach,
+    PackageTerms,
+    RuleParameters,
+    check_rules,
+    check_tapes,
+    rule_parameters,
+)
+from ledgehitch.proof.tape import Line, Tape, read_tapes
 from ledgehitch.signalling import Answer, Desk
 from tests.rig import Host, Rig
 
-F = Figures(
+F = RuleParameters(
     answer_slack=0.2,
     drain_grace=1.0,
     warm_up=10.0,
@@ -22,11 +29,11 @@
     fall_multiple=2.0,
     fall_after=2.0,
     packages={
-        "p": Sold(),
-        "floor": Sold(floor=1),
-        "seats": Sold(seats=2),
-        "once": Sold(effect="once"),
-        "key": Sold(effect="by_key", key_scope="zone", key_window=1.0),
+        "p": PackageTerms(),
+        "floor": PackageTerms(floor=1),
+        "seats": PackageTerms(seats=2),
+        "once": PackageTerms(effect="once"),
+        "key": PackageTerms(effect="by_key", key_scope="zone", key_window=1.0),
     },
     zones={"h0": "a", "h1": "b", "h2": "a"},
     cells={},
@@ -48,11 +55,11 @@
 
     def answered(t: float) -> Any:
         fields = {"conn": 1, "status": 201, "kind": "plays", "extra": 0, "resource": "r"}
-        return judged(tape(ask(10.0), still, goes_on, (t, "answer", fields)), F)
+        return check_rules(tape(ask(10.0), still, goes_on, (t, "answer", fields)), F)
 
     assert answered(18.4) == [] and [b.rule for b in answered(19.0)] == [1]
-    assert [b.rule for b in judged(tape(ask(10.0), (14.0, "hangup", {"conn": 1})), F)] == [1]
-    assert judged(tape(ask(10.0), still, (14.0, "hangup", {"conn": 1}), goes_on), F) == []
+    assert [b.rule for b in check_rules(tape(ask(10.0), (14.0, "hangup", {"conn": 1})), F)] == [1]
+    assert check_rules(tape(ask(10.0), still, (14.0, "hangup", {"conn": 1}), goes_on), F) == []
 
 
 def ask(t: float, conn: int = 1, gateway: str = "g0", who: str = "v", offer: str = "o") -> Any:
@@ -183,7 +190,7 @@
 
 
 def test_a_tape_that_keeps_the_rules_is_found_to() -> None:
-    assert judged(tape(*GOOD), F) == []
+    assert check_rules(tape(*GOOD), F) == []
 
 
 @pytest.mark.parametrize(("rule", "what", "events"), BROKEN)
@@ -191,10 +198,10 @@
     rule: int, what: str, events: list[Any]
 ) -> None:
     figures = replace(F, extra_free=1.0, extra_ratio=0.5, extra_window=4.0) if rule == 6 else F
-    breaches = [b for b in judged(tape(*events), figures) if b.rule == rule]
-    assert breaches and what in breaches[0].what, breaches
+    breaches = [b for b in check_rules(tape(*events), figures) if b.rule == rule]
+    assert breaches and what in breaches[0].message, breaches
     assert breaches[0].lines and all(at.startswith("made:") for at in breaches[0].lines)
-    assert len(breaches[0].times) == len(breaches[0].lines) and "rule" in breaches[0].told()
+    assert len(breaches[0].times) == len(breaches[0].lines) and "rule" in breaches[0].describe()
 
 
 def test_seats_are_free_again_with_an_end() -> None:
@@ -205,7 +212,7 @@
             out(2.0 * n + 0.1, f"s{n}"),
         ]
         events += [(2.0 * n + 1.5, "stop", {"id": f"s{n}"})]
-    assert judged(tape(*events), F) == []
+    assert check_rules(tape(*events), F) == []
 
 
 def test_tapes_are_read_in_the_order_of_time_and_up_to_a_cut(tmp_path: Path) -> None:
@@ -216,9 +223,9 @@
         t.close()
     with open(tmp_path / "a.tape", "ab") as file:
         file.write(b'{"t": 1, "ev')
-    lines = lines_of(tmp_path)
+    lines = read_tapes(tmp_path)
     assert [line["ev"] for line in lines] == ["first", "second"] and lines[1].at == "a.tape:1"
-    assert judged_tape(tmp_path, F) == ([], {"first": 1, "second": 1})
+    assert check_tapes(tmp_path, F) == ([], {"first": 1, "second": 1})
 
 
 # ---- gateways with a gate taken out, on real sockets -------------------------------------------------------
@@ -286,7 +293,7 @@
 
     def breaches(self, rig: Rig) -> list[Breach]:
         self.tape.close()
-        return judged_tape(self.directory, figures_of(rig.site))[0]
+        return check_tapes(self.directory, rule_parameters(rig.site))[0]
 
 
 def test_without_the_desk_s_answers_rule_1_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -402,7 +409,7 @@
     rig.run(day)
     found = taped.breaches(rig)
     assert {b.rule for b in found} == {5}
-    assert any("floor" in b.what for b in found) and any("seats" in b.what for b in found)
+    assert any("floor" in b.message for b in found) and any("seats" in b.message for b in found)
 
 
 def test_without_the_budget_rule_6_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ledgehitch.config.site import RegionRecord
-from ledgehitch.proof.budgeted import Wholes, judged_budgets
+from ledgehitch.proof.budgeted import FleetLimits, check_budgets
 from ledgehitch.regions.facts import WHOLE
 from ledgehitch.rehearsal.fleet import FleetRig
 from ledgehitch.rehearsal.play import DidNotStart
@@ -138,5 +138,5 @@
     rig.run(script)
     # Own parts were of two versions: loans and what was let in are judged.
     patience = max(p.patience for p in rig.site.packages)
-    assert judged_budgets(rig.lines(), Wholes({"recorded": RATE}, SET_UPS, 6, patience)) == []
+    assert check_budgets(rig.lines(), FleetLimits({"recorded": RATE}, SET_UPS, 6, patience)) == []
     assert rig.broken() == []
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -21,7 +21,7 @@
 from ledgehitch.gateway.replay import replayed
 from ledgehitch.gateway.versions import checked, first_version, last_good
 from ledgehitch.loop import Loop
-from ledgehitch.proof.check import figures_of, judged_tape
+from ledgehitch.proof.check import check_tapes, rule_parameters
 from ledgehitch.rehearsal.imported import KINDS_HERE, imported
 from ledgehitch.rehearsal.play import Stage, free_ports
 from ledgehitch.standins.arrivals import fewest_held, visits
@@ -357,7 +357,7 @@
         return stage.site
 
     site = loop.run(main)
-    breaches, held = judged_tape(tmp_path / "tape", figures_of(site))
+    breaches, held = check_tapes(tmp_path / "tape", rule_parameters(site))
     assert breaches == [] and held["ask"] > 80
     assert "ladder" in told["config"]["last_refusal"], "refused with the checker's words"
     service = json.loads((tmp_path / "s.json").read_text())
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -24,8 +24,8 @@
 from ledgehitch.owners.memory import Memory
 from ledgehitch.owners.words import Words, written
 from ledgehitch.owners.words import read as read_words
-from ledgehitch.proof.budgeted import Wholes, judged_budgets
-from ledgehitch.proof.owned import judged_owned
+from ledgehitch.proof.budgeted import FleetLimits, check_budgets
+from ledgehitch.proof.owned import check_owners
 from ledgehitch.proof.tape import Line
 from ledgehitch.regions import facts, shares
 from ledgehitch.regions.facts import OF_A_REGION, WHOLE, Region, digest_of, region_of, regions_of
@@ -464,7 +464,7 @@
     return out
 
 
-WHOLES = Wholes(
+WHOLES = FleetLimits(
     {},
     0.0,
     6,
@@ -477,12 +477,12 @@
 
 def test_each_check_by_region_is_seen_to_fail_on_a_planted_tape() -> None:
     good = tape(("g0", "g2", 1.0, 1, 0.4, 1), ("g1", "g3", 1.0, 1, 0.45, 1), ("g4", "g2", 9.0, 1, 0.4, 2))
-    assert judged_budgets(good, WHOLES) == [] and judged_owned(good, regions=OF) == []
+    assert check_budgets(good, WHOLES) == [] and check_owners(good, regions=OF) == []
     over = tape(("g0", "g2", 1.0, 1, 0.3, 1), ("g0", "g4", 1.0, 2, 0.3, 1))
-    (broken,) = judged_budgets(over, WHOLES)
-    assert broken.promise == "parts are within the region's share"
-    assert "north: g2, g4 had 1.24" in broken.what
+    (broken,) = check_budgets(over, WHOLES)
+    assert broken.invariant == "parts are within the region's share"
+    assert "north: g2, g4 had 1.24" in broken.message
     both = tape(("g0", "g2", 1.0, 1, 0.4, 1), ("g4", "g2", 9.0, 1, 0.4, 1))
-    assert [b.promise for b in judged_owned(both, regions=OF)] == ["one owner a term"]
+    assert [b.invariant for b in check_owners(both, regions=OF)] == ["one owner a term"]
     across = tape(("g0", "g2", 1.0, 1, 0.1, 1), ("g0", "g3", 1.0, 2, 0.1, 1))
-    assert [b.promise for b in judged_owned(across, regions=OF)] == ["each region lends for itself"]
+    assert [b.invariant for b in check_owners(across, regions=OF)] == ["each region lends for itself"]
