--- a/ledgehitch/model/spoilt.py
+++ b/ledgehitch/model/spoilt.py
@@ -7,15 +7,15 @@
 from dataclasses import replace
 
 from ledgehitch.brain import Gateway, MediaHost, Viewing
-from ledgehitch.gate import Gate
+from ledgehitch.gate import SendGuard
 from ledgehitch.interface import Block, Decision, Row
 
 
-class OpenGate(Gate):
+class OpenGate(SendGuard):
     """Stops nothing."""
 
-    def sending(self, now: float, vw: int, host: str, within: float) -> None:
-        v = self.viewings.get(vw)
+    def check_send(self, now: float, viewing_id: int, host: str, within: float) -> None:
+        v = self.viewings.get(viewing_id)
         if v is not None:
             v.out = True
 
@@ -39,8 +39,8 @@
 class _Deaf(Gateway):
     """Rule 3: that a media host drains or is gone is not heard."""
 
-    def listed(self, now: float, how: str, rows: Sequence[Row]) -> None:
-        super().listed(now, how, [replace(row, state="in_service") for row in rows])
+    def on_host_list(self, now: float, how: str, rows: Sequence[Row]) -> None:
+        super().on_host_list(now, how, [replace(row, state="in_service") for row in rows])
 
 
 class _Rash(Gateway):
