--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -11,8 +11,8 @@
 import msgspec
 import structlog
 
-from ledgehitch.door.decide import Decision, Door
-from ledgehitch.door.names import ORDER, By
+from ledgehitch.door.decide import AdmissionController, Decision
+from ledgehitch.door.names import DEFAULT_ORDER, Identity
 from ledgehitch.quality.keep import Keep
 
 KEPT_EVERY = 5.0  # seconds: tickets used since then may be used once more after a kill
@@ -22,7 +22,7 @@
 class SomeDoor(Protocol):
     """The door, or a baseline in its place."""
 
-    def asked(
+    def on_request(
         self,
         now: float,
         conn: int,
@@ -30,10 +30,10 @@
         package: str,
         patience: float,
         ticket: str = "",
-        ahead: float = 0.0,
+        wall_clock_offset: float = 0.0,
     ) -> None: ...
-    def gone(self, now: float, conn: int) -> None: ...
-    def settled(self, now: float, conn: int, failed: bool) -> None: ...
+    def on_disconnect(self, now: float, conn: int) -> None: ...
+    def on_result(self, now: float, conn: int, failed: bool) -> None: ...
     def decide(self, now: float) -> Decision | None: ...
     def wake_at(self) -> float | None: ...
     def state(self, now: float) -> dict[str, Any]: ...
@@ -42,7 +42,9 @@
 class Doorman:
     """Times are of the machine's monotonic clock, as patience must not depend on a clock that steps."""
 
-    def __init__(self, door: SomeDoor, keep: Keep | None = None, order: Sequence[By] = ORDER) -> None:
+    def __init__(
+        self, door: SomeDoor, keep: Keep | None = None, order: Sequence[Identity] = DEFAULT_ORDER
+    ) -> None:
         self.door, self.keep, self.order = door, keep, order
         # Looks whether what is lent is still in force; called before anybody is let in.
         self.look: Callable[[float], None] | None = None
@@ -56,18 +58,18 @@
 
     def _read(self, keep: Keep) -> None:
         held = keep.read()
-        if held is None or not isinstance(self.door, Door):
+        if held is None or not isinstance(self.door, AdmissionController):
             return
         try:
-            self.door.thawed(time.monotonic(), held["door"])
+            self.door.restore(time.monotonic(), held["door"])
             self.secret = bytes(held["secret"])
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError, RuntimeError) as wrong:
             log.error("what the door kept does not read, it starts anew", why=str(wrong))
 
     def write(self) -> None:
-        if self.keep is not None and isinstance(self.door, Door):
+        if self.keep is not None and isinstance(self.door, AdmissionController):
             self._kept_at = time.monotonic()
-            self.keep.write({"door": self.door.frozen(), "secret": self.secret})
+            self.keep.write({"door": self.door.snapshot(), "secret": self.secret})
 
     def keep_now_and_then(self) -> None:
         if time.monotonic() - self._kept_at >= KEPT_EVERY:
@@ -77,8 +79,8 @@
         self, client_rate: float, client_burst: float, package_rates: Mapping[str, float], set_ups: float
     ) -> None:
         """The site's limits, at start and at a reload."""
-        if isinstance(self.door, Door):
-            self.door.limited(client_rate, client_burst, package_rates, set_ups)
+        if isinstance(self.door, AdmissionController):
+            self.door.set_limits(client_rate, client_burst, package_rates, set_ups)
 
     def shared(
         self,
@@ -90,11 +92,11 @@
     ) -> None:
         """This gateway's part of the fleet's limits, and up to when what is lent of it is in force;
         `by_budget`: its own part of limits of which that is not `own`."""
-        if isinstance(self.door, Door):
-            self.door.shared(now, own, lent, until, by_budget)
+        if isinstance(self.door, AdmissionController):
+            self.door.set_share(now, own, lent, until, by_budget)
 
     def needs(self, now: float) -> tuple[dict[str, float], dict[str, float]]:
-        return self.door.needs(now) if isinstance(self.door, Door) else ({}, {})
+        return self.door.demand(now) if isinstance(self.door, AdmissionController) else ({}, {})
 
     # ---- viewings ------------------------------------------------------------------------------------------
 
@@ -103,14 +105,14 @@
     ) -> None:
         if self.look is not None:
             self.look(now)
-        self.door.asked(now, viewing_id, name, package, patience, ticket, time.time() - now)
+        self.door.on_request(now, viewing_id, name, package, patience, ticket, time.time() - now)
 
     def needs_told(self) -> None:
-        if isinstance(self.door, Door):
-            self.door.needs_told()
+        if isinstance(self.door, AdmissionController):
+            self.door.on_demand_reported()
 
     def uses(self) -> dict[str, float]:
-        return self.door.uses() if isinstance(self.door, Door) else {}
+        return self.door.usage() if isinstance(self.door, AdmissionController) else {}
 
     def decide(self, now: float) -> Decision | None:
         if self.look is not None:
@@ -118,15 +120,15 @@
         return self.door.decide(now)
 
     def gone(self, now: float, viewing_id: int) -> None:
-        self.door.gone(now, viewing_id)
+        self.door.on_disconnect(now, viewing_id)
 
     def settled(self, now: float, viewing_id: int, failed: bool) -> None:
-        self.door.settled(now, viewing_id, failed)
+        self.door.on_result(now, viewing_id, failed)
 
     def given_up(self, now: float) -> None:
         """A tune-in was not answered in its time."""
-        if isinstance(self.door, Door):
-            self.door.given_up(now)
+        if isinstance(self.door, AdmissionController):
+            self.door.on_tune_in_timeout(now)
 
     def state(self) -> dict[str, Any]:
         return self.door.state(time.monotonic())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's codecs, desk, watch, pace, life and facts: free of sockets, each check seen to fail once."""
+"""Unit tests of the platform package and its codecs, without sockets. Each check was seen to fail once."""
 
 import io
 import json
@@ -9,47 +9,56 @@
 from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
-from ledgehitch import hostline, rtsp
-from ledgehitch import interface as say
+from ledgehitch import hostline, interface, rtsp
 from ledgehitch.brain import Gateway
 from ledgehitch.facts import BadFact, facts_from, nested, reach_of
 from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.interface import UNPLACED, Package, Row
 from ledgehitch.platform import lines
 from ledgehitch.platform.__main__ import main as platform
-from ledgehitch.platform.bounds import bounds_of
-from ledgehitch.platform.desk import Answer, Desk, Release
-from ledgehitch.platform.life import Life
-from ledgehitch.platform.lost import Lost, Open, Watch
-from ledgehitch.platform.pace import FREE, FRESH, IDLE, MOST_FAULTS, SILENT, Pace, first_to_go
-from ledgehitch.platform.told import read, rows_of
+from ledgehitch.platform.bounds import limits_for
+from ledgehitch.platform.desk import Release, Response, SessionTable
+from ledgehitch.platform.life import Lifecycle
+from ledgehitch.platform.lost import FailureDetector, HostLost, OpenConnection
+from ledgehitch.platform.pace import (
+    FIRST_REQUEST_GRACE_S,
+    FREE_FAULTS,
+    IDLE_TIMEOUT_S,
+    MAX_FAULTS,
+    MESSAGE_TIMEOUT_S,
+    Throttle,
+    eviction_candidate,
+)
+from ledgehitch.platform.told import parse_configuration, parse_host_list
 from ledgehitch.simhost.wire import main as simhost
 
-SID = "9b1f03aa5c7e2d41"
+SESSION_ID = "9b1f03aa5c7e2d41"
 
 # ---- codecs ------------------------------------------------------------------------------------------------
 
 GOOD = [
-    rtsp.request("SETUP", "rtsp://media/7f3a", "1", SID, [("X-Tier", "paid")], b"9d41\r\n\r\nc=IN\r\n"),
-    rtsp.request("OPTIONS", "rtsp://media/ping", "3", SID),
-    rtsp.answer(200, "2", SID),
-    rtsp.request("TEARDOWN", "rtsp://media/x", "2", SID, [("Reason", "cause=16")]),
+    rtsp.request(
+        "SETUP", "rtsp://media/7f3a", "1", SESSION_ID, [("X-Tier", "paid")], b"9d41\r\n\r\nc=IN\r\n"
+    ),
+    rtsp.request("OPTIONS", "rtsp://media/ping", "3", SESSION_ID),
+    rtsp.response(200, "2", SESSION_ID),
+    rtsp.request("TEARDOWN", "rtsp://media/x", "2", SESSION_ID, [("Reason", "cause=16")]),
 ]
 
 
-def fed(reader: Any, parts: list[bytes]) -> tuple[list[Any], str]:
-    """The messages, and why it broke."""
-    out: list[Any] = []
+def read_all(reader: Any, parts: list[bytes]) -> tuple[list[Any], str]:
+    """Returns the messages, and the error that ended the reading."""
+    messages: list[Any] = []
     try:
         for part in parts:
             for message in reader.feed(part):
-                out.append(message)  # one by one: those before a fault count
-    except (rtsp.Malformed, hostline.Malformed) as why:
-        return out, str(why)
-    return out, ""
+                messages.append(message)  # one by one, to keep those before an error
+    except (rtsp.Malformed, hostline.Malformed) as error:
+        return messages, str(error)
+    return messages, ""
 
 
-def cut(data: bytes, at: list[int]) -> list[bytes]:
+def split(data: bytes, at: list[int]) -> list[bytes]:
     edges = sorted({0, len(data), *(i % (len(data) + 1) for i in at)})
     return [data[a:b] for a, b in zip(edges, edges[1:], strict=False)]
 
@@ -57,33 +66,33 @@
 @seed(3)
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.sampled_from(GOOD), max_size=5), st.lists(st.integers(0, 9999), max_size=12))
-def test_rtsp_reads_the_same_messages_from_any_cut(messages: list[bytes], at: list[int]) -> None:
-    whole = fed(rtsp.Reader(), [b"".join(messages)])
-    assert whole == fed(rtsp.Reader(), cut(b"".join(messages), at)) and len(whole[0]) == len(messages)
+def test_rtsp_messages_do_not_depend_on_how_the_bytes_are_split(messages: list[bytes], at: list[int]) -> None:
+    whole = read_all(rtsp.Reader(), [b"".join(messages)])
+    assert whole == read_all(rtsp.Reader(), split(b"".join(messages), at)) and len(whole[0]) == len(messages)
 
 
 LINES = [
-    hostline.written("STARTED", SID, {"load": "x0:0.4;active:12"}, None, "a\r\nb\u00e9"),
-    hostline.written("FINISH", SID, {}, 34),
-    hostline.written("NOTICE", SID, {"note": "wire", "value": 0.5}),
+    hostline.encode("STARTED", SESSION_ID, {"load": "x0:0.4;active:12"}, None, "a\r\nb\u00e9"),
+    hostline.encode("FINISH", SESSION_ID, {}, 34),
+    hostline.encode("NOTICE", SESSION_ID, {"note": "wire", "value": 0.5}),
 ]
 
 
 @seed(4)
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.sampled_from(LINES), max_size=5), st.lists(st.integers(0, 9999), max_size=12))
-def test_lines_read_the_same_from_any_cut(sent: list[bytes], at: list[int]) -> None:
-    whole = fed(hostline.Reader(), [b"".join(sent)])
-    assert whole == fed(hostline.Reader(), cut(b"".join(sent), at)) and len(whole[0]) == len(sent)
+def test_host_lines_do_not_depend_on_how_the_bytes_are_split(sent: list[bytes], at: list[int]) -> None:
+    whole = read_all(hostline.Reader(), [b"".join(sent)])
+    assert whole == read_all(hostline.Reader(), split(b"".join(sent), at)) and len(whole[0]) == len(sent)
 
 
 @seed(5)
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.one_of(st.binary(max_size=300), st.sampled_from([*GOOD, *LINES])), max_size=30))
-def test_no_input_raises_more_than_the_codecs_error_or_is_kept_beyond_the_limit(parts: list[bytes]) -> None:
+def test_no_input_raises_another_error_or_is_buffered_beyond_the_limit(parts: list[bytes]) -> None:
     for reader in (rtsp.Reader(), hostline.Reader()):
-        fed(reader, parts)
-        assert len(reader._rest) <= rtsp.MOST
+        read_all(reader, parts)
+        assert len(reader._rest) <= rtsp.MAX_MESSAGE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -97,15 +106,15 @@
         (b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 99999999999999\r\n\r\n", 400),
         (b"SETUP rtsp://media/a RTSP/1.0\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", 400),
         (b"SETUP rtsp://media/a RTSP/1.0\r\nno colon\r\nContent-Length: 0\r\n\r\n", 400),
-        (b"A" * rtsp.MOST, 413),
+        (b"A" * rtsp.MAX_MESSAGE_BYTES, 413),
     ],
 )
-def test_what_is_no_message_is_refused_at_once(data: bytes, status: int) -> None:
+def test_invalid_rtsp_is_refused_at_once(data: bytes, status: int) -> None:
     reader = rtsp.Reader()
     before = list(reader.feed(GOOD[1]))
-    with pytest.raises(rtsp.Malformed) as why:
+    with pytest.raises(rtsp.Malformed) as error:
         list(reader.feed(data))
-    assert why.value.status == status and len(before) == 1
+    assert error.value.status == status and len(before) == 1
     assert list(reader.feed(GOOD[0])) == [] and not reader._rest
 
 
@@ -115,205 +124,205 @@
         b"noise\n",
         b"[]\n",
         b'{"verb":"START"}\n',
-        b'{"verb":"WHAT","tag":"%s"}\n' % SID.encode(),
-        b'{"verb":"FINISH","tag":"%s","rc":"34"}\n' % SID.encode(),
+        b'{"verb":"WHAT","tag":"%s"}\n' % SESSION_ID.encode(),
+        b'{"verb":"FINISH","tag":"%s","rc":"34"}\n' % SESSION_ID.encode(),
         b'{"verb":"FINISH","tag":"1"}\n',
-        b'{"verb":"NOTICE","tag":"%s","opts":{"a":[]}}\n' % SID.encode(),
+        b'{"verb":"NOTICE","tag":"%s","opts":{"a":[]}}\n' % SESSION_ID.encode(),
         b"\xff\xfe\n",
         b"[" * 9000 + b"\n",
-        b"x" * hostline.MOST,
+        b"x" * hostline.MAX_LINE_BYTES,
     ],
 )
-def test_what_is_no_line_is_told_at_once(line: bytes) -> None:
+def test_an_invalid_host_line_is_refused_at_once(line: bytes) -> None:
     with pytest.raises(hostline.Malformed):
         list(hostline.Reader().feed(line))
 
 
-def test_a_report_is_read_in_the_order_of_the_settings() -> None:
+def test_a_load_report_is_read_in_the_order_of_the_settings() -> None:
     fields: hostline.codec.Fields = {"load": "x0:0.4;active:12;odd:nan"}
-    assert hostline.loads_of(fields, ("active", "x0")) == [12.0, 0.4]
-    assert hostline.loads_of(fields, ("odd", "x1")) == [-1.0, -1.0]
-    assert hostline.loads_of({}, ("active",)) == []
-
-
-# ---- who is owed what --------------------------------------------------------------------------------------
+    assert hostline.parse_loads(fields, ("active", "x0")) == [12.0, 0.4]
+    assert hostline.parse_loads(fields, ("odd", "x1")) == [-1.0, -1.0]
+    assert hostline.parse_loads({}, ("active",)) == []
 
 
-def owed(desk: Desk) -> list[Any]:
-    out = []
-    while (decision := desk.decide()) is not None:
-        out.append(decision)
-    return out
+# ---- responses and releases --------------------------------------------------------------------------------
 
 
-def test_each_set_up_gets_one_answer_and_an_open_id_is_not_taken_twice() -> None:
-    desk = Desk()
-    viewing_id = desk.asked(1, SID, "1")
-    assert viewing_id is not None and desk.asked(2, SID, "1") is None
-    assert desk.plays(viewing_id, "d") and not desk.plays(viewing_id, "d")
-    desk.blocked(viewing_id)
-    desk.aborted(viewing_id)
-    assert owed(desk) == [Answer(1, SID, "1", "plays", "d")]
-    desk.over(viewing_id, 16)
-    desk.over(viewing_id, 16)
-    assert owed(desk) == [Release(1, SID, 16)]
-    assert not (desk.by_viewing_id or desk.by_sid or desk.by_conn or desk.waiting)
-
-
-def test_a_connection_that_is_gone_gives_up_what_waits_and_leaves_what_plays() -> None:
-    desk = Desk()
-    plays, waits = desk.asked(1, SID, "1"), desk.asked(1, "0" * 16, "1")
+def decisions_of(sessions: SessionTable) -> list[Any]:
+    decisions = []
+    while (decision := sessions.decide()) is not None:
+        decisions.append(decision)
+    return decisions
+
+
+def test_each_set_up_gets_one_response_and_an_open_id_is_not_accepted_twice() -> None:
+    sessions = SessionTable()
+    viewing_id = sessions.on_setup(1, SESSION_ID, "1")
+    assert viewing_id is not None and sessions.on_setup(2, SESSION_ID, "1") is None
+    assert sessions.on_playing(viewing_id, "d") and not sessions.on_playing(viewing_id, "d")
+    sessions.on_blocked(viewing_id)
+    sessions.on_aborted(viewing_id)
+    assert decisions_of(sessions) == [Response(1, SESSION_ID, "1", "plays", "d")]
+    sessions.on_ended(viewing_id, 16)
+    sessions.on_ended(viewing_id, 16)
+    assert decisions_of(sessions) == [Release(1, SESSION_ID, 16)]
+    assert not (sessions.by_viewing_id or sessions.by_session_id or sessions.by_conn or sessions.pending)
+
+
+def test_a_closed_connection_drops_pending_set_ups_and_keeps_playing_viewings() -> None:
+    sessions = SessionTable()
+    plays, waits = sessions.on_setup(1, SESSION_ID, "1"), sessions.on_setup(1, "0" * 16, "1")
     assert plays is not None and waits is not None
-    desk.plays(plays, "d")
-    owed(desk)
-    assert desk.hung_up(1) == [waits] and desk.hung_up(1) == []
-    desk.over(plays, 41)
-    assert owed(desk) == []  # no connection is there to tell it on
-    desk.asked(2, "1" * 16, "1")
-    assert owed(desk) == [Release(2, SID, 41)]
-
-
-def test_a_release_goes_where_set_ups_come_from_when_its_own_connection_is_gone() -> None:
-    desk = Desk()
-    viewing_id = desk.asked(1, SID, "1")
+    sessions.on_playing(plays, "d")
+    decisions_of(sessions)
+    assert sessions.on_connection_closed(1) == [waits] and sessions.on_connection_closed(1) == []
+    sessions.on_ended(plays, 41)
+    assert decisions_of(sessions) == []  # no connection is open to send it on
+    sessions.on_setup(2, "1" * 16, "1")
+    assert decisions_of(sessions) == [Release(2, SESSION_ID, 41)]
+
+
+def test_a_release_whose_connection_is_gone_goes_where_set_ups_come_from() -> None:
+    sessions = SessionTable()
+    viewing_id = sessions.on_setup(1, SESSION_ID, "1")
     assert viewing_id is not None
-    desk.plays(viewing_id, "d")
-    desk.asked(2, "2" * 16, "1")
-    desk.hung_up(1)
-    owed(desk)
-    desk.over(viewing_id, 16)
-    assert owed(desk) == [Release(2, SID, 16)]
+    sessions.on_playing(viewing_id, "d")
+    sessions.on_setup(2, "2" * 16, "1")
+    sessions.on_connection_closed(1)
+    decisions_of(sessions)
+    sessions.on_ended(viewing_id, 16)
+    assert decisions_of(sessions) == [Release(2, SESSION_ID, 16)]
 
 
-def test_a_release_goes_to_where_its_viewer_comes_from_else_to_who_carries_most() -> None:
-    desk = Desk()
+def test_a_release_prefers_its_viewers_address_then_the_connection_with_most_sessions() -> None:
+    sessions = SessionTable()
     for conn, peer in ((1, "10.0.0.1"), (2, "10.0.0.2"), (3, "10.0.0.1"), (4, "10.0.0.9")):
-        desk.opened(conn, peer)
-    viewing_ids = [desk.asked(1, "a" * 15 + str(n), "1") for n in range(3)]
+        sessions.on_connection_opened(conn, peer)
+    viewing_ids = [sessions.on_setup(1, "a" * 15 + str(n), "1") for n in range(3)]
     for n, conn in enumerate((2, 2, 3, 4)):
-        desk.asked(conn, "b" * 15 + str(n), "1")
+        sessions.on_setup(conn, "b" * 15 + str(n), "1")
     for viewing_id in viewing_ids:
         assert viewing_id is not None
-        desk.plays(viewing_id, "d")
-    desk.hung_up(1)
-    owed(desk)
+        sessions.on_playing(viewing_id, "d")
+    sessions.on_connection_closed(1)
+    decisions_of(sessions)
     for viewing_id, conn in zip(viewing_ids, (3, 2, 4), strict=True):
         assert viewing_id is not None
-        desk.over(viewing_id, 16)
-        assert [d.conn for d in owed(desk)] == [conn]
-        desk.hung_up(conn)
-    assert set(desk.peers) == set()
+        sessions.on_ended(viewing_id, 16)
+        assert [d.conn for d in decisions_of(sessions)] == [conn]
+        sessions.on_connection_closed(conn)
+    assert set(sessions.peers) == set()
 
 
-def test_a_release_whose_connection_turned_out_to_be_gone_goes_out_on_another_or_waits() -> None:
-    desk = Desk()
-    viewing_id = desk.asked(1, SID, "1")
+def test_an_undelivered_release_goes_out_on_another_connection_or_waits() -> None:
+    sessions = SessionTable()
+    viewing_id = sessions.on_setup(1, SESSION_ID, "1")
     assert viewing_id is not None
-    desk.plays(viewing_id, "d")
-    desk.asked(2, "2" * 16, "1")
-    owed(desk)
-    desk.over(viewing_id, 16)
-    (release,) = owed(desk)
-    assert release == Release(1, SID, 16)
-    desk.undelivered(release)
-    (again,) = owed(desk)
-    assert again == Release(2, SID, 16)
-    desk.undelivered(again)
-    assert owed(desk) == []
-    desk.asked(3, "3" * 16, "1")
-    assert owed(desk) == [Release(3, SID, 16)]
-
-
-def test_what_its_viewer_ended_is_owed_no_release() -> None:
-    desk = Desk()
-    viewing_id = desk.asked(1, SID, "1")
+    sessions.on_playing(viewing_id, "d")
+    sessions.on_setup(2, "2" * 16, "1")
+    decisions_of(sessions)
+    sessions.on_ended(viewing_id, 16)
+    (release,) = decisions_of(sessions)
+    assert release == Release(1, SESSION_ID, 16)
+    sessions.on_release_failed(release)
+    (again,) = decisions_of(sessions)
+    assert again == Release(2, SESSION_ID, 16)
+    sessions.on_release_failed(again)
+    assert decisions_of(sessions) == []
+    sessions.on_setup(3, "3" * 16, "1")
+    assert decisions_of(sessions) == [Release(3, SESSION_ID, 16)]
+
+
+def test_a_viewing_that_its_viewer_ended_gets_no_release() -> None:
+    sessions = SessionTable()
+    viewing_id = sessions.on_setup(1, SESSION_ID, "1")
     assert viewing_id is not None
-    desk.plays(viewing_id, "d")
-    owed(desk)
-    assert desk.torn(SID) == (viewing_id, True) and desk.torn(SID) is None
-    desk.over(viewing_id, 16)
-    assert owed(desk) == []
+    sessions.on_playing(viewing_id, "d")
+    decisions_of(sessions)
+    assert sessions.on_teardown(SESSION_ID) == (viewing_id, True) and sessions.on_teardown(SESSION_ID) is None
+    sessions.on_ended(viewing_id, 16)
+    assert decisions_of(sessions) == []
 
 
-# ---- what is lost ------------------------------------------------------------------------------------------
+# ---- failure detector and send guard -----------------------------------------------------------------------
 
 
-def watching(told_every: float = 3.0) -> Watch:
-    watch = Watch(told_every)
-    watch.listed(0.0, "h", False, 0.0)
-    watch.opening("h")
-    watch.opened(0.0, "h")
-    watch.stands(0.0, "h")
-    return watch
+def detector_with_viewing(report_interval: float = 3.0) -> FailureDetector:
+    detector = FailureDetector(report_interval)
+    detector.on_host_listed(0.0, "h", False, 0.0)
+    detector.on_connecting("h")
+    detector.on_connected(0.0, "h")
+    detector.on_viewing_started(0.0, "h")
+    return detector
 
 
-def test_a_reset_proves_nothing_and_a_refused_connection_does() -> None:
-    watch = watching()
-    watch.broke("h")
-    assert watch.decide(1.0) == Open("h")
-    watch.opening("h")
-    assert watch.decide(1.0) is None
-    watch.failed(1.1, "h", False)
-    assert watch.decide(1.12) is None  # time ran out, and it was heard a moment ago
-    assert watch.decide(1.3) == Open("h")
-    watch.opening("h")
-    watch.failed(1.3, "h", True)
-    assert watch.decide(1.3) == Lost("h", 1.3)
+def test_a_refused_connection_is_a_failure_and_a_reset_is_not() -> None:
+    detector = detector_with_viewing()
+    detector.on_connection_closed("h")
+    assert detector.decide(1.0) == OpenConnection("h")
+    detector.on_connecting("h")
+    assert detector.decide(1.0) is None
+    detector.on_connect_failed(1.1, "h", False)
+    assert detector.decide(1.12) is None  # a time-out, but the host was heard recently
+    assert detector.decide(1.3) == OpenConnection("h")
+    detector.on_connecting("h")
+    detector.on_connect_failed(1.3, "h", True)
+    assert detector.decide(1.3) == HostLost("h", 1.3)
 
 
 def test_a_host_that_vanished_is_lost_well_within_eight_seconds() -> None:
-    watch, now = watching(), 0.0
-    while (decision := watch.decide(now)) != Lost("h", now):
-        if decision == Open("h"):
-            watch.opening("h")
+    detector, now = detector_with_viewing(), 0.0
+    while (decision := detector.decide(now)) != HostLost("h", now):
+        if decision == OpenConnection("h"):
+            detector.on_connecting("h")
             now += 0.25
-            watch.failed(now, "h", False)
-        now = round(max(now + 0.001, min(watch.wake_at(), now + 1)), 3) if decision is None else now
+            detector.on_connect_failed(now, "h", False)
+        now = round(max(now + 0.001, min(detector.wake_at(), now + 1)), 3) if decision is None else now
         assert now < 6.5
     assert now > 3.0
 
 
-def test_a_host_that_is_silent_but_takes_connections_is_kept() -> None:
-    watch = watching()
+def test_a_silent_host_that_accepts_connections_is_not_lost() -> None:
+    detector = detector_with_viewing()
     for now in (4.0, 8.0, 12.0):
-        assert watch.decide(now) == Open("h")
-        watch.opening("h")
-        watch.opened(now, "h")
-        assert watch.decide(now) is None
-
-
-def test_the_list_tells_of_ends_and_new_starts_and_nothing_stays_of_a_host_that_is_over() -> None:
-    watch = watching()
-    watch.listed(2.0, "h", False, 1.5)
-    assert watch.decide(2.0) == Lost("h", 1.5)  # what was set up after its new start stands
-    watch.listed(3.0, "h", True, 1.5)
-    assert watch.decide(3.0) == Lost("h", 3.0)
-    watch.over("h")
-    watch.broke("h")
-    assert not watch.hosts
-    watch.stands(3.1, "h")
-    watch.over("h")
-    assert not watch.hosts
-
-
-def test_a_host_that_came_back_gets_a_connection_though_one_of_its_former_life_ends_late() -> None:
-    """Once the count of those on their way fell below none, and no connection was opened for good."""
-    for ends in ("failed", "opened and broke"):
-        watch = Watch(3.0)
-        watch.listed(0.0, "h", False, 0.0)
-        watch.opening("h")
-        watch.listed(1.0, "h", True, 0.0)
-        watch.listed(1.1, "h", False, 1.1)
-        if ends == "failed":
-            watch.failed(1.2, "h", False)
+        assert detector.decide(now) == OpenConnection("h")
+        detector.on_connecting("h")
+        detector.on_connected(now, "h")
+        assert detector.decide(now) is None
+
+
+def test_listed_ends_and_restarts_are_failures_and_a_host_that_is_over_is_forgotten() -> None:
+    detector = detector_with_viewing()
+    detector.on_host_listed(2.0, "h", False, 1.5)
+    assert detector.decide(2.0) == HostLost("h", 1.5)  # viewings set up after the restart are kept
+    detector.on_host_listed(3.0, "h", True, 1.5)
+    assert detector.decide(3.0) == HostLost("h", 3.0)
+    detector.on_viewing_ended("h")
+    detector.on_connection_closed("h")
+    assert not detector.hosts
+    detector.on_viewing_started(3.1, "h")
+    detector.on_viewing_ended("h")
+    assert not detector.hosts
+
+
+def test_a_host_that_came_back_gets_a_connection_though_an_earlier_one_ends_late() -> None:
+    """The number of connections being opened became negative, and none was ever opened again."""
+    for late_end in ("failed", "opened and broke"):
+        detector = FailureDetector(3.0)
+        detector.on_host_listed(0.0, "h", False, 0.0)
+        detector.on_connecting("h")
+        detector.on_host_listed(1.0, "h", True, 0.0)
+        detector.on_host_listed(1.1, "h", False, 1.1)
+        if late_end == "failed":
+            detector.on_connect_failed(1.2, "h", False)
         else:
-            watch.opened(1.2, "h")
-            watch.broke("h")
-        watch.stands(2.0, "h")
-        assert watch.decide(3.0) == Open("h"), ends
+            detector.on_connected(1.2, "h")
+            detector.on_connection_closed("h")
+        detector.on_viewing_started(2.0, "h")
+        assert detector.decide(3.0) == OpenConnection("h"), late_end
 
 
-def test_the_gate_forgets_hosts_that_nothing_may_be_sent_to_any_more() -> None:
+def test_the_send_guard_forgets_hosts_that_take_no_more_sends() -> None:
     gate = SendGuard(1.0)
     for n in range(50):
         gate.on_host_state(n, f"h{n}", True)
@@ -327,117 +336,153 @@
             gate.check_send(50.6, 2, host, 1.0)
 
 
-class Way:
-    """A connection to a media host, as `lines` sees one."""
+class FakeConnection:
+    """The part of a connection to a media host that `lines` uses."""
 
     def __init__(
-        self, used_at: float, out: int = 0, up: bool = True, doubted: bool = False, past: str = ""
+        self,
+        last_used_at: float,
+        pending: int = 0,
+        established: bool = True,
+        suspect: bool = False,
+        recent: str = "",
     ) -> None:
-        self.open: dict[str, None] = {str(n): None for n in range(out)}
-        self.past: dict[str, None] = {past: None} if past else {}
-        self.used_at, self.up, self.doubted = used_at, up, doubted
+        self.pending: dict[str, None] = {str(n): None for n in range(pending)}
+        self.recent: dict[str, None] = {recent: None} if recent else {}
+        self.last_used_at, self.established, self.suspect = last_used_at, established, suspect
 
 
-def test_set_ups_go_to_a_connection_that_is_up_and_undoubted_with_the_fewest() -> None:
-    opening, busy, free, doubted = Way(0, up=False), Way(0, 2), Way(0, 1), Way(0, doubted=True)
-    assert lines.fittest([opening, busy, free, doubted], 32, 1.0, 30.0) is free
-    assert lines.fittest([opening, busy, free, doubted], 2, 1.0, 30.0) is free
-    assert lines.fittest([opening, busy, free, doubted], 1, 1.0, 30.0) is opening
-    assert lines.fittest([doubted, busy], 2, 1.0, 30.0) is None
+def test_a_set_up_goes_to_the_established_unsuspected_connection_with_fewest_pending() -> None:
+    opening, busy, free, suspect = (
+        FakeConnection(0, established=False),
+        FakeConnection(0, 2),
+        FakeConnection(0, 1),
+        FakeConnection(0, suspect=True),
+    )
+    assert lines.choose([opening, busy, free, suspect], 32, 1.0, 30.0) is free
+    assert lines.choose([opening, busy, free, suspect], 2, 1.0, 30.0) is free
+    assert lines.choose([opening, busy, free, suspect], 1, 1.0, 30.0) is opening
+    assert lines.choose([suspect, busy], 2, 1.0, 30.0) is None
 
 
-def test_no_set_up_goes_where_the_other_side_may_close_or_a_copy_of_its_last_outcome_may_come() -> None:
+def test_no_set_up_goes_where_the_host_may_close_or_a_duplicate_outcome_may_come() -> None:
     for idle in (0.2, 1.0, 2.0, 30.0):
-        kept = lines.kept_for(idle)
-        assert kept <= idle * 0.9 and kept <= max(idle - 0.25, idle / 2)
-        unused, used = Way(10.0), Way(10.0, 1)
-        assert lines.fittest([unused], 32, 10.0 + kept - 0.01, idle) is unused
-        assert lines.fittest([unused], 32, 10.01 + kept, idle) is None
-        assert lines.fittest([unused, used], 32, 10.01 + kept, idle) is used
-        assert lines.over(10.01 + kept, [unused, used], 0, idle) == [unused]
-    had, other = Way(0.0, past="a"), Way(0.0, 1)
-    assert lines.fittest([had, other], 32, 0.0, 30.0, "a") is other
-    assert lines.fittest([had, other], 32, 0.0, 30.0, "b") is had
-
-
-def test_connections_are_let_go_when_doubted_or_idle_and_never_the_last_one_needed() -> None:
-    old, older, busy, opening = Way(5.0), Way(0.0), Way(0.0, 1), Way(0.0, up=False)
-    assert lines.first_to_go([old, older, busy, opening]) is older
-    assert lines.first_to_go([busy, opening]) is None
-    assert lines.over(100.0, [old, older, busy, opening], 0, 30.0) == [old, older]
-    assert lines.over(100.0, [old, older], 1, 30.0) == [old] and lines.over(20.0, [old, older], 1, 30.0) == []
-    doubted = Way(99.5, doubted=True)
-    assert lines.over(100.0, [doubted], 1, 30.0) == [] and lines.over(101.0, [doubted], 1, 30.0) == [doubted]
-
-
-# ---- pace and life -----------------------------------------------------------------------------------------
-
-
-def test_faults_slow_a_connection_down_and_silence_ends_it_within_three_seconds() -> None:
-    pace = Pace(10.0)
-    assert not pace.overdue(10.0 + SILENT) and pace.overdue(10.1 + SILENT) and SILENT < 2.5
-    pace.read(10.5, True, False)
-    assert not pace.overdue(99.0)
-    pace.read(20.0, False, True)
-    pace.read(21.0, False, True)  # half a message does not become younger by another byte
-    assert pace.overdue(20.1 + SILENT)
-    pace.read(22.0, True, False)
-    pauses = []
-    for _ in range(MOST_FAULTS):
-        pace.fault(22.0)
-        pauses.append(pace.pause(22.0, False))
-    assert pauses[FREE - 1] == 0.0 < pauses[FREE] <= pauses[-1] <= 1.0 and not pace.overdue(23.0)
-    pace.fault(22.0)
-    assert pace.overdue(23.0)
+        usable = lines.usable_for(idle)
+        assert usable <= idle * 0.9 and usable <= max(idle - 0.25, idle / 2)
+        unused, used = FakeConnection(10.0), FakeConnection(10.0, 1)
+        assert lines.choose([unused], 32, 10.0 + usable - 0.01, idle) is unused
+        assert lines.choose([unused], 32, 10.01 + usable, idle) is None
+        assert lines.choose([unused, used], 32, 10.01 + usable, idle) is used
+        assert lines.expired(10.01 + usable, [unused, used], 0, idle) == [unused]
+    had, other = FakeConnection(0.0, recent="a"), FakeConnection(0.0, 1)
+    assert lines.choose([had, other], 32, 0.0, 30.0, "a") is other
+    assert lines.choose([had, other], 32, 0.0, 30.0, "b") is had
+
+
+def test_suspect_or_idle_connections_are_closed_but_never_the_last_one_needed() -> None:
+    old, older, busy, opening = (
+        FakeConnection(5.0),
+        FakeConnection(0.0),
+        FakeConnection(0.0, 1),
+        FakeConnection(0.0, established=False),
+    )
+    assert lines.eviction_candidate([old, older, busy, opening]) is older
+    assert lines.eviction_candidate([busy, opening]) is None
+    assert lines.expired(100.0, [old, older, busy, opening], 0, 30.0) == [old, older]
+    assert (
+        lines.expired(100.0, [old, older], 1, 30.0) == [old]
+        and lines.expired(20.0, [old, older], 1, 30.0) == []
+    )
+    suspect = FakeConnection(99.5, suspect=True)
+    assert lines.expired(100.0, [suspect], 1, 30.0) == [] and lines.expired(101.0, [suspect], 1, 30.0) == [
+        suspect
+    ]
 
 
-def test_faults_are_forgiven_in_time_and_a_connection_on_which_somebody_waits_is_read_on() -> None:
-    pace = Pace(0.0)
+# ---- throttle and lifecycle --------------------------------------------------------------------------------
+
+
+def test_faults_slow_a_connection_down_and_silence_closes_it_within_three_seconds() -> None:
+    throttle = Throttle(10.0)
+    assert (
+        not throttle.should_close(10.0 + MESSAGE_TIMEOUT_S)
+        and throttle.should_close(10.1 + MESSAGE_TIMEOUT_S)
+        and MESSAGE_TIMEOUT_S < 2.5
+    )
+    throttle.on_data(10.5, True, False)
+    assert not throttle.should_close(99.0)
+    throttle.on_data(20.0, False, True)
+    throttle.on_data(21.0, False, True)  # a further byte does not extend the time of an incomplete message
+    assert throttle.should_close(20.1 + MESSAGE_TIMEOUT_S)
+    throttle.on_data(22.0, True, False)
+    pauses = []
+    for _ in range(MAX_FAULTS):
+        throttle.on_fault(22.0)
+        pauses.append(throttle.pause(22.0, False))
+    assert pauses[FREE_FAULTS - 1] == 0.0 < pauses[FREE_FAULTS] <= pauses[
+        -1
+    ] <= 1.0 and not throttle.should_close(23.0)
+    throttle.on_fault(22.0)
+    assert throttle.should_close(23.0)
+
+
+def test_faults_expire_and_a_connection_with_a_pending_set_up_is_read_soon() -> None:
+    throttle = Throttle(0.0)
     for _ in range(12):
-        pace.fault(1.0)
-    assert pace.pause(1.0, False) == 1.0 and pace.pause(1.0, True) <= 0.025
-    assert pace.pause(60.0, False) == 0.0
-    pace.fault(60.0)
-    assert pace.faults == 1.0 and pace.pause(60.0, False) == 0.0
+        throttle.on_fault(1.0)
+    assert throttle.pause(1.0, False) == 1.0 and throttle.pause(1.0, True) <= 0.025
+    assert throttle.pause(60.0, False) == 0.0
+    throttle.on_fault(60.0)
+    assert throttle.faults == 1.0 and throttle.pause(60.0, False) == 0.0
 
 
-def test_room_is_made_by_who_needs_a_connection_least() -> None:
-    now = 9.0 + FRESH + 0.1
-    mute, idle = (1, False, 0, False, 9.0), (2, True, 0, False, 8.0)
+def test_the_connection_that_is_needed_least_is_evicted() -> None:
+    now = 9.0 + FIRST_REQUEST_GRACE_S + 0.1
+    silent, idle = (1, False, 0, False, 9.0), (2, True, 0, False, 8.0)
     plays, waits = (3, True, 2, False, 1.0), (4, True, 1, True, 0.0)
-    new, newer = (5, False, 0, False, now - FRESH), (6, False, 0, False, now)
-    assert first_to_go(now, [waits, plays, newer, new, idle, mute]) == 1
-    assert first_to_go(now, [waits, plays, newer, new, idle]) == 2, "one may be on its way to the new"
-    assert first_to_go(now, [waits, plays, newer, new]) == 5
-    assert first_to_go(now, [waits, plays]) == 3
-    assert first_to_go(now, [waits]) is None and IDLE > 4.0 and FRESH < SILENT
-
-
-def test_a_gateway_that_ends_answers_what_may_still_come_and_goes_before_it_is_killed() -> None:
-    life = Life(3.0)
-    assert not life.passes and life.takes
-    life.serves()
-    assert life.passes and not life.exits(5.0, 0, 0, 0)
-    life.term(10.0)
-    assert not life.passes and not life.takes
-    assert not life.exits(10.6, 0, 0, 0) and life.exits(10.8, 0, 0, 0)
-    assert not life.exits(11.0, 1, 0, 0) and not life.exits(11.0, 0, 1, 0) and not life.exits(11.0, 0, 0, 1)
-    assert life.exits(13.5, 1, 9, 1)
+    new, newer = (5, False, 0, False, now - FIRST_REQUEST_GRACE_S), (6, False, 0, False, now)
+    assert eviction_candidate(now, [waits, plays, newer, new, idle, silent]) == 1
+    assert eviction_candidate(now, [waits, plays, newer, new, idle]) == 2, (
+        "a request may be on its way to the new ones"
+    )
+    assert eviction_candidate(now, [waits, plays, newer, new]) == 5
+    assert eviction_candidate(now, [waits, plays]) == 3
+    assert (
+        eviction_candidate(now, [waits]) is None
+        and IDLE_TIMEOUT_S > 4.0
+        and FIRST_REQUEST_GRACE_S < MESSAGE_TIMEOUT_S
+    )
+
+
+def test_a_terminated_gateway_answers_late_set_ups_and_exits_before_sigkill() -> None:
+    lifecycle = Lifecycle(3.0)
+    assert not lifecycle.healthy and lifecycle.accepts_setups
+    lifecycle.on_serving()
+    assert lifecycle.healthy and not lifecycle.may_exit(5.0, 0, 0, 0)
+    lifecycle.on_sigterm(10.0)
+    assert not lifecycle.healthy and not lifecycle.accepts_setups
+    assert not lifecycle.may_exit(10.6, 0, 0, 0) and lifecycle.may_exit(10.8, 0, 0, 0)
+    assert (
+        not lifecycle.may_exit(11.0, 1, 0, 0)
+        and not lifecycle.may_exit(11.0, 0, 1, 0)
+        and not lifecycle.may_exit(11.0, 0, 0, 1)
+    )
+    assert lifecycle.may_exit(13.5, 1, 9, 1)
 
 
 @pytest.mark.parametrize("longest", [0.1, 0.5, 1.0, 3.0, 8.0, 60.0])
-def test_a_gateway_goes_after_the_last_set_up_and_before_the_kill(longest: float) -> None:
-    """Deadlines over 3 s count as 3 s before the kill: one of 60 s once meant staying until it came."""
-    life = Life(longest)
-    life.term(0.0)
-    kill = min(3.0, longest) + 0.7
-    gone = next(t / 100 for t in range(1000) if life.exits(t / 100, 1, 1, 1))
-    calls = next(t / 100 for t in range(1000) if life.last_call(t / 100))
-    assert 0.7 <= gone <= kill - 0.08 and calls < gone
-    assert calls >= min(longest, 3.0), "what could still be answered in time was not cut short"
+def test_a_gateway_exits_after_the_last_set_up_and_before_sigkill(longest: float) -> None:
+    """Patience over 3 s counts as 3 s: with one of 60 s the process used to stay until SIGKILL."""
+    lifecycle = Lifecycle(longest)
+    lifecycle.on_sigterm(0.0)
+    killed_at = min(3.0, longest) + 0.7
+    exit_at = next(t / 100 for t in range(1000) if lifecycle.may_exit(t / 100, 1, 1, 1))
+    final_at = next(t / 100 for t in range(1000) if lifecycle.final_responses_due(t / 100))
+    assert 0.7 <= exit_at <= killed_at - 0.08 and final_at < exit_at
+    assert final_at >= min(longest, 3.0), "a set-up that could still be answered in time was cut short"
 
 
-# ---- facts -------------------------------------------------------------------------------------------------
+# ---- settings ----------------------------------------------------------------------------------------------
 
 SETTINGS: dict[str, Any] = {
     "categories": [{"name": "clip", "onTime": 800.0, "deadline": 3000, "worth": 1.5, "effect": "repeatable"}],
@@ -486,7 +531,7 @@
 
 
 def pairs(thing: Any, path: str = "") -> list[str]:
-    """The same settings as the simulator's wire writes them."""
+    """Returns the settings as the simulator's wire writes them."""
     if isinstance(thing, dict):
         return [p for k, v in thing.items() for p in pairs(v, f"{path}.{k}" if path else k)]
     if isinstance(thing, list) and thing and isinstance(thing[0], dict):
@@ -501,18 +546,18 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def test_both_doors_derive_the_same_facts_and_decisions() -> None:
+def test_the_simulator_and_the_platform_derive_the_same_facts_and_decisions() -> None:
     flat = pairs(SETTINGS)
-    folded = nested([p.partition("=")[::2] for p in flat])
-    assert facts_from(folded) == facts_from(SETTINGS)
+    nested_settings = nested([p.partition("=")[::2] for p in flat])
+    assert facts_from(nested_settings) == facts_from(SETTINGS)
     rows = [Row(f"h{i}", i, 2.0, "k", "a", "in_service", 0.0) for i in range(6)]
-    told = [f"row\t{r.cell}\t2\tk\t{r.host}\ta\tin_service\t-" for r in rows]
+    row_lines = [f"row\t{r.cell}\t2\tk\t{r.host}\ta\tin_service\t-" for r in rows]
     wire = [
         "batch\t100000\t1",
         "at\t0",
         "create\t7\t" + "\t".join(flat),
         "snapshot_rows\t0\t6",
-        *told,
+        *row_lines,
         "view\twarm_copy\t1\t0",
         "query\t1\t103000\tk\t0\t6\t-\tt1\t0\t2\t-\tclip",
         "end",
@@ -520,14 +565,14 @@
     ]
     out = io.BytesIO()
     assert simhost(io.BytesIO("\n".join(wire).encode()), out, io.StringIO()) == 0
-    gw = Gateway(7, 100.0, *facts_from(json.loads(json.dumps(SETTINGS))))
-    gw.on_host_list(100.0, "warm_copy", rows)
-    gw.on_viewing_request(100.0, 1, "clip", "t1", 0, 6, 2, 103.0)
+    gateway = Gateway(7, 100.0, *facts_from(json.loads(json.dumps(SETTINGS))))
+    gateway.on_host_list(100.0, "warm_copy", rows)
+    gateway.on_viewing_request(100.0, 1, "clip", "t1", 0, 6, 2, 103.0)
     lines = [line for line in out.getvalue().decode().splitlines() if not line.startswith(("notify", "ack"))]
     decisions = []
-    while (decision := gw.decide(100.0)) is not None:
+    while (decision := gateway.decide(100.0)) is not None:
         decisions.append(decision)
-    assert [f"{d.viewing_id}\t{d.host}" for d in decisions if isinstance(d, say.TuneIn)] == [
+    assert [f"{d.viewing_id}\t{d.host}" for d in decisions if isinstance(d, interface.TuneIn)] == [
         line.removeprefix("forward\t").rpartition("\t")[0] for line in lines if line.startswith("forward")
     ]
     assert len(decisions) == len(lines) - 1 > 0
@@ -583,14 +628,14 @@
         ("limits", {"sockets": 0}),
     ],
 )
-def test_a_configuration_that_is_wrong_names_its_key(key: str, value: Any) -> None:
-    assert read(json.dumps(CONFIG).encode()).sockets == 256
-    with pytest.raises(BadFact) as why:
-        read(json.dumps({**CONFIG, key: value}).encode())
-    assert key.partition(".")[0] in str(why.value) or "address" in str(why.value)
+def test_an_invalid_configuration_names_its_key(key: str, value: Any) -> None:
+    assert parse_configuration(json.dumps(CONFIG).encode()).sockets == 256
+    with pytest.raises(BadFact) as error:
+        parse_configuration(json.dumps({**CONFIG, key: value}).encode())
+    assert key.partition(".")[0] in str(error.value) or "address" in str(error.value)
 
 
-def test_a_setting_that_is_wrong_names_its_key() -> None:
+def test_an_invalid_setting_names_its_key() -> None:
     with pytest.raises(BadFact, match="rules.warmUp"):
         facts_from({**SETTINGS, "rules": {"warmUp": "soon"}})
     with pytest.raises(BadFact, match="categories"):
@@ -598,17 +643,17 @@
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
-    """The settings with one of them changed, or taken out where the value is `...`."""
-    out = json.loads(json.dumps(SETTINGS))
-    *way, last = path.split(".")
-    at = out
-    for part in way:
-        at = at[int(part)] if isinstance(at, list) else at[part]
-    at.pop(last) if value is ... else at.update({last: value})
-    return dict(out)
+    """Returns the settings with one of them changed, or removed where the value is `...`."""
+    settings = json.loads(json.dumps(SETTINGS))
+    *parents, last = path.split(".")
+    parent = settings
+    for part in parents:
+        parent = parent[int(part)] if isinstance(parent, list) else parent[part]
+    parent.pop(last) if value is ... else parent.update({last: value})
+    return dict(settings)
 
 
-WRONG: list[tuple[str, Any, str]] = [
+INVALID: list[tuple[str, Any, str]] = [
     ("rules.warmUp", -1, ""),
     ("rules.tipAfter", "nan", ""),
     ("prices.crossZone", float("inf"), ""),
@@ -643,8 +688,8 @@
 ]
 
 
-@pytest.mark.parametrize("path, value, named", WRONG)
-def test_a_setting_without_safe_default_out_of_range_or_contradictory_is_named_at_both_doors(
+@pytest.mark.parametrize("path, value, named", INVALID)
+def test_a_missing_out_of_range_or_contradictory_setting_is_named_by_both_programs(
     path: str,
     value: Any,
     named: str,
@@ -665,40 +710,43 @@
     file.write_text(json.dumps({**CONFIG, "settings": conf}))
     monkeypatch.setenv("ROUTER_CONFIG", str(file))
     assert platform() == 2
-    told = capsys.readouterr().err
-    assert f"{named or path}: " in told and told.count("\n") == 1
+    reported = capsys.readouterr().err
+    assert f"{named or path}: " in reported and reported.count("\n") == 1
 
 
-def test_settings_that_nothing_reads_are_ignored_and_a_site_without_warm_up_needs_no_figures_for_it() -> None:
+def test_unknown_settings_are_ignored_and_a_site_without_warm_up_needs_no_settings_for_it() -> None:
     odd = {**SETTINGS, "novel": {"kind": [-1, "x"]}, "rules": {**SETTINGS["rules"], "novel": "nan"}}
     assert facts_from(odd) == facts_from(SETTINGS)
     bare = {key: value for key, value in SETTINGS.items() if key not in ("peersTotal", "ordinal")}
     assert facts_from({**bare, "rules": {"warmUp": 0}})[3].gateways == 1
 
 
-def test_a_row_without_a_readable_cell_keeps_no_other_from_being_heard() -> None:
-    """Once no cell was the first one, and one that could not be read dropped all rows beside it."""
+def test_a_row_with_an_invalid_cell_does_not_affect_other_rows() -> None:
+    """A missing cell used to count as the first one, and an invalid one dropped all rows of its event."""
     plain = {"host_port": "127.0.0.1:9", "phase": "ready", "size": 4}
     members = [{**plain, "id": "a"}, {**plain, "id": "b", "cell": "?"}, {**plain, "id": "c", "cell": 2}]
-    news = rows_of({"hosts": {"members": members}}, 0.0)
-    assert news is not None
-    assert [(row.host, row.cell) for row, _ in news[1]] == [("a", UNPLACED), ("b", UNPLACED), ("c", 2)]
-
-
-def test_rows_carry_the_gateways_clock_and_bounds_fit_the_limits() -> None:
-    told = read(json.dumps(CONFIG).encode())
-    news = rows_of(told.known[0][1], 2.0)
-    assert news is not None and news[0] == "total"
-    assert news[1] == [(Row("s-1", 2, 4.0, "", "", "in_service", 3.0), "127.0.0.1:9")]
-    bounds = bounds_of(told.memory_mb, told.sockets)
-    assert bounds.viewer_conns > 256 // 3 and bounds.viewer_conns + bounds.host_lines <= 256 - 24
-    assert bounds.waiting * 16384 <= 32 << 17
+    host_list = parse_host_list({"hosts": {"members": members}}, 0.0)
+    assert host_list is not None
+    assert [(row.host, row.cell) for row, _ in host_list[1]] == [("a", UNPLACED), ("b", UNPLACED), ("c", 2)]
+
+
+def test_rows_use_the_gateways_clock_and_resource_limits_fit_the_machine() -> None:
+    configuration = parse_configuration(json.dumps(CONFIG).encode())
+    host_list = parse_host_list(configuration.known_events[0][1], 2.0)
+    assert host_list is not None and host_list[0] == "total"
+    assert host_list[1] == [(Row("s-1", 2, 4.0, "", "", "in_service", 3.0), "127.0.0.1:9")]
+    limits = limits_for(configuration.memory_mb, configuration.sockets)
+    assert (
+        limits.viewer_connections > 256 // 3
+        and limits.viewer_connections + limits.host_connections <= 256 - 24
+    )
+    assert limits.pending * 16384 <= 32 << 17
     for sockets in (24, 32, 48, 64, 96, 128, 256, 1024):
-        small = bounds_of(32.0, sockets)
-        # Guards against idle viewers that leave none for the list, signals, peers, logs, one being accepted.
-        assert small.viewer_conns + small.host_lines <= sockets - 12, sockets
-        assert small.viewer_conns >= sockets // 3 or sockets < 64
-        assert small.viewer_conns >= 4 and small.host_lines >= 2, sockets
+        small = limits_for(32.0, sockets)
+        # Idle viewers must leave descriptors for the journal, signals, peers, logs and one being accepted.
+        assert small.viewer_connections + small.host_connections <= sockets - 12, sockets
+        assert small.viewer_connections >= sockets // 3 or sockets < 64
+        assert small.viewer_connections >= 4 and small.host_connections >= 2, sockets
     with pytest.raises(ValueError):
-        rows_of({"hosts": {"members": [{"id": "x"}]}}, 0.0)
-    assert rows_of({"pos": 2}, 0.0) is None
+        parse_host_list({"hosts": {"members": [{"id": "x"}]}}, 0.0)
+    assert parse_host_list({"pos": 2}, 0.0) is None
