--- a/ledgehitch/facts.py
+++ b/ledgehitch/facts.py
@@ -4,7 +4,7 @@
 platform's gateway from nested JSON. Names and units are those of the first message of the simulator's wire:
 times in milliseconds, rates in kB a second; what comes out is in seconds. A value that is missing, empty or
 `-` is its default; one that is not what it should be, that contradicts another or has no safe default raises
-`BadFact`, which names its key. Settings that nothing here reads are ignored.
+`InvalidSetting`, which names its key. Settings that nothing here reads are ignored.
 """
 
 import math
@@ -15,7 +15,7 @@
 from ledgehitch.interface import Fleet, Ladder, Package, Terms
 
 
-class BadFact(ValueError):
+class InvalidSetting(ValueError):
     """A setting that cannot be read; the text names its key."""
 
 
@@ -23,7 +23,7 @@
 BY_CLASS = ("classScale", "floorByClass", "classTop", "seats")  # lists of numbers, one for each class
 
 
-def nested(pairs: Iterable[tuple[str, str]]) -> dict[str, Any]:
+def nest_pairs(pairs: Iterable[tuple[str, str]]) -> dict[str, Any]:
     """Pairs such as `categories.0.name`, `clip` as nested objects; in a list the numbers stay as keys."""
     out: dict[str, Any] = {}
     for path, value in pairs:
@@ -56,9 +56,9 @@
             raise ValueError
         number = float(value)
     except (ValueError, OverflowError):
-        raise BadFact(f"{path}: {value!r:.60} is no number") from None
+        raise InvalidSetting(f"{path}: {value!r:.60} is no number") from None
     if not 0 <= number < math.inf:  # also what is no number by its own name
-        raise BadFact(f"{path}: {value!r:.60} is out of range")
+        raise InvalidSetting(f"{path}: {value!r:.60} is out of range")
     return number
 
 
@@ -71,7 +71,7 @@
     try:
         return int(_number(conf, path, default))
     except (ValueError, OverflowError):
-        raise BadFact(f"{path}: no whole number") from None
+        raise InvalidSetting(f"{path}: no whole number") from None
 
 
 def _seconds(conf: Conf, path: str) -> float:
@@ -89,7 +89,7 @@
 def _text(conf: Conf, path: str, default: str) -> str:
     value = _at(conf, path)
     if value is not None and not isinstance(value, str):
-        raise BadFact(f"{path}: {value!r:.60} is no text")
+        raise InvalidSetting(f"{path}: {value!r:.60} is no text")
     return default if value is None else value
 
 
@@ -101,7 +101,7 @@
     if isinstance(value, str):
         return [part for part in value.split(",") if part not in ("", "-")]
     if isinstance(value, Mapping):
-        raise BadFact(f"{path}: a list is meant")
+        raise InvalidSetting(f"{path}: a list is meant")
     return list(value) if isinstance(value, Sequence) else [value]
 
 
@@ -121,7 +121,7 @@
     if value is None:
         return []
     if not isinstance(value, list) or not all(isinstance(item, Mapping) for item in value):
-        raise BadFact(f"{path}: a list of objects is meant")
+        raise InvalidSetting(f"{path}: a list of objects is meant")
     return value
 
 
@@ -202,7 +202,7 @@
 
 def _wants(holds: bool, path: str, why: str) -> None:
     if not holds:
-        raise BadFact(f"{path}: {why}")
+        raise InvalidSetting(f"{path}: {why}")
 
 
 def _check_ladder(ladder: Ladder) -> None:
@@ -251,8 +251,8 @@
     _wants(how in ("pushed", "on_request"), "discovery", f"{how!r:.60} is neither pushed nor on_request")
 
 
-def facts_from(conf: Conf) -> tuple[Ladder, tuple[Package, ...], Fleet, Terms]:
-    """All of them, in the order in which `Gateway` takes them; raises `BadFact`."""
+def read_settings(conf: Conf) -> tuple[Ladder, tuple[Package, ...], Fleet, Terms]:
+    """All of them, in the order in which `Gateway` takes them; raises `InvalidSetting`."""
     ladder, packages, fleet, terms = ladder_of(conf), packages_of(conf), fleet_of(conf), terms_of(conf)
     _check_ladder(ladder)
     _check_packages(conf, packages, len(ladder.kb))
@@ -261,17 +261,17 @@
 
 
 @dataclass(frozen=True)
-class Reach:
+class ConnectionSettings:
     """How media hosts are reached over connections; times in seconds."""
 
-    connect_within: float
-    idle: float  # unused connections are closed after this
-    streams: int  # set-ups that one connection carries at a time
+    connect_timeout_s: float
+    idle_timeout_s: float  # unused connections are closed after this
+    max_streams: int  # set-ups that one connection carries at a time
 
 
-def reach_of(conf: Conf) -> Reach:
-    return Reach(
-        connect_within=_seconds(conf, "ceilings.connectTimeout") or 1.0,
-        idle=_seconds(conf, "ceilings.connIdle") or 30.0,
-        streams=max(1, _whole(conf, "ceilings.streamsPerConn", 1)),
+def read_connection_settings(conf: Conf) -> ConnectionSettings:
+    return ConnectionSettings(
+        connect_timeout_s=_seconds(conf, "ceilings.connectTimeout") or 1.0,
+        idle_timeout_s=_seconds(conf, "ceilings.connIdle") or 30.0,
+        max_streams=max(1, _whole(conf, "ceilings.streamsPerConn", 1)),
     )
--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -8,7 +8,7 @@
 import time
 
 from ledgehitch.brain import Gateway
-from ledgehitch.facts import BadFact, facts_from, reach_of
+from ledgehitch.facts import InvalidSetting, read_connection_settings, read_settings
 from ledgehitch.gate import SendGuard
 from ledgehitch.interface import Row
 from ledgehitch.loop.kernel import Event, Loop
@@ -30,12 +30,12 @@
 
 
 def load_configuration(path: str) -> Configuration:
-    """Returns the configuration in a file; raises `BadFact`, or `OSError` for a file that cannot be read."""
+    """Returns the configuration in a file; raises `InvalidSetting`, or `OSError` for an unreadable file."""
     with open(path, "rb") as file:
         configuration = parse_configuration(file.read())
     # A reload must not take addresses from a file with whose settings no gateway would start.
-    facts_from(configuration.settings)
-    reach_of(configuration.settings)
+    read_settings(configuration.settings)
+    read_connection_settings(configuration.settings)
     return configuration
 
 
@@ -45,12 +45,15 @@
     def __init__(self, loop: Loop, configuration: Configuration, path: str) -> None:
         now = time.monotonic()
         self.loop, self.path = loop, path
-        facts = facts_from(configuration.settings)
+        facts = read_settings(configuration.settings)
         ladder, packages, fleet, terms = facts
         # The machine may allow fewer descriptors than the configuration says.
         allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         sockets = configuration.sockets if allowed < 0 else min(configuration.sockets, allowed)
-        reach, limits = reach_of(configuration.settings), limits_for(configuration.memory_mb, sockets)
+        reach, limits = (
+            read_connection_settings(configuration.settings),
+            limits_for(configuration.memory_mb, sockets),
+        )
         gateway = Gateway(configuration.seed, now, *facts)
         self.lifecycle = Lifecycle(max((package.patience for package in packages), default=0.0))
         detector, sessions = FailureDetector(fleet.told_every), SessionTable()
@@ -164,7 +167,7 @@
         """Reads the configuration again; a new journal address and new peers are used at once."""
         try:
             configuration = load_configuration(self.path)
-        except (OSError, BadFact) as error:
+        except (OSError, InvalidSetting) as error:
             log("reload-failed", why=str(error))
             return
         log("reloaded", journal=configuration.journal)
@@ -194,9 +197,9 @@
     path = os.environ.get("ROUTER_CONFIG", "")
     try:
         if not path:
-            raise BadFact("ROUTER_CONFIG is not set")
+            raise InvalidSetting("ROUTER_CONFIG is not set")
         configuration = load_configuration(path)
-    except (OSError, BadFact) as error:
+    except (OSError, InvalidSetting) as error:
         print(f"ledgehitch.platform: {path}: {error}", file=sys.stderr)
         return 2
     loop = Loop()
@@ -215,7 +218,7 @@
         loop.on_signals([signal.SIGTERM, signal.SIGINT, signal.SIGHUP], on_signal)
         try:
             running.append(RunningGateway(loop, configuration, path))
-        except (OSError, BadFact) as error:
+        except (OSError, InvalidSetting) as error:
             print(f"ledgehitch.platform: {path}: {error}", file=sys.stderr)
             return 2
         # Exempts the objects that exist now from collection, so that its pauses stay short as viewings grow.
--- a/ledgehitch/platform/hosts.py
+++ b/ledgehitch/platform/hosts.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from ledgehitch import hostline
-from ledgehitch.facts import Reach
+from ledgehitch.facts import ConnectionSettings
 from ledgehitch.interface import Outcome
 from ledgehitch.loop.kernel import Cancelled, Loop, Task, TimedOut
 from ledgehitch.loop.sockets import Stream, connect, endpoint
@@ -113,7 +113,7 @@
     def __init__(
         self,
         loop: Loop,
-        reach: Reach,
+        reach: ConnectionSettings,
         detector: FailureDetector,
         max_connections: int,
         max_buffered: int,
@@ -206,7 +206,7 @@
     def probe(self, host: str) -> bool:
         """Sends a probe; returns False where no connection is available."""
         connection = self._choose(host)
-        if connection is None or len(connection.probes) >= self.reach.streams:
+        if connection is None or len(connection.probes) >= self.reach.max_streams:
             return False
         self._probes += 1
         tag = f"{self._probes:016x}"
@@ -259,7 +259,9 @@
         usable = [
             each for each in self.connections.get(host, ()) if not each.closed and each.address == address
         ]
-        while (connection := choose(usable, self.reach.streams, now, self.reach.idle, tag)) is not None:
+        while (
+            connection := choose(usable, self.reach.max_streams, now, self.reach.idle_timeout_s, tag)
+        ) is not None:
             # The media host may have closed the connection, which is not read yet: no set-up may go there.
             if connection.pending or connection.writer is None or not connection.writer.stream.ended():
                 return connection
@@ -291,7 +293,7 @@
 
     def _run(self, connection: HostConnection, address: str) -> None:
         try:
-            with self.loop.deadline(self.reach.connect_within):
+            with self.loop.deadline(self.reach.connect_timeout_s):
                 stream = connect(self.loop, endpoint(address))
         except (OSError, TimedOut) as error:
             log(
@@ -410,6 +412,6 @@
             state = self.detector.hosts.get(host)
             needed = 1 if state is not None and state.viewings else 0
             for connection in expired(
-                now, [each for each in connections if not each.closed], needed, self.reach.idle
+                now, [each for each in connections if not each.closed], needed, self.reach.idle_timeout_s
             ):
                 self.close(connection)
--- a/ledgehitch/platform/told.py
+++ b/ledgehitch/platform/told.py
@@ -1,6 +1,6 @@
 """The platform's configuration, read and checked at start and on SIGHUP. Free of sockets.
 
-A missing or wrong setting raises `BadFact`, which names its key.
+A missing or wrong setting raises `InvalidSetting`, which names its key.
 """
 
 import json
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ledgehitch.facts import BadFact
+from ledgehitch.facts import InvalidSetting
 from ledgehitch.interface import UNPLACED, Row
 
 MAX_LIMIT = 1 << 40  # no machine has so many MB or descriptors
@@ -32,27 +32,27 @@
 
 
 def _field(container: Mapping[str, Any], key: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
-    """Returns the value under the last part of a dotted key; raises `BadFact` if it has another type."""
+    """Returns the value under the last part of a dotted key; raises `InvalidSetting` for another type."""
     value = container.get(key.rpartition(".")[2], default)
     if not isinstance(value, kind) or isinstance(value, bool):
-        raise BadFact(f"{key}: {value!r:.60} has the wrong type or is missing")
+        raise InvalidSetting(f"{key}: {value!r:.60} has the wrong type or is missing")
     return value
 
 
 def parse_configuration(text: bytes) -> Configuration:
-    """Returns the checked configuration; raises `BadFact` for a missing or wrong setting."""
+    """Returns the checked configuration; raises `InvalidSetting` for a missing or wrong setting."""
     try:
         document = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise BadFact(f"the configuration is not valid JSON: {error}") from None
+        raise InvalidSetting(f"the configuration is not valid JSON: {error}") from None
     if not isinstance(document, dict):
-        raise BadFact("the configuration is not a JSON object")
+        raise InvalidSetting("the configuration is not a JSON object")
     limits = _field(document, "limits", dict, {})
     seed = _field(document, "seed", (str, int), 0)
     try:
         number = int(seed, 16) if isinstance(seed, str) else seed
     except ValueError:
-        raise BadFact(f"seed: {seed!r:.40} is not a hexadecimal number") from None
+        raise InvalidSetting(f"seed: {seed!r:.40} is not a hexadecimal number") from None
     known = _field(document, "known", dict, {})
     events = []
     for entry in _field(known, "known.entries", list, []):
@@ -60,12 +60,12 @@
             events.append((int(entry["pos"]), entry))
             parse_host_list(entry, 0.0)
         except (KeyError, TypeError, ValueError) as error:
-            raise BadFact(f"known.entries: {error}") from None
+            raise InvalidSetting(f"known.entries: {error}") from None
     memory_mb = _field(limits, "limits.memory_mb", (int, float), 64)
     sockets = _field(limits, "limits.sockets", int, 256)
     for key, value in (("limits.memory_mb", memory_mb), ("limits.sockets", sockets)):
         if not 0 < value < MAX_LIMIT:  # false for NaN, too
-            raise BadFact(f"{key}: {value!r:.60} is out of range")
+            raise InvalidSetting(f"{key}: {value!r:.60} is out of range")
     peers = _field(document, "peers", list, [])
     for address in (_field(document, "listen", str), _field(document, "journal", str), *peers):
         _check_address(address)
@@ -86,7 +86,7 @@
 def _check_address(text: Any) -> None:
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (host and colon and port.isascii() and port.isdigit() and int(port) < 65536):
-        raise BadFact(f"{text!r:.60} is not an address such as 127.0.0.1:80")
+        raise InvalidSetting(f"{text!r:.60} is not an address such as 127.0.0.1:80")
 
 
 def _cell(value: Any) -> int:
--- a/ledgehitch/simhost/wire.py
+++ b/ledgehitch/simhost/wire.py
@@ -9,7 +9,7 @@
 from typing import BinaryIO, TextIO
 
 from ledgehitch.brain import Gateway
-from ledgehitch.facts import facts_from, nested
+from ledgehitch.facts import nest_pairs, read_settings
 from ledgehitch.interface import (
     UNPLACED,
     Abort,
@@ -136,7 +136,7 @@
                     place = UNPLACED if cell == "-" else int(cell)
                     rows.append(Row(host, place, _num(weight), kind, zone, state, _ms(started)))
                 elif name == "create":
-                    facts = facts_from(nested(part.partition("=")[::2] for part in parts[1:]))
+                    facts = read_settings(nest_pairs(part.partition("=")[::2] for part in parts[1:]))
                     self.instances[at] = Instance(Gateway(int(parts[0]), now, *facts))
                     broken.pop(at, None)
                     touched[at] = None
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 import pytest
 
 from ledgehitch import hostline, rtsp
-from ledgehitch.facts import Reach, facts_from
+from ledgehitch.facts import ConnectionSettings, read_settings
 from ledgehitch.http.events import event
 from ledgehitch.loop import Listener, Loop, Stream, TimedOut, endpoint
 from ledgehitch.platform.__main__ import RunningGateway, load_configuration
@@ -549,7 +549,9 @@
 
     def play(loop: Loop) -> None:
         controller, fields = StubHostEvents(3.0), {"class": "clip", "left": "3000"}
-        hosts = HostConnections(loop, Reach(1.0, 30.0, 1000), FailureDetector(0.0), 8, 1 << 20, ())
+        hosts = HostConnections(
+            loop, ConnectionSettings(1.0, 30.0, 1000), FailureDetector(0.0), 8, 1 << 20, ()
+        )
         hosts.controller, hosts.owner = controller, loop.first
         listener = Listener(loop, endpoint("127.0.0.1:0"))
         hosts.on_host_listed("h", str(listener.at), False)
@@ -682,7 +684,7 @@
     """After a stall the sweep, or the eviction for a new connection, ran before the reading."""
 
     def play(loop: Loop) -> None:
-        ladder, packages, fleet, _ = facts_from(SETTINGS)
+        ladder, packages, fleet, _ = read_settings(SETTINGS)
         events, lifecycle = StubViewerEvents(), Lifecycle(3.0)
         lifecycle.on_serving()
         limits = limits_for(32.0, 24)
@@ -721,7 +723,7 @@
     """Clients that sent one request and stay hold all connections: these are closed, not the newest ones."""
 
     def play(loop: Loop) -> None:
-        ladder, packages, fleet, _ = facts_from(SETTINGS)
+        ladder, packages, fleet, _ = read_settings(SETTINGS)
         events, lifecycle = StubViewerEvents(), Lifecycle(3.0)
         lifecycle.on_serving()
         limits = limits_for(32.0, 64)
@@ -761,7 +763,7 @@
     """Its task ran later in the turn: requests that the kernel accepted meanwhile were lost unread."""
 
     def play(loop: Loop) -> None:
-        ladder, packages, fleet, _ = facts_from(SETTINGS)
+        ladder, packages, fleet, _ = read_settings(SETTINGS)
         events, lifecycle = StubViewerEvents(), Lifecycle(3.0)
         lifecycle.on_serving()
         server = ViewerServer(
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ledgehitch import hostline, rtsp
-from ledgehitch.facts import Reach
+from ledgehitch.facts import ConnectionSettings
 from ledgehitch.loop import Listener, Loop, TimedOut, endpoint
 from ledgehitch.platform.__main__ import RunningGateway, load_configuration
 from ledgehitch.platform.hosts import HostConnections
@@ -453,7 +453,7 @@
 @on_loop
 def test_no_request_goes_out_on_a_connection_that_is_being_closed(loop: Loop) -> None:
     """Such a set-up was reported as reset at once, and so counted as one that may have run."""
-    hosts = HostConnections(loop, Reach(1.0, 30.0, 1000), FailureDetector(0.0), 8, 1 << 20, ())
+    hosts = HostConnections(loop, ConnectionSettings(1.0, 30.0, 1000), FailureDetector(0.0), 8, 1 << 20, ())
     hosts.controller, hosts.owner = StubHostEvents(3.0), loop.first
     listener = Listener(loop, endpoint("127.0.0.1:0"))
     hosts.on_host_listed("h", str(listener.at), False)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,7 +11,7 @@
 
 from ledgehitch import hostline, interface, rtsp
 from ledgehitch.brain import Gateway
-from ledgehitch.facts import BadFact, facts_from, nested, reach_of
+from ledgehitch.facts import InvalidSetting, nest_pairs, read_connection_settings, read_settings
 from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.interface import UNPLACED, Package, Row
 from ledgehitch.platform import lines
@@ -548,8 +548,8 @@
 
 def test_the_simulator_and_the_platform_derive_the_same_facts_and_decisions() -> None:
     flat = pairs(SETTINGS)
-    nested_settings = nested([p.partition("=")[::2] for p in flat])
-    assert facts_from(nested_settings) == facts_from(SETTINGS)
+    nested_settings = nest_pairs([p.partition("=")[::2] for p in flat])
+    assert read_settings(nested_settings) == read_settings(SETTINGS)
     rows = [Row(f"h{i}", i, 2.0, "k", "a", "in_service", 0.0) for i in range(6)]
     row_lines = [f"row\t{r.cell}\t2\tk\t{r.host}\ta\tin_service\t-" for r in rows]
     wire = [
@@ -565,7 +565,7 @@
     ]
     out = io.BytesIO()
     assert simhost(io.BytesIO("\n".join(wire).encode()), out, io.StringIO()) == 0
-    gateway = Gateway(7, 100.0, *facts_from(json.loads(json.dumps(SETTINGS))))
+    gateway = Gateway(7, 100.0, *read_settings(json.loads(json.dumps(SETTINGS))))
     gateway.on_host_list(100.0, "warm_copy", rows)
     gateway.on_viewing_request(100.0, 1, "clip", "t1", 0, 6, 2, 103.0)
     lines = [line for line in out.getvalue().decode().splitlines() if not line.startswith(("notify", "ack"))]
@@ -576,7 +576,10 @@
         line.removeprefix("forward\t").rpartition("\t")[0] for line in lines if line.startswith("forward")
     ]
     assert len(decisions) == len(lines) - 1 > 0
-    assert reach_of(SETTINGS).streams == 32 and reach_of(SETTINGS).connect_within == 0.25
+    assert (
+        read_connection_settings(SETTINGS).max_streams == 32
+        and read_connection_settings(SETTINGS).connect_timeout_s == 0.25
+    )
 
 
 CONFIG: dict[str, Any] = {
@@ -630,16 +633,16 @@
 )
 def test_an_invalid_configuration_names_its_key(key: str, value: Any) -> None:
     assert parse_configuration(json.dumps(CONFIG).encode()).sockets == 256
-    with pytest.raises(BadFact) as error:
+    with pytest.raises(InvalidSetting) as error:
         parse_configuration(json.dumps({**CONFIG, key: value}).encode())
     assert key.partition(".")[0] in str(error.value) or "address" in str(error.value)
 
 
 def test_an_invalid_setting_names_its_key() -> None:
-    with pytest.raises(BadFact, match="rules.warmUp"):
-        facts_from({**SETTINGS, "rules": {"warmUp": "soon"}})
-    with pytest.raises(BadFact, match="categories"):
-        facts_from({**SETTINGS, "categories": "x"})
+    with pytest.raises(InvalidSetting, match="rules.warmUp"):
+        read_settings({**SETTINGS, "rules": {"warmUp": "soon"}})
+    with pytest.raises(InvalidSetting, match="categories"):
+        read_settings({**SETTINGS, "categories": "x"})
 
 
 def changed(path: str, value: Any) -> dict[str, Any]:
@@ -700,8 +703,8 @@
     floored = changed("familyInfo.floorByClass", [1]) if path == "familyInfo.classTop" else SETTINGS
     monkeypatch.setattr("tests.test_platform.SETTINGS", floored)
     conf = changed(path, value)
-    with pytest.raises(BadFact, match=f"^{named or path}: "):
-        facts_from(conf)
+    with pytest.raises(InvalidSetting, match=f"^{named or path}: "):
+        read_settings(conf)
     line = "create\t7\t" + "\t".join(pairs(conf))
     out, err = io.BytesIO(), io.StringIO()
     assert simhost(io.BytesIO(f"batch\t1000\t1\nat\t0\n{line}\nend\n".encode()), out, err) == 2
@@ -716,9 +719,9 @@
 
 def test_unknown_settings_are_ignored_and_a_site_without_warm_up_needs_no_settings_for_it() -> None:
     odd = {**SETTINGS, "novel": {"kind": [-1, "x"]}, "rules": {**SETTINGS["rules"], "novel": "nan"}}
-    assert facts_from(odd) == facts_from(SETTINGS)
+    assert read_settings(odd) == read_settings(SETTINGS)
     bare = {key: value for key, value in SETTINGS.items() if key not in ("peersTotal", "ordinal")}
-    assert facts_from({**bare, "rules": {"warmUp": 0}})[3].gateways == 1
+    assert read_settings({**bare, "rules": {"warmUp": 0}})[3].gateways == 1
 
 
 def test_a_row_with_an_invalid_cell_does_not_affect_other_rows() -> None:
