--- a/ledgehitch/door/queue.py
+++ b/ledgehitch/door/queue.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from ledgehitch.keyed import Cells
+from ledgehitch.keyed import CellHash
 
 CELLS = 1024
 CELL_CAPACITY = 64  # queued requests in one cell
@@ -44,7 +44,7 @@
     """The queue of one gateway, at most `QUEUE_CAPACITY` requests."""
 
     def __init__(self, secret: bytes) -> None:
-        self._cell_hash, self._epoch = Cells(secret, CELLS), -1
+        self._cell_hash, self._epoch = CellHash(secret, CELLS), -1
         self._cells: dict[int, _Cell] = {}  # cells that hold requests, or did when they were last served
         # Cells that were idle until now, which are served first, and cells with a backlog.
         self._newly_active: OrderedDict[int, None] = OrderedDict()
@@ -58,14 +58,14 @@
         return len(self._queued)
 
     def _cell_number(self, name: bytes) -> int:
-        return self._cell_hash.of(name)
+        return self._cell_hash.cell_of(name)
 
     def _update_epoch(self, now: float) -> None:
         epoch = int(now // REKEY_PERIOD_S)
         if epoch <= self._epoch:  # also when the clock steps back
             return
         self._epoch = epoch
-        self._cell_hash.era(epoch)
+        self._cell_hash.start_epoch(epoch)
         queued = sorted(self._queued.values(), key=lambda w: (w.queued_at, w.conn))
         self._cells, self._newly_active, self._backlogged = {}, OrderedDict(), OrderedDict()
         self._by_length = [{} for _ in range(CELL_CAPACITY + 1)]
--- a/ledgehitch/door/returns.py
+++ b/ledgehitch/door/returns.py
@@ -10,7 +10,7 @@
 
 from blake3 import blake3
 
-from ledgehitch.keyed import Remembered
+from ledgehitch.keyed import RecentKeys
 
 HORIZON_S = 120  # seconds for which slots can be booked
 RETURN_SHARE = 0.6  # share of the admission rate that may be promised to returning clients
@@ -62,7 +62,7 @@
     def __init__(self, number: int, secret: bytes) -> None:
         self._keys = {number: secret}
         self._newest = number
-        self._used = Remembered(USED_CAPACITY, 1e-6)  # one unused ticket in a million counts as used
+        self._used = RecentKeys(USED_CAPACITY, 1e-6)  # one unused ticket in a million counts as used
         self._serial = 0
         self.refused: dict[str, int] = {}
 
@@ -74,13 +74,13 @@
     def snapshot(self) -> dict[str, Any]:
         """Returns the keys and the used tickets; the file that holds them must be private."""
         keys = [[n, k] for n, k in self._keys.items()]
-        return {"keys": keys, "used": self._used.frozen(), "issued": self._serial}
+        return {"keys": keys, "used": self._used.snapshot(), "issued": self._serial}
 
     def restore(self, snapshot: Any) -> None:
         """Replaces the keys and the used tickets by those of a snapshot."""
         self._keys = {int(n): bytes(k) for n, k in snapshot["keys"]}
         self._newest = list(self._keys)[-1]
-        self._used.thawed(snapshot["used"])
+        self._used.restore(snapshot["used"])
         self._serial = int(snapshot["issued"])
 
     def issue(self, at: float, name: bytes) -> str:
@@ -117,4 +117,4 @@
             return "early"
         if now > at + LATE_S:
             return "late"
-        return "used" if self._used.seen(mac) else ""
+        return "used" if self._used.check_and_add(mac) else ""
--- a/ledgehitch/keyed.py
+++ b/ledgehitch/keyed.py
@@ -12,7 +12,7 @@
     return int.from_bytes(digest, "big") % cells
 
 
-class Cells:
+class CellHash:
     """As `cell_of`, for names that are keyed hashes already: by multiplication with a number that each era
     has of its own, so that a name costs no hash. Which two share a cell is drawn anew with each era."""
 
@@ -20,16 +20,16 @@
         self._secret, self._cells = secret, cells
         self._factor = 1
 
-    def era(self, era: int) -> None:
+    def start_epoch(self, era: int) -> None:
         digest = blake3(era.to_bytes(8, "big", signed=True), key=self._secret).digest(8)
         self._factor = int.from_bytes(digest, "big") | 1
 
-    def of(self, name: bytes) -> int:
+    def cell_of(self, name: bytes) -> int:
         mixed = int.from_bytes(name, "big") * self._factor & 0xFFFFFFFFFFFFFFFF
         return (mixed >> 32) * self._cells >> 32
 
 
-class Remembered:
+class RecentKeys:
     """Keys that were seen: the last `most` to twice as many, of `error` of the others wrongly said so."""
 
     def __init__(self, most: int, error: float) -> None:
@@ -37,7 +37,7 @@
         self._new, self._old = Bloom(most, error, _hash), Bloom(most, error, _hash)
         self._count = 0  # in the newer filter
 
-    def seen(self, key: bytes) -> bool:
+    def check_and_add(self, key: bytes) -> bool:
         """Whether it was seen; from now on it was."""
         if key in self._new or key in self._old:
             return True
@@ -47,10 +47,10 @@
             self._new, self._old, self._count = Bloom(self.most, self.error, _hash), self._new, 0
         return False
 
-    def frozen(self) -> list[Any]:
+    def snapshot(self) -> list[Any]:
         return [self._count, self._new.save_bytes(), self._old.save_bytes()]
 
-    def thawed(self, held: list[Any]) -> None:
+    def restore(self, held: list[Any]) -> None:
         count, new, old = held
         self._new, self._old = Bloom.load_bytes(new, _hash), Bloom.load_bytes(old, _hash)
         self._count = int(count)
--- a/ledgehitch/quality/tally.py
+++ b/ledgehitch/quality/tally.py
@@ -13,7 +13,7 @@
 import msgspec
 from ddsketch.mapping import LogarithmicMapping
 
-from ledgehitch.keyed import Remembered
+from ledgehitch.keyed import RecentKeys
 from ledgehitch.quality.facts import Report, Seen
 
 WINDOW = 10.0  # seconds of the gateway's time in one window
@@ -128,7 +128,7 @@
         self.versions: dict[int, int] = {}  # by window: `changes` when it last changed
         # By source and window: life, version, window.
         self.others: dict[str, dict[int, tuple[int, int, Window]]] = {}
-        self._doubles = Remembered(DOUBLES, ERROR)
+        self._doubles = RecentKeys(DOUBLES, ERROR)
 
     # ---- reports -------------------------------------------------------------------------------------------
 
@@ -148,7 +148,7 @@
         if clock is None:
             self.counts.unknown += 1
             return "unknown"
-        if self._doubles.seen(f"{viewing}/{report.sn}".encode()):
+        if self._doubles.check_and_add(f"{viewing}/{report.sn}".encode()):
             self.counts.doubles += 1
             return "double"
         at = self._when(now, clock, report)
@@ -309,7 +309,7 @@
             "versions": self.versions,
             "others": self.others,
             "counts": self.counts,
-            "doubles": self._doubles.frozen(),
+            "doubles": self._doubles.snapshot(),
             "form": FORM,
             "clocks": dict(self.clocks),
         }
@@ -323,7 +323,7 @@
         tally = cls(data.source, max(life, data.life + 1))
         tally.windows, tally.versions, tally.others = data.windows, data.versions, data.others
         tally.counts, tally.changes = data.counts, max(data.versions.values(), default=0)
-        tally._doubles.thawed(data.doubles)
+        tally._doubles.restore(data.doubles)
         tally.clocks = OrderedDict(data.clocks)
         return tally
 
