--- a/ledgehitch/keyed.py
+++ b/ledgehitch/keyed.py
@@ -1,4 +1,4 @@
-"""State of fixed size by hashes of names: which cell a name falls into, what was seen before. Free of I/O."""
+"""Fixed-size state keyed by hashes of names: the cell of a name, and a filter of recent keys. Free of I/O."""
 
 from typing import Any
 
@@ -6,22 +6,28 @@
 from rbloom import Bloom
 
 
-def cell_of(secret: bytes, era: int, name: bytes, cells: int) -> int:
-    """The cell that a name shares with others for an era; nobody without the secret can aim at one."""
-    digest = blake3(era.to_bytes(8, "big", signed=True) + name, key=secret).digest(4)
+def cell_of(secret: bytes, epoch: int, name: bytes, cells: int) -> int:
+    """Returns the cell, below `cells`, that a name shares with other names for an epoch.
+
+    Without the secret nobody can choose a name that falls into a given cell.
+    """
+    digest = blake3(epoch.to_bytes(8, "big", signed=True) + name, key=secret).digest(4)
     return int.from_bytes(digest, "big") % cells
 
 
 class CellHash:
-    """As `cell_of`, for names that are keyed hashes already: by multiplication with a number that each era
-    has of its own, so that a name costs no hash. Which two share a cell is drawn anew with each era."""
+    """Maps names that are keyed hashes already to cells, as `cell_of` does for other names.
+
+    It multiplies with a factor of the epoch, so that a name costs no further hash. Which names share a cell
+    changes with each epoch.
+    """
 
     def __init__(self, secret: bytes, cells: int) -> None:
         self._secret, self._cells = secret, cells
         self._factor = 1
 
-    def start_epoch(self, era: int) -> None:
-        digest = blake3(era.to_bytes(8, "big", signed=True), key=self._secret).digest(8)
+    def start_epoch(self, epoch: int) -> None:
+        digest = blake3(epoch.to_bytes(8, "big", signed=True), key=self._secret).digest(8)
         self._factor = int.from_bytes(digest, "big") | 1
 
     def cell_of(self, name: bytes) -> int:
@@ -30,32 +36,46 @@
 
 
 class RecentKeys:
-    """Keys that were seen: the last `most` to twice as many, of `error` of the others wrongly said so."""
+    """A filter of the keys seen last: at least `capacity` and less than twice as many.
 
-    def __init__(self, most: int, error: float) -> None:
-        self.most, self.error = most, error
-        self._new, self._old = Bloom(most, error, _hash), Bloom(most, error, _hash)
-        self._count = 0  # in the newer filter
+    A share of at most `error_rate` of the keys that were never seen is reported as seen.
+    """
+
+    def __init__(self, capacity: int, error_rate: float) -> None:
+        self.capacity, self.error_rate = capacity, error_rate
+        self._newer, self._older = (
+            Bloom(capacity, error_rate, _stable_hash),
+            Bloom(capacity, error_rate, _stable_hash),
+        )
+        self._count = 0  # keys in the newer filter
 
     def check_and_add(self, key: bytes) -> bool:
-        """Whether it was seen; from now on it was."""
-        if key in self._new or key in self._old:
+        """Returns whether a key was seen before, and records it."""
+        if key in self._newer or key in self._older:
             return True
-        self._new.add(key)
+        self._newer.add(key)
         self._count += 1
-        if self._count >= self.most:
-            self._new, self._old, self._count = Bloom(self.most, self.error, _hash), self._new, 0
+        if self._count >= self.capacity:
+            self._newer, self._older, self._count = (
+                Bloom(self.capacity, self.error_rate, _stable_hash),
+                self._newer,
+                0,
+            )
         return False
 
     def snapshot(self) -> list[Any]:
-        return [self._count, self._new.save_bytes(), self._old.save_bytes()]
-
-    def restore(self, held: list[Any]) -> None:
-        count, new, old = held
-        self._new, self._old = Bloom.load_bytes(new, _hash), Bloom.load_bytes(old, _hash)
+        """Returns the state as plain values that `restore` takes."""
+        return [self._count, self._newer.save_bytes(), self._older.save_bytes()]
+
+    def restore(self, snapshot: list[Any]) -> None:
+        count, newer, older = snapshot
+        self._newer, self._older = (
+            Bloom.load_bytes(newer, _stable_hash),
+            Bloom.load_bytes(older, _stable_hash),
+        )
         self._count = int(count)
 
 
-def _hash(key: Any) -> int:
-    """The same in every process: what Python hashes bytes to is not."""
+def _stable_hash(key: Any) -> int:
+    """Returns a hash that is the same in every process; Python's own of bytes is not."""
     return int.from_bytes(blake3(key).digest(16), "big", signed=True)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -279,7 +279,7 @@
 def test_the_gate_stops_what_the_module_should_never_send() -> None:
     def day(rig: Rig) -> None:
         gate, now = rig.gateway.carrier.gate, time.monotonic()
-        with pytest.raises(SendForbidden, match="never asked"):
+        with pytest.raises(SendForbidden, match="never requested"):
             gate.check_send(now, 99, "h0", 0.1)
         rig.listed("h0", "terminating")
         rig.until(lambda: gate.hosts["h0"] is not None)
