--- a/ledgehitch/signalling/__init__.py
+++ b/ledgehitch/signalling/__init__.py
@@ -1,7 +1,7 @@
-"""WHIP (RFC 9725) and WHEP as state: offers, viewings and their resources, what is answered and to whom.
+"""The signalling state of WHIP (RFC 9725) and WHEP: offers, viewings, their resources and answers.
 
-It never touches a socket and places nothing. Start reading at `decide.py`; `sdp.py` reads the little of SDP
-that is needed and passes the rest through.
+Uses no socket and makes no placement decisions. Start reading at `decide.py`; `sdp.py` parses the subset of
+SDP that is needed.
 """
 
 from ledgehitch.signalling.decide import Answer, Desk, End, Kind, Leave, Settled
--- a/ledgehitch/signalling/decide.py
+++ b/ledgehitch/signalling/decide.py
@@ -1,9 +1,8 @@
-"""Which offer is which viewing, who is owed which answer, and when a viewing has no viewer any more.
+"""Matches offers to viewings, decides who gets which answer, and detects viewings without a viewer.
 
-Inputs (`offered`, `settled`, `delivered`, `undelivered`, `hung_up`, `deleted`, `ended`) only update what is
-known; `decide(now)` then gives what is to be done, one by one, until None. `conn` numbers a connection's
-request, `viewing_id` a viewing; both are the caller's. An answer leaves here once for each connection, never
-twice (rule 1), and one offer is one viewing, however often it comes (rule 2).
+Inputs (the `on_<event>` methods) only update the state; the caller then calls `decide(now)` until it returns
+None. `conn` identifies the request of a connection and `viewing_id` a viewing; the caller assigns both. Each
+connection gets at most one answer (rule 1), and repeated offers never start another viewing (rule 2).
 """
 
 import heapq
@@ -13,16 +12,16 @@
 
 from blake3 import blake3
 
-AGAIN = 5.0  # seconds after "plays" in which the same offer gets the same answer
-AGAIN_FAILED = 0.25  # the same after an abort, or a block without advice
-ORPHAN = 5.0  # seconds that a viewing plays on whose answer reached nobody, in case the offer comes again
+REPEAT_WINDOW_S = 5.0  # after "plays", a repeated offer gets the same answer
+FAILED_REPEAT_WINDOW_S = 0.25  # the same after an abort, or a block without advice
+ORPHAN_GRACE_S = 5.0  # a viewing whose answer reached nobody plays on, in case the offer is repeated
 
 Kind = Literal["plays", "blocked", "aborted"]
 
 
 @dataclass(frozen=True)
 class Answer:
-    """Answer this connection with what was settled for the viewing."""
+    """Send the result of the viewing to this connection."""
 
     conn: int
     viewing_id: int
@@ -30,14 +29,14 @@
 
 @dataclass(frozen=True)
 class Leave:
-    """Nobody waits any more for this viewing, which has no answer yet."""
+    """Abandon this viewing: it has no answer yet, and no connection waits for one."""
 
     viewing_id: int
 
 
 @dataclass(frozen=True)
 class End:
-    """This viewing plays and its viewer is gone or has ended it."""
+    """End this viewing: it plays, and its viewer has left or deleted it."""
 
     viewing_id: int
 
@@ -47,8 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """What a viewing came to. `advice` in seconds, 0 for none; `until`: the offer's repeats get the same.
-    `why` and `ticket` are the door's, of who was not let in."""
+    """The result of a viewing.
+
+    `advice` is the retry delay in seconds, 0 for none. Repeated offers get the same result up to `until`.
+    `why` and `ticket` come from admission control, for a rejected viewer.
+    """
 
     kind: Kind
     answer: str = ""
@@ -59,6 +61,8 @@
 
 
 class Entry:
+    """One viewing in the registry."""
+
     __slots__ = (
         "viewing_id",
         "key",
@@ -73,7 +77,7 @@
 
     def __init__(self, viewing_id: int, key: bytes, resource: str, ufrag: str) -> None:
         self.viewing_id, self.key, self.resource, self.ufrag = viewing_id, key, resource, ufrag
-        self.conns: dict[int, None] | None = {}  # whose answer is due, or on its way; None: none ever again
+        self.conns: dict[int, None] | None = {}  # connections that await the answer; None: it was delivered
         self.settled: Settled | None = None
         self.playing = False
         self.version = 1
@@ -81,22 +85,25 @@
 
 
 class Desk:
-    """The register of one gateway's viewings, by offer, by resource and by connection."""
+    """The viewings of one gateway, by offer, by resource and by connection."""
 
     def __init__(self, secret: bytes) -> None:
-        self._secret = secret  # 32 bytes: resources are named so that nobody can guess one
+        self._secret = secret  # 32 bytes; makes the names of resources unguessable
         self.entries: dict[int, Entry] = {}
         self._by_key: dict[bytes, Entry] = {}
         self._by_resource: dict[str, Entry] = {}
         self._by_conn: dict[int, Entry] = {}
         self._due: deque[Decision] = deque()
-        self._checks: list[tuple[float, int]] = []  # when to look at a viewing again
+        self._checks: list[tuple[float, int]] = []  # timers: when to check which viewing
 
-    # ---- what happens --------------------------------------------------------------------------------------
+    # ---- inputs --------------------------------------------------------------------------------------------
 
     def offered(self, now: float, conn: int, key: bytes, viewing_id: int, ufrag: str = "") -> bool:
-        """An offer came; `key` is its digest with all that makes it that offer. Whether it is a new viewing
-        (then it has the number `viewing_id`); else the connection gets the answer that the known one gets."""
+        """An offer arrived; `key` is a digest of everything that identifies it.
+
+        Returns whether it is a new viewing, which then has the id `viewing_id`. Otherwise the connection gets
+        the answer of the known viewing.
+        """
         known = self._by_key.get(key)
         if known is not None and (known.settled is None or now < known.settled.until):
             self._by_conn[conn] = known
@@ -126,20 +133,21 @@
         why: str = "",
         ticket: str = "",
     ) -> None:
-        """The viewing has its one answer. A second one is refused: the first stands."""
+        """The viewing has its result. A second result for the same viewing is ignored."""
         entry = self.entries.get(viewing_id)
         if entry is None or entry.settled is not None:
             return
-        again = AGAIN if kind == "plays" else max(advice, AGAIN_FAILED)
-        entry.settled = Settled(kind, answer, advice, now + again, why, ticket)
+        repeat_window = REPEAT_WINDOW_S if kind == "plays" else max(advice, FAILED_REPEAT_WINDOW_S)
+        entry.settled = Settled(kind, answer, advice, now + repeat_window, why, ticket)
         entry.playing = kind == "plays"
         for conn in entry.conns or ():
             self._due.append(Answer(conn, viewing_id))
         if entry.playing and not entry.conns:
-            self._due.append(End(viewing_id))  # all hung up as it was settled
-        heapq.heappush(self._checks, (now + again, viewing_id))
+            self._due.append(End(viewing_id))  # all connections closed before the result came
+        heapq.heappush(self._checks, (now + repeat_window, viewing_id))
 
     def delivered(self, now: float, conn: int) -> None:
+        """The answer was sent to this connection."""
         entry = self._by_conn.pop(conn, None)
         if entry is not None and entry.conns is not None:
             entry.conns.pop(conn, None)
@@ -147,17 +155,17 @@
                 entry.conns = None
 
     def undelivered(self, now: float, conn: int) -> None:
-        """The answer could not be written: unless the offer comes again, nobody watches."""
+        """The answer could not be sent: the viewing has no viewer unless the offer is repeated."""
         entry = self._by_conn.pop(conn, None)
         if entry is None or entry.conns is None:
             return
         entry.conns.pop(conn, None)
         if not entry.conns and entry.playing:
-            entry.orphan_at = now + ORPHAN
+            entry.orphan_at = now + ORPHAN_GRACE_S
             heapq.heappush(self._checks, (entry.orphan_at, entry.viewing_id))
 
     def hung_up(self, now: float, conn: int) -> None:
-        """A connection ended before its answer."""
+        """A connection closed before its answer was sent."""
         entry = self._by_conn.get(conn)
         if entry is None:
             return
@@ -172,7 +180,7 @@
             self._drop(entry)
 
     def deleted(self, now: float, resource: str) -> bool:
-        """The viewer ends the viewing; whether there is one."""
+        """The viewer deletes the viewing. Returns whether it exists and plays."""
         entry = self._by_resource.get(resource)
         if entry is None or not entry.playing:
             return False
@@ -182,15 +190,18 @@
         return True
 
     def ended(self, now: float, viewing_id: int) -> None:
-        """A viewing that played has ended at its media host."""
+        """A playing viewing ended at its media host."""
         entry = self.entries.get(viewing_id)
         if entry is not None and entry.settled is not None:
             entry.playing = False
             self._drop(entry)
 
     def patched(self, resource: str, if_match: str | None, ufrag: str) -> int:
-        """The status for a PATCH with this condition and these credentials: 204 trickle, 200 ICE restart
-        (the version rises), 404, 412, 428."""
+        """Returns the HTTP status for a PATCH with this condition and ICE user fragment.
+
+        204 accepts trickled candidates and 200 an ICE restart, which raises the version; errors are 404, 412
+        and 428.
+        """
         entry = self._by_resource.get(resource)
         if entry is None or not entry.playing:
             return 404
@@ -198,25 +209,28 @@
             return 428
         if if_match.strip() == "*":
             if ufrag == entry.ufrag:
-                return 412  # credentials that are in force already restart nothing
+                return 412  # unchanged credentials are no ICE restart
             entry.ufrag, entry.version = ufrag, entry.version + 1
             return 200
         if if_match.strip() != self.etag(entry):
             return 412
         return 204 if ufrag == entry.ufrag else 412
 
-    # ---- what is known -------------------------------------------------------------------------------------
+    # ---- queries -------------------------------------------------------------------------------------------
 
     def of(self, resource: str) -> Entry | None:
+        """Returns the viewing of a resource, or None."""
         return self._by_resource.get(resource)
 
     @staticmethod
     def etag(entry: Entry) -> str:
+        """Returns the entity tag of the viewing's current ICE session."""
         return f'"{entry.resource[:8]}-{entry.version}"'
 
-    # ---- what is to be done --------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
     def decide(self, now: float) -> Decision | None:
+        """Returns the next decision, or None when there is nothing to do at `now`."""
         while self._checks and self._checks[0][0] <= now:
             entry = self.entries.get(heapq.heappop(self._checks)[1])
             if entry is None or entry.settled is None:
@@ -227,7 +241,7 @@
                 self._drop(entry)
             elif entry.settled.until <= now:
                 if entry.playing:
-                    # From now on it is held by its resource alone: the answer's text is let go.
+                    # Repeats are no longer answered: only the resource is held, and the text is freed.
                     entry.settled = Settled("plays")
                     if self._by_key.get(entry.key) is entry:
                         del self._by_key[entry.key]
@@ -236,6 +250,7 @@
         return self._due.popleft() if self._due else None
 
     def wake_at(self) -> float | None:
+        """Returns when to call `decide` again without further input, or None."""
         return self._checks[0][0] if self._checks else None
 
     def _drop(self, entry: Entry) -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -176,7 +176,7 @@
 
 
 def test_a_viewing_whose_answer_reached_nobody_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ledgehitch.signalling.decide.ORPHAN", 0.2)
+    monkeypatch.setattr("ledgehitch.signalling.decide.ORPHAN_GRACE_S", 0.2)
 
     def day(rig: Rig) -> None:
         # The hang-up is noticed by nobody before the answer is written.
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -17,7 +17,7 @@
 from ledgehitch.gateway.roll import Line, News, Roll
 from ledgehitch.gateway.watch import LOST, SILENT, Follow, Lost, Unfollow, Watch
 from ledgehitch.signalling import Answer, BadSdp, Desk, End, Leave, read_fragment, read_sdp
-from ledgehitch.signalling.decide import AGAIN, ORPHAN
+from ledgehitch.signalling.decide import ORPHAN_GRACE_S, REPEAT_WINDOW_S
 from ledgehitch.standins.viewers import offer_of
 from tests.helpers import gateway, rows
 from tests.rig import site
@@ -100,10 +100,10 @@
     assert not desk.offered(0.1, 2, b"k", 2)
     desk.settled(0.2, 1, "plays", "sdp")
     assert pulled(desk, 0.2) == [Answer(1, 1), Answer(2, 1)]
-    assert not desk.offered(AGAIN, 3, b"k", 3) and pulled(desk, AGAIN) == [Answer(3, 1)]
-    assert pulled(desk, AGAIN + 1) == [] and desk.entries[1].settled is not None
+    assert not desk.offered(REPEAT_WINDOW_S, 3, b"k", 3) and pulled(desk, REPEAT_WINDOW_S) == [Answer(3, 1)]
+    assert pulled(desk, REPEAT_WINDOW_S + 1) == [] and desk.entries[1].settled is not None
     assert desk.entries[1].settled.answer == "", "the text is let go"
-    assert desk.offered(AGAIN + 1, 4, b"k", 4)
+    assert desk.offered(REPEAT_WINDOW_S + 1, 4, b"k", 4)
 
 
 def test_a_block_stands_for_as_long_as_its_advice() -> None:
@@ -126,7 +126,7 @@
             desk.offered(1.0, 2, b"k", 2)
             pulled(desk, 1.0)
             desk.delivered(1.0, 2)
-        assert pulled(desk, ORPHAN + 0.1) == ([] if again else [End(1)])
+        assert pulled(desk, ORPHAN_GRACE_S + 0.1) == ([] if again else [End(1)])
 
 
 def test_descriptions_are_read_and_what_is_wrong_is_named_by_line() -> None:
