--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -28,7 +28,7 @@
 from ledgehitch.interface import Outcome, Package
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, Task, TimedOut
 from ledgehitch.loop.pump import Pump
-from ledgehitch.signalling import Answer, Desk, End, Kind, Leave, Offer
+from ledgehitch.signalling import AbandonViewing, Answer, EndViewing, Kind, Offer, ViewingRegistry
 from ledgehitch.signalling.sdp import wrong_answer
 
 LAYER = "urn:ietf:params:whep:ext:core:layer"
@@ -85,7 +85,7 @@
         self,
         loop: Loop,
         mind: Mind,
-        desk: Desk,
+        desk: ViewingRegistry,
         gate: SendGuard,
         watch: Watch,
         name: str,
@@ -158,9 +158,9 @@
                     event = self.waiting.pop(conn, None)
                     if event is not None:
                         event.set(viewing_id)
-                case Leave(viewing_id):
+                case AbandonViewing(viewing_id):
                     self._left(now, viewing_id)
-                case End(viewing_id):
+                case EndViewing(viewing_id):
                     self._end(now, viewing_id)
         at_door = self.doorman.door.wake_at() if self.doorman is not None else None
         asks = (self.mind.brain.wake_at(), self.watch.wake_at(), self.desk.wake_at(), at_door)
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -39,7 +39,7 @@
 from ledgehitch.loop import Datagrams, Event, Loop, endpoint
 from ledgehitch.quality.keep import Keep
 from ledgehitch.regions.facts import regions_of
-from ledgehitch.signalling import Desk
+from ledgehitch.signalling import ViewingRegistry
 
 TOLD_EVERY = 5.0  # seconds between log lines with the loop's lag and the counters
 SWEEP = 1.0
@@ -98,7 +98,7 @@
         self.carrier = Carrier(
             loop,
             Mind(brain, self.recorder),
-            Desk(secrets.token_bytes(32)),
+            ViewingRegistry(secrets.token_bytes(32)),
             SendGuard(terms.drain_grace),
             Watch(random.Random(seed + 1)),
             name,
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -17,7 +17,7 @@
 from ledgehitch.interface import Outcome, Package, Row
 from ledgehitch.model.media import Loads, MediaHost, Session
 from ledgehitch.model.spoilt import OpenGate
-from ledgehitch.signalling import Answer, Desk, End, Kind, Leave
+from ledgehitch.signalling import AbandonViewing, Answer, EndViewing, Kind, ViewingRegistry
 
 if TYPE_CHECKING:
     from ledgehitch.model.day import Ground
@@ -57,7 +57,7 @@
         ladder, packages, fleet, terms = ground.facts_of(name)
         now = ground.agenda.now
         self.brain = ground.module(seed, now, ladder, packages, fleet, terms)
-        self.desk = Desk(ground.secret)
+        self.desk = ViewingRegistry(ground.secret)
         self.gate = OpenGate(terms.drain_grace) if ground.gates_out else SendGuard(terms.drain_grace)
         self.packages = {p.name: p for p in packages}
         self.load_fields, self.zone = fleet.load_fields, terms.zone
@@ -240,10 +240,10 @@
             match duty:
                 case Answer(conn, viewing_id):
                     self._answer(now, conn, viewing_id)
-                case Leave(viewing_id):
+                case AbandonViewing(viewing_id):
                     self._left(now, viewing_id)
                     again = True
-                case End(viewing_id):
+                case EndViewing(viewing_id):
                     self._end(now, viewing_id)
                     again = True
         if again:
--- a/ledgehitch/signalling/__init__.py
+++ b/ledgehitch/signalling/__init__.py
@@ -4,19 +4,26 @@
 SDP that is needed.
 """
 
-from ledgehitch.signalling.decide import Answer, Desk, End, Kind, Leave, Settled
+from ledgehitch.signalling.decide import (
+    AbandonViewing,
+    Answer,
+    EndViewing,
+    Kind,
+    ViewingRegistry,
+    ViewingResult,
+)
 from ledgehitch.signalling.sdp import BadSdp, Fragment, Offer, read_fragment, read_sdp
 
 __all__ = [
     "Answer",
     "BadSdp",
-    "Desk",
-    "End",
+    "ViewingRegistry",
+    "EndViewing",
     "Fragment",
     "Kind",
-    "Leave",
+    "AbandonViewing",
     "Offer",
-    "Settled",
+    "ViewingResult",
     "read_fragment",
     "read_sdp",
 ]
--- a/ledgehitch/signalling/decide.py
+++ b/ledgehitch/signalling/decide.py
@@ -28,24 +28,24 @@
 
 
 @dataclass(frozen=True)
-class Leave:
+class AbandonViewing:
     """Abandon this viewing: it has no answer yet, and no connection waits for one."""
 
     viewing_id: int
 
 
 @dataclass(frozen=True)
-class End:
+class EndViewing:
     """End this viewing: it plays, and its viewer has left or deleted it."""
 
     viewing_id: int
 
 
-Decision = Answer | Leave | End
+Decision = Answer | AbandonViewing | EndViewing
 
 
 @dataclass(frozen=True, slots=True)
-class Settled:
+class ViewingResult:
     """The result of a viewing.
 
     `advice` is the retry delay in seconds, 0 for none. Repeated offers get the same result up to `until`.
@@ -60,7 +60,7 @@
     ticket: str = ""
 
 
-class Entry:
+class RegistryEntry:
     """One viewing in the registry."""
 
     __slots__ = (
@@ -78,21 +78,21 @@
     def __init__(self, viewing_id: int, key: bytes, resource: str, ufrag: str) -> None:
         self.viewing_id, self.key, self.resource, self.ufrag = viewing_id, key, resource, ufrag
         self.conns: dict[int, None] | None = {}  # connections that await the answer; None: it was delivered
-        self.settled: Settled | None = None
+        self.settled: ViewingResult | None = None
         self.playing = False
         self.version = 1
         self.orphan_at = 0.0
 
 
-class Desk:
+class ViewingRegistry:
     """The viewings of one gateway, by offer, by resource and by connection."""
 
     def __init__(self, secret: bytes) -> None:
         self._secret = secret  # 32 bytes; makes the names of resources unguessable
-        self.entries: dict[int, Entry] = {}
-        self._by_key: dict[bytes, Entry] = {}
-        self._by_resource: dict[str, Entry] = {}
-        self._by_conn: dict[int, Entry] = {}
+        self.entries: dict[int, RegistryEntry] = {}
+        self._by_key: dict[bytes, RegistryEntry] = {}
+        self._by_resource: dict[str, RegistryEntry] = {}
+        self._by_conn: dict[int, RegistryEntry] = {}
         self._due: deque[Decision] = deque()
         self._checks: list[tuple[float, int]] = []  # timers: when to check which viewing
 
@@ -115,7 +115,7 @@
                 self._due.append(Answer(conn, known.viewing_id))
             return False
         resource = blake3(viewing_id.to_bytes(8, "big"), key=self._secret).hexdigest(16)
-        entry = Entry(viewing_id, key, resource, ufrag)
+        entry = RegistryEntry(viewing_id, key, resource, ufrag)
         assert entry.conns is not None
         entry.conns[conn] = None
         self.entries[viewing_id] = self._by_key[key] = self._by_resource[resource] = self._by_conn[conn] = (
@@ -138,12 +138,12 @@
         if entry is None or entry.settled is not None:
             return
         repeat_window = REPEAT_WINDOW_S if kind == "plays" else max(advice, FAILED_REPEAT_WINDOW_S)
-        entry.settled = Settled(kind, answer, advice, now + repeat_window, why, ticket)
+        entry.settled = ViewingResult(kind, answer, advice, now + repeat_window, why, ticket)
         entry.playing = kind == "plays"
         for conn in entry.conns or ():
             self._due.append(Answer(conn, viewing_id))
         if entry.playing and not entry.conns:
-            self._due.append(End(viewing_id))  # all connections closed before the result came
+            self._due.append(EndViewing(viewing_id))  # all connections closed before the result came
         heapq.heappush(self._checks, (now + repeat_window, viewing_id))
 
     def delivered(self, now: float, conn: int) -> None:
@@ -176,7 +176,7 @@
         if entry.conns is not None:
             entry.conns.pop(conn, None)
         if not entry.conns:
-            self._due.append(Leave(entry.viewing_id))
+            self._due.append(AbandonViewing(entry.viewing_id))
             self._drop(entry)
 
     def deleted(self, now: float, resource: str) -> bool:
@@ -185,7 +185,7 @@
         if entry is None or not entry.playing:
             return False
         entry.playing = False
-        self._due.append(End(entry.viewing_id))
+        self._due.append(EndViewing(entry.viewing_id))
         self._drop(entry)
         return True
 
@@ -218,12 +218,12 @@
 
     # ---- queries -------------------------------------------------------------------------------------------
 
-    def of(self, resource: str) -> Entry | None:
+    def of(self, resource: str) -> RegistryEntry | None:
         """Returns the viewing of a resource, or None."""
         return self._by_resource.get(resource)
 
     @staticmethod
-    def etag(entry: Entry) -> str:
+    def etag(entry: RegistryEntry) -> str:
         """Returns the entity tag of the viewing's current ICE session."""
         return f'"{entry.resource[:8]}-{entry.version}"'
 
@@ -237,12 +237,12 @@
                 continue
             if entry.playing and 0 < entry.orphan_at <= now:
                 entry.playing = False
-                self._due.append(End(entry.viewing_id))
+                self._due.append(EndViewing(entry.viewing_id))
                 self._drop(entry)
             elif entry.settled.until <= now:
                 if entry.playing:
                     # Repeats are no longer answered: only the resource is held, and the text is freed.
-                    entry.settled = Settled("plays")
+                    entry.settled = ViewingResult("plays")
                     if self._by_key.get(entry.key) is entry:
                         del self._by_key[entry.key]
                 else:
@@ -253,7 +253,7 @@
         """Returns when to call `decide` again without further input, or None."""
         return self._checks[0][0] if self._checks else None
 
-    def _drop(self, entry: Entry) -> None:
+    def _drop(self, entry: RegistryEntry) -> None:
         self.entries.pop(entry.viewing_id, None)
         self._by_resource.pop(entry.resource, None)
         if self._by_key.get(entry.key) is entry:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,7 +16,15 @@
 from ledgehitch.gateway.replay import replayed
 from ledgehitch.gateway.roll import Line, News, Roll
 from ledgehitch.gateway.watch import LOST, SILENT, Follow, Lost, Unfollow, Watch
-from ledgehitch.signalling import Answer, BadSdp, Desk, End, Leave, read_fragment, read_sdp
+from ledgehitch.signalling import (
+    AbandonViewing,
+    Answer,
+    BadSdp,
+    EndViewing,
+    ViewingRegistry,
+    read_fragment,
+    read_sdp,
+)
 from ledgehitch.signalling.decide import ORPHAN_GRACE_S, REPEAT_WINDOW_S
 from ledgehitch.standins.viewers import offer_of
 from tests.helpers import gateway, rows
@@ -25,7 +33,7 @@
 # ---- signalling --------------------------------------------------------------------------------------------
 
 
-def pulled(desk: Desk, now: float) -> list[Any]:
+def pulled(desk: ViewingRegistry, now: float) -> list[Any]:
     out = []
     while (decision := desk.decide(now)) is not None:
         out.append(decision)
@@ -36,7 +44,7 @@
 @given(st.integers(0, 2**32))
 def test_each_connection_is_answered_once_or_hung_up_whatever_happens(seed: int) -> None:
     """Rule 1 at the desk, and rule 2: one offer is one viewing while it is unanswered or just answered."""
-    chance, desk, now = random.Random(seed), Desk(bytes(32)), 0.0
+    chance, desk, now = random.Random(seed), ViewingRegistry(bytes(32)), 0.0
     owed: dict[int, int] = {}  # connection, viewing
     asked: set[int] = set()  # viewings without an answer
     playing: set[int] = set()
@@ -84,18 +92,18 @@
                     if owed.pop(to):
                         assert of in desk.entries or of not in asked
                     on_way.append(to)
-                case Leave(of):
+                case AbandonViewing(of):
                     assert of in asked
                     asked.discard(of)
                     given_up.add(of)
-                case End(of):
+                case EndViewing(of):
                     assert of in playing and of not in given_up
                     playing.discard(of)
     assert all(of in desk.entries for of in asked | playing)
 
 
 def test_the_same_offer_gets_the_same_answer_for_a_while_and_then_is_a_new_viewing() -> None:
-    desk = Desk(bytes(32))
+    desk = ViewingRegistry(bytes(32))
     assert desk.offered(0.0, 1, b"k", 1)
     assert not desk.offered(0.1, 2, b"k", 2)
     desk.settled(0.2, 1, "plays", "sdp")
@@ -107,7 +115,7 @@
 
 
 def test_a_block_stands_for_as_long_as_its_advice() -> None:
-    desk = Desk(bytes(32))
+    desk = ViewingRegistry(bytes(32))
     desk.offered(0.0, 1, b"k", 1)
     desk.settled(0.0, 1, "blocked", advice=2.0)
     assert not desk.offered(1.9, 2, b"k", 2)
@@ -117,7 +125,7 @@
 
 def test_what_nobody_heard_of_is_ended_unless_it_is_asked_for_again() -> None:
     for again in (False, True):
-        desk = Desk(bytes(32))
+        desk = ViewingRegistry(bytes(32))
         desk.offered(0.0, 1, b"k", 1)
         desk.settled(0.0, 1, "plays", "sdp")
         pulled(desk, 0.0)
@@ -126,7 +134,7 @@
             desk.offered(1.0, 2, b"k", 2)
             pulled(desk, 1.0)
             desk.delivered(1.0, 2)
-        assert pulled(desk, ORPHAN_GRACE_S + 0.1) == ([] if again else [End(1)])
+        assert pulled(desk, ORPHAN_GRACE_S + 0.1) == ([] if again else [EndViewing(1)])
 
 
 def test_descriptions_are_read_and_what_is_wrong_is_named_by_line() -> None:
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -18,7 +18,7 @@
     rule_parameters,
 )
 from ledgehitch.proof.tape import Line, Tape, read_tapes
-from ledgehitch.signalling import Answer, Desk
+from ledgehitch.signalling import Answer, ViewingRegistry
 from tests.rig import Host, Rig
 
 F = RuleParameters(
@@ -297,13 +297,13 @@
 
 
 def test_without_the_desk_s_answers_rule_1_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    real = Desk.decide
+    real = ViewingRegistry.decide
 
-    def mute(desk: Desk, now: float) -> Any:
+    def mute(desk: ViewingRegistry, now: float) -> Any:
         decision = real(desk, now)
         return real(desk, now) if isinstance(decision, Answer) else decision
 
-    monkeypatch.setattr(Desk, "decide", mute)
+    monkeypatch.setattr(ViewingRegistry, "decide", mute)
     monkeypatch.setattr("ledgehitch.gateway.front.LAST", 30.0)
     taped = Taped(tmp_path)
     rig = Rig(
