--- a/ledgehitch/daemon/admin.py
+++ b/ledgehitch/daemon/admin.py
@@ -247,7 +247,7 @@
         recorder = self.running.recorder
         if recorder is None:
             raise Refused(409, "this gateway keeps no flight record: start it with --record")
-        entry = self.running.carrier.desk.of(which)
+        entry = self.running.carrier.desk.by_resource(which)
         if entry is None and not which.isdigit():
             raise Refused(404, "no such viewing plays; one that has ended is known by its number alone")
         viewing_id = entry.viewing_id if entry is not None else int(which)
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -188,7 +188,7 @@
         `ticket` and `address` are for the door."""
         now = time.monotonic()
         event = self.waiting[conn] = Event(self.loop)
-        if self.desk.offered(now, conn, key, viewing_id, ufrag):
+        if self.desk.on_offer(now, conn, key, viewing_id, ufrag):
             self.counts.asked += 1
             self.viewings[viewing_id] = viewing
             if self.doorman is None:
@@ -219,7 +219,7 @@
                 self._admit(now, viewing_id, *offer)
             else:
                 self.counts.turned_away += 1
-                self.desk.settled(
+                self.desk.on_result(
                     now,
                     viewing_id,
                     "blocked",
@@ -233,7 +233,7 @@
         self, now: float, viewing_id: int, kind: Kind, answer: str = "", advice: float = 0.0
     ) -> None:
         """The module's answer to a viewing: the desk passes it on, the door has room again."""
-        self.desk.settled(now, viewing_id, kind, answer, advice)
+        self.desk.on_result(now, viewing_id, kind, answer, advice)
         if self.doorman is not None:
             self.doorman.settled(now, viewing_id, kind != "plays")
             if self._at_door:
@@ -248,7 +248,7 @@
 
     def hung_up(self, conn: int) -> None:
         event = self.waiting.pop(conn, None)
-        self.desk.hung_up(time.monotonic(), conn)
+        self.desk.on_disconnect(time.monotonic(), conn)
         if event is not None:
             event.set(None)
         self.stir()
@@ -299,7 +299,7 @@
             return
         self.counts.ended += 1
         self.mind.on_tune_in_end(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
-        self.desk.ended(now, viewing_id)
+        self.desk.on_viewing_end(now, viewing_id)
         self._forget(viewing_id)
         self.stir()
 
@@ -309,7 +309,7 @@
         now = time.monotonic()
         for viewing_id, v in list(self.viewings.items()):
             if v.session:
-                self.desk.ended(now, viewing_id)
+                self.desk.on_viewing_end(now, viewing_id)
                 self._end(now, viewing_id)
 
     def _lost(self, now: float, host: str) -> None:
--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -179,10 +179,10 @@
 
     def _settled(self, conn: int, viewing_id: int) -> Response:
         entry = self.carrier.desk.entries.get(viewing_id)
-        settled = entry.settled if entry is not None else None
+        settled = entry.result if entry is not None else None
         if entry is None or settled is None:
             # It ended between its answer and this connection's: for this one it never came about.
-            self.carrier.desk.delivered(self.loop.now, conn)
+            self.carrier.desk.on_answer_sent(self.loop.now, conn)
             return problem(502, "the viewing ended as it was set up", kind=ABORTED, answer="aborted")
         if settled.kind == "plays":
             at = f"/viewings/{entry.resource}"
@@ -224,15 +224,15 @@
     def _written(self, conn: int, whole: bool) -> None:
         desk = self.carrier.desk
         if whole:
-            desk.delivered(self.loop.now, conn)
+            desk.on_answer_sent(self.loop.now, conn)
         else:
-            desk.undelivered(self.loop.now, conn)
+            desk.on_answer_failed(self.loop.now, conn)
             self.carrier.stir()
 
     # ---- resources -----------------------------------------------------------------------------------------
 
     def _viewing(self, resource: str) -> Viewing:
-        entry = self.carrier.desk.of(resource)
+        entry = self.carrier.desk.by_resource(resource)
         viewing = self.carrier.viewings.get(entry.viewing_id) if entry is not None and entry.playing else None
         if viewing is None:
             raise Refused(404, "no such viewing, or it has ended")
@@ -243,7 +243,7 @@
             return Response(204, [("Accept-Patch", FRAGMENT), ("Allow", "PATCH, DELETE, OPTIONS"), *_cors()])
         self._only(request, "PATCH", "DELETE", "OPTIONS")
         if request.method == "DELETE":
-            if not self.carrier.desk.deleted(self.loop.now, resource):
+            if not self.carrier.desk.on_delete(self.loop.now, resource):
                 raise Refused(404, "no such viewing, or it has ended")
             self.carrier.stir()
             return Response(200)
@@ -255,7 +255,7 @@
         except (UnicodeDecodeError, BadSdp) as wrong:
             raise Refused(400, f"the fragment does not parse: {wrong}") from None
         desk = self.carrier.desk
-        status = desk.patched(resource, request.headers.get("if-match"), fragment.ufrag)
+        status = desk.on_patch(resource, request.headers.get("if-match"), fragment.ufrag)
         if status in (404, 412, 428):
             raise Refused(status, UNMET[status])
         headers = [("Content-Type", FRAGMENT), ("If-Match", request.headers["if-match"])]
@@ -264,7 +264,7 @@
             raise Refused(502, "the media host did not take it")
         if status == 204:
             return Response(204, _cors())
-        entry = desk.of(resource)
+        entry = desk.by_resource(resource)
         tag = [("ETag", desk.etag(entry))] if entry is not None else []
         return Response(200, [("Content-Type", FRAGMENT), *tag, *_cors()], passed.body)
 
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -128,7 +128,7 @@
         """An offer; `answered` (kind, advice, resource, session, ticket) is called at the viewer's end."""
         now, viewing_id = self.ground.agenda.now, next(self._viewing_ids)
         self.answers[conn] = answered
-        if not self.desk.offered(now, conn, key, viewing_id):
+        if not self.desk.on_offer(now, conn, key, viewing_id):
             return
         self.viewings[viewing_id] = Viewing(self.packages[package], title)
         if self.door is None:
@@ -147,10 +147,10 @@
 
     def hung_up(self, conn: int) -> None:
         if self.answers.pop(conn, None) is not None:
-            self.desk.hung_up(self.ground.agenda.now, conn)
+            self.desk.on_disconnect(self.ground.agenda.now, conn)
 
     def deleted(self, resource: str) -> None:
-        self.desk.deleted(self.ground.agenda.now, resource)
+        self.desk.on_delete(self.ground.agenda.now, resource)
 
     def told(self, notes: Sequence[tuple[int, str, int, float]]) -> None:
         """Notes of media hosts, each on one viewing: viewing, host, kind, value."""
@@ -166,7 +166,7 @@
             return
         now = self.ground.agenda.now
         self.brain.on_tune_in_end(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
-        self.desk.ended(now, viewing_id)
+        self.desk.on_viewing_end(now, viewing_id)
         self._forget(viewing_id)
 
     def lost(self, host: str) -> None:
@@ -193,7 +193,7 @@
             if isinstance(decision, Admit):
                 self._admit(now, viewing_id, *offer)
             else:
-                self.desk.settled(
+                self.desk.on_result(
                     now,
                     viewing_id,
                     "blocked",
@@ -204,7 +204,7 @@
                 self.viewings.pop(viewing_id, None)
 
     def _settled(self, now: float, viewing_id: int, kind: Kind, advice: float = 0.0) -> None:
-        self.desk.settled(now, viewing_id, kind, advice=advice)
+        self.desk.on_result(now, viewing_id, kind, advice=advice)
         if self.door is not None:
             self.door.on_result(now, viewing_id, kind != "plays")
 
@@ -259,7 +259,7 @@
         answered, entry = self.answers.pop(conn, None), self.desk.entries.get(viewing_id)
         if answered is None:
             return
-        settled = entry.settled if entry is not None else None
+        settled = entry.result if entry is not None else None
         v = self.viewings.get(viewing_id)
         if entry is None or settled is None:
             answered_with: tuple[Any, ...] = ("aborted", 0.0, "", None, "")
@@ -267,7 +267,7 @@
             session = v.session if v is not None else None
             advice = float(math.ceil(settled.advice))
             answered_with = (settled.kind, advice, entry.resource, session, settled.ticket)
-        self.desk.delivered(now, conn)
+        self.desk.on_answer_sent(now, conn)
         self.ground.agenda.after(self.ground.hop, answered, *answered_with)
 
     def _forget(self, viewing_id: int) -> None:
--- a/ledgehitch/signalling/decide.py
+++ b/ledgehitch/signalling/decide.py
@@ -67,8 +67,8 @@
         "viewing_id",
         "key",
         "resource",
-        "conns",
-        "settled",
+        "waiting_conns",
+        "result",
         "playing",
         "version",
         "ufrag",
@@ -77,8 +77,10 @@
 
     def __init__(self, viewing_id: int, key: bytes, resource: str, ufrag: str) -> None:
         self.viewing_id, self.key, self.resource, self.ufrag = viewing_id, key, resource, ufrag
-        self.conns: dict[int, None] | None = {}  # connections that await the answer; None: it was delivered
-        self.settled: ViewingResult | None = None
+        self.waiting_conns: (
+            dict[int, None] | None
+        ) = {}  # connections that await the answer; None: it was delivered
+        self.result: ViewingResult | None = None
         self.playing = False
         self.version = 1
         self.orphan_at = 0.0
@@ -98,32 +100,32 @@
 
     # ---- inputs --------------------------------------------------------------------------------------------
 
-    def offered(self, now: float, conn: int, key: bytes, viewing_id: int, ufrag: str = "") -> bool:
+    def on_offer(self, now: float, conn: int, key: bytes, viewing_id: int, ufrag: str = "") -> bool:
         """An offer arrived; `key` is a digest of everything that identifies it.
 
         Returns whether it is a new viewing, which then has the id `viewing_id`. Otherwise the connection gets
         the answer of the known viewing.
         """
         known = self._by_key.get(key)
-        if known is not None and (known.settled is None or now < known.settled.until):
+        if known is not None and (known.result is None or now < known.result.until):
             self._by_conn[conn] = known
-            if known.conns is None:
-                known.conns = {}
-            known.conns[conn] = None
+            if known.waiting_conns is None:
+                known.waiting_conns = {}
+            known.waiting_conns[conn] = None
             known.orphan_at = 0.0
-            if known.settled is not None:
+            if known.result is not None:
                 self._due.append(Answer(conn, known.viewing_id))
             return False
         resource = blake3(viewing_id.to_bytes(8, "big"), key=self._secret).hexdigest(16)
         entry = RegistryEntry(viewing_id, key, resource, ufrag)
-        assert entry.conns is not None
-        entry.conns[conn] = None
+        assert entry.waiting_conns is not None
+        entry.waiting_conns[conn] = None
         self.entries[viewing_id] = self._by_key[key] = self._by_resource[resource] = self._by_conn[conn] = (
             entry
         )
         return True
 
-    def settled(
+    def on_result(
         self,
         now: float,
         viewing_id: int,
@@ -135,51 +137,51 @@
     ) -> None:
         """The viewing has its result. A second result for the same viewing is ignored."""
         entry = self.entries.get(viewing_id)
-        if entry is None or entry.settled is not None:
+        if entry is None or entry.result is not None:
             return
         repeat_window = REPEAT_WINDOW_S if kind == "plays" else max(advice, FAILED_REPEAT_WINDOW_S)
-        entry.settled = ViewingResult(kind, answer, advice, now + repeat_window, why, ticket)
+        entry.result = ViewingResult(kind, answer, advice, now + repeat_window, why, ticket)
         entry.playing = kind == "plays"
-        for conn in entry.conns or ():
+        for conn in entry.waiting_conns or ():
             self._due.append(Answer(conn, viewing_id))
-        if entry.playing and not entry.conns:
+        if entry.playing and not entry.waiting_conns:
             self._due.append(EndViewing(viewing_id))  # all connections closed before the result came
         heapq.heappush(self._checks, (now + repeat_window, viewing_id))
 
-    def delivered(self, now: float, conn: int) -> None:
+    def on_answer_sent(self, now: float, conn: int) -> None:
         """The answer was sent to this connection."""
         entry = self._by_conn.pop(conn, None)
-        if entry is not None and entry.conns is not None:
-            entry.conns.pop(conn, None)
-            if not entry.conns:
-                entry.conns = None
+        if entry is not None and entry.waiting_conns is not None:
+            entry.waiting_conns.pop(conn, None)
+            if not entry.waiting_conns:
+                entry.waiting_conns = None
 
-    def undelivered(self, now: float, conn: int) -> None:
+    def on_answer_failed(self, now: float, conn: int) -> None:
         """The answer could not be sent: the viewing has no viewer unless the offer is repeated."""
         entry = self._by_conn.pop(conn, None)
-        if entry is None or entry.conns is None:
+        if entry is None or entry.waiting_conns is None:
             return
-        entry.conns.pop(conn, None)
-        if not entry.conns and entry.playing:
+        entry.waiting_conns.pop(conn, None)
+        if not entry.waiting_conns and entry.playing:
             entry.orphan_at = now + ORPHAN_GRACE_S
             heapq.heappush(self._checks, (entry.orphan_at, entry.viewing_id))
 
-    def hung_up(self, now: float, conn: int) -> None:
+    def on_disconnect(self, now: float, conn: int) -> None:
         """A connection closed before its answer was sent."""
         entry = self._by_conn.get(conn)
         if entry is None:
             return
-        if entry.settled is not None:
-            self.undelivered(now, conn)
+        if entry.result is not None:
+            self.on_answer_failed(now, conn)
             return
         del self._by_conn[conn]
-        if entry.conns is not None:
-            entry.conns.pop(conn, None)
-        if not entry.conns:
+        if entry.waiting_conns is not None:
+            entry.waiting_conns.pop(conn, None)
+        if not entry.waiting_conns:
             self._due.append(AbandonViewing(entry.viewing_id))
             self._drop(entry)
 
-    def deleted(self, now: float, resource: str) -> bool:
+    def on_delete(self, now: float, resource: str) -> bool:
         """The viewer deletes the viewing. Returns whether it exists and plays."""
         entry = self._by_resource.get(resource)
         if entry is None or not entry.playing:
@@ -189,14 +191,14 @@
         self._drop(entry)
         return True
 
-    def ended(self, now: float, viewing_id: int) -> None:
+    def on_viewing_end(self, now: float, viewing_id: int) -> None:
         """A playing viewing ended at its media host."""
         entry = self.entries.get(viewing_id)
-        if entry is not None and entry.settled is not None:
+        if entry is not None and entry.result is not None:
             entry.playing = False
             self._drop(entry)
 
-    def patched(self, resource: str, if_match: str | None, ufrag: str) -> int:
+    def on_patch(self, resource: str, if_match: str | None, ufrag: str) -> int:
         """Returns the HTTP status for a PATCH with this condition and ICE user fragment.
 
         204 accepts trickled candidates and 200 an ICE restart, which raises the version; errors are 404, 412
@@ -218,7 +220,7 @@
 
     # ---- queries -------------------------------------------------------------------------------------------
 
-    def of(self, resource: str) -> RegistryEntry | None:
+    def by_resource(self, resource: str) -> RegistryEntry | None:
         """Returns the viewing of a resource, or None."""
         return self._by_resource.get(resource)
 
@@ -233,16 +235,16 @@
         """Returns the next decision, or None when there is nothing to do at `now`."""
         while self._checks and self._checks[0][0] <= now:
             entry = self.entries.get(heapq.heappop(self._checks)[1])
-            if entry is None or entry.settled is None:
+            if entry is None or entry.result is None:
                 continue
             if entry.playing and 0 < entry.orphan_at <= now:
                 entry.playing = False
                 self._due.append(EndViewing(entry.viewing_id))
                 self._drop(entry)
-            elif entry.settled.until <= now:
+            elif entry.result.until <= now:
                 if entry.playing:
                     # Repeats are no longer answered: only the resource is held, and the text is freed.
-                    entry.settled = ViewingResult("plays")
+                    entry.result = ViewingResult("plays")
                     if self._by_key.get(entry.key) is entry:
                         del self._by_key[entry.key]
                 else:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -57,7 +57,7 @@
         if event < 3:
             conn, viewing_id = conn + 1, viewing_id + 1
             key = bytes([chance.randrange(4)])
-            if desk.offered(now, conn, key, viewing_id):
+            if desk.on_offer(now, conn, key, viewing_id):
                 asked.add(viewing_id)
                 owed[conn] = viewing_id
             else:
@@ -66,24 +66,24 @@
             done = chance.choice(sorted(asked))
             asked.discard(done)
             kind = chance.choice(["plays", "blocked", "aborted"])
-            desk.settled(now, done, kind, "answer", chance.choice([0.0, 1.0]))  # type: ignore[arg-type]
-            desk.settled(now, done, "aborted", "a second answer")
+            desk.on_result(now, done, kind, "answer", chance.choice([0.0, 1.0]))  # type: ignore[arg-type]
+            desk.on_result(now, done, "aborted", "a second answer")
             if kind == "plays":
                 playing.add(done)
         elif event == 4 and owed:
             gone = chance.choice(sorted(owed))
             del owed[gone]
-            desk.hung_up(now, gone)
+            desk.on_disconnect(now, gone)
         elif event == 5 and on_way:
             one = on_way.pop()
-            (desk.delivered if chance.random() < 0.7 else desk.undelivered)(now, one)
+            (desk.on_answer_sent if chance.random() < 0.7 else desk.on_answer_failed)(now, one)
         elif event == 6 and playing:
             one = chance.choice(sorted(playing))
             entry = desk.entries[one]
             if chance.random() < 0.5:
-                assert desk.deleted(now, entry.resource) and not desk.deleted(now, entry.resource)
+                assert desk.on_delete(now, entry.resource) and not desk.on_delete(now, entry.resource)
             else:
-                desk.ended(now, one)
+                desk.on_viewing_end(now, one)
                 playing.discard(one)
         for decision in pulled(desk, now):
             match decision:
@@ -104,36 +104,36 @@
 
 def test_the_same_offer_gets_the_same_answer_for_a_while_and_then_is_a_new_viewing() -> None:
     desk = ViewingRegistry(bytes(32))
-    assert desk.offered(0.0, 1, b"k", 1)
-    assert not desk.offered(0.1, 2, b"k", 2)
-    desk.settled(0.2, 1, "plays", "sdp")
+    assert desk.on_offer(0.0, 1, b"k", 1)
+    assert not desk.on_offer(0.1, 2, b"k", 2)
+    desk.on_result(0.2, 1, "plays", "sdp")
     assert pulled(desk, 0.2) == [Answer(1, 1), Answer(2, 1)]
-    assert not desk.offered(REPEAT_WINDOW_S, 3, b"k", 3) and pulled(desk, REPEAT_WINDOW_S) == [Answer(3, 1)]
-    assert pulled(desk, REPEAT_WINDOW_S + 1) == [] and desk.entries[1].settled is not None
-    assert desk.entries[1].settled.answer == "", "the text is let go"
-    assert desk.offered(REPEAT_WINDOW_S + 1, 4, b"k", 4)
+    assert not desk.on_offer(REPEAT_WINDOW_S, 3, b"k", 3) and pulled(desk, REPEAT_WINDOW_S) == [Answer(3, 1)]
+    assert pulled(desk, REPEAT_WINDOW_S + 1) == [] and desk.entries[1].result is not None
+    assert desk.entries[1].result.answer == "", "the text is let go"
+    assert desk.on_offer(REPEAT_WINDOW_S + 1, 4, b"k", 4)
 
 
 def test_a_block_stands_for_as_long_as_its_advice() -> None:
     desk = ViewingRegistry(bytes(32))
-    desk.offered(0.0, 1, b"k", 1)
-    desk.settled(0.0, 1, "blocked", advice=2.0)
-    assert not desk.offered(1.9, 2, b"k", 2)
+    desk.on_offer(0.0, 1, b"k", 1)
+    desk.on_result(0.0, 1, "blocked", advice=2.0)
+    assert not desk.on_offer(1.9, 2, b"k", 2)
     pulled(desk, 2.1)
-    assert desk.offered(2.1, 3, b"k", 3) and 1 not in desk.entries
+    assert desk.on_offer(2.1, 3, b"k", 3) and 1 not in desk.entries
 
 
 def test_what_nobody_heard_of_is_ended_unless_it_is_asked_for_again() -> None:
     for again in (False, True):
         desk = ViewingRegistry(bytes(32))
-        desk.offered(0.0, 1, b"k", 1)
-        desk.settled(0.0, 1, "plays", "sdp")
+        desk.on_offer(0.0, 1, b"k", 1)
+        desk.on_result(0.0, 1, "plays", "sdp")
         pulled(desk, 0.0)
-        desk.undelivered(0.0, 1)
+        desk.on_answer_failed(0.0, 1)
         if again:
-            desk.offered(1.0, 2, b"k", 2)
+            desk.on_offer(1.0, 2, b"k", 2)
             pulled(desk, 1.0)
-            desk.delivered(1.0, 2)
+            desk.on_answer_sent(1.0, 2)
         assert pulled(desk, ORPHAN_GRACE_S + 0.1) == ([] if again else [EndViewing(1)])
 
 
