--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -29,7 +29,7 @@
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, Task, TimedOut
 from ledgehitch.loop.pump import Pump
 from ledgehitch.signalling import AbandonViewing, Answer, EndViewing, Kind, Offer, ViewingRegistry
-from ledgehitch.signalling.sdp import wrong_answer
+from ledgehitch.signalling.sdp import answer_mismatch
 
 LAYER = "urn:ietf:params:whep:ext:core:layer"
 PATIENCE_FOR_ORDERS = 2.0  # seconds for a DELETE, PATCH or layer at a media host
@@ -399,7 +399,7 @@
             return Outcome.FULL, loads, response
         if response.status != 201 or not response.header("location"):
             return Outcome.ERROR, loads, response
-        wrong = wrong_answer(v.read, response.body.decode("utf-8", "replace")) if v.read else ""
+        wrong = answer_mismatch(v.read, response.body.decode("utf-8", "replace")) if v.read else ""
         if wrong:
             self.counts.wrong_answers += 1
             log.warning("wrong answer to an offer", at=at, why=wrong)
--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -23,7 +23,7 @@
 from ledgehitch.http.events import event
 from ledgehitch.interface import Package
 from ledgehitch.loop import Loop, TimedOut
-from ledgehitch.signalling import BadSdp, Offer, read_fragment, read_sdp
+from ledgehitch.signalling import BadSdp, Offer, parse_fragment, parse_sdp
 
 SDP = "application/sdp"
 FRAGMENT = "application/trickle-ice-sdpfrag"
@@ -154,7 +154,7 @@
 
     def _offer(self, request: Request, method: str) -> Offer:
         try:
-            offer = read_sdp(request.body.decode("utf-8"))
+            offer = parse_sdp(request.body.decode("utf-8"))
         except UnicodeDecodeError as wrong:
             raise Refused(400, f"the offer is not UTF-8 at byte {wrong.start}") from None
         except BadSdp as wrong:
@@ -172,7 +172,7 @@
             if not asked.isdigit():
                 raise Refused(400, f"top is the number of a rung, 0 to {len(self.rates) - 1}, not {asked!r}")
             return min(int(asked), len(self.rates) - 1)
-        kb = offer.most_kb()
+        kb = offer.max_kb()
         if kb is None:
             return len(self.rates) - 1
         return max((i for i, rate in enumerate(self.rates) if rate <= kb), default=0)
@@ -251,7 +251,7 @@
             raise Refused(415, f"a PATCH is {FRAGMENT}", [("Accept-Patch", FRAGMENT)])
         viewing = self._viewing(resource)
         try:
-            fragment = read_fragment(request.body.decode("utf-8"))
+            fragment = parse_fragment(request.body.decode("utf-8"))
         except (UnicodeDecodeError, BadSdp) as wrong:
             raise Refused(400, f"the fragment does not parse: {wrong}") from None
         desk = self.carrier.desk
--- a/ledgehitch/signalling/__init__.py
+++ b/ledgehitch/signalling/__init__.py
@@ -12,7 +12,7 @@
     ViewingRegistry,
     ViewingResult,
 )
-from ledgehitch.signalling.sdp import BadSdp, Fragment, Offer, read_fragment, read_sdp
+from ledgehitch.signalling.sdp import BadSdp, Fragment, Offer, parse_fragment, parse_sdp
 
 __all__ = [
     "Answer",
@@ -24,6 +24,6 @@
     "AbandonViewing",
     "Offer",
     "ViewingResult",
-    "read_fragment",
-    "read_sdp",
+    "parse_fragment",
+    "parse_sdp",
 ]
--- a/ledgehitch/signalling/sdp.py
+++ b/ledgehitch/signalling/sdp.py
@@ -47,7 +47,7 @@
     fingerprint: bool = False
     kb: float | None = None
 
-    def most_kb(self) -> float | None:
+    def max_kb(self) -> float | None:
         """Returns the allowed bandwidth in kB/s: that of the session, or else the sum over its media."""
         if self.kb is not None:
             return self.kb
@@ -88,7 +88,7 @@
     return int(amount) / 8 if kind == "AS" else int(amount) / 8000
 
 
-def read_sdp(text: str) -> Offer:
+def parse_sdp(text: str) -> Offer:
     """Parses an offer or an answer; raises `BadSdp` with the number of the line at fault."""
     lines = _lines(text)
     if not lines or lines[0].rstrip("\r") != "v=0":
@@ -142,7 +142,7 @@
     return parsed
 
 
-def read_fragment(text: str) -> Fragment:
+def parse_fragment(text: str) -> Fragment:
     """Parses the body of a PATCH: the ICE credentials and the number of candidates."""
     parsed = Fragment()
     for number, line in enumerate(_lines(text), 1):
@@ -164,11 +164,11 @@
     return parsed
 
 
-def wrong_answer(offer: Offer, text: str) -> str:
+def answer_mismatch(offer: Offer, text: str) -> str:
     """Returns why `text` is not an answer to the offer; empty if it is one."""
     if not text.startswith("v=0") or WELL_FORMED.fullmatch(text) is None:
         try:
-            read_sdp(text)
+            parse_sdp(text)
         except BadSdp as problem:
             return str(problem)
     kinds = MEDIA_KINDS.findall(text)
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -10,7 +10,7 @@
 from ledgehitch.http.events import event
 from ledgehitch.loop import Cancelled, Endpoint, Event, Loop
 from ledgehitch.proof.tape import Tape
-from ledgehitch.signalling import BadSdp, read_sdp
+from ledgehitch.signalling import BadSdp, parse_sdp
 from ledgehitch.signalling.sdp import Media
 from ledgehitch.standins.faults import Troubles
 from ledgehitch.standins.links import Delivery, Kinds
@@ -214,7 +214,7 @@
         ):
             return Response(503, [self._report()], b"full"), None
         try:
-            offer = read_sdp(request.body.decode("utf-8", "replace"))
+            offer = parse_sdp(request.body.decode("utf-8", "replace"))
         except BadSdp as wrong:
             return Response(400, [], str(wrong).encode()), None
         self.setting_up[key] = gone
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -22,8 +22,8 @@
     BadSdp,
     EndViewing,
     ViewingRegistry,
-    read_fragment,
-    read_sdp,
+    parse_fragment,
+    parse_sdp,
 )
 from ledgehitch.signalling.decide import ORPHAN_GRACE_S, REPEAT_WINDOW_S
 from ledgehitch.standins.viewers import offer_of
@@ -139,10 +139,10 @@
 
 def test_descriptions_are_read_and_what_is_wrong_is_named_by_line() -> None:
     text = offer_of(1).decode()
-    offer = read_sdp(text)
+    offer = parse_sdp(text)
     assert [m.kind for m in offer.media] == ["audio", "video"] and offer.ufrag == "v1"
-    assert read_sdp(text.replace("\r\n", "\n")).ufrag == "v1"
-    assert read_sdp(text.replace("t=0 0\r\n", "t=0 0\r\nb=TIAS:8000000\r\n")).most_kb() == 1000
+    assert parse_sdp(text.replace("\r\n", "\n")).ufrag == "v1"
+    assert parse_sdp(text.replace("t=0 0\r\n", "t=0 0\r\nb=TIAS:8000000\r\n")).max_kb() == 1000
     for spoilt, reason in (
         ("", "line 1: a description starts"),
         (text.replace("s=-", "nonsense"), "line 3: 'nonsense'"),
@@ -155,10 +155,10 @@
         ("v=0\n" + "a=x\n" * 3000, "more than 2000 lines"),
     ):
         with pytest.raises(BadSdp) as wrong:
-            read_sdp(spoilt)
+            parse_sdp(spoilt)
         assert reason in str(wrong.value)
     with pytest.raises(BadSdp, match="line 2"):
-        read_fragment("a=ice-ufrag:x\nv=0\n")
+        parse_fragment("a=ice-ufrag:x\nv=0\n")
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -166,7 +166,7 @@
 def test_any_text_is_read_or_refused_with_a_line(text: str) -> None:
     for spoilt in (text, offer_of(1).decode() + text, "v=0\r\n" + text):
         try:
-            read_sdp(spoilt)
+            parse_sdp(spoilt)
         except BadSdp as wrong:
             assert 1 <= wrong.line <= spoilt.count("\n") + 1
 
