--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -23,21 +23,21 @@
 from ledgehitch.budgets.facts import (
     WHOLE,
     Budget,
+    budgets_digest,
     budgets_of,
-    digest_of,
-    loan_of,
+    loan_duration,
     parts_used,
     parts_wanted,
 )
 from ledgehitch.budgets.lender import Lender
-from ledgehitch.budgets.units import may_be_lent, own_parts
-from ledgehitch.budgets.words import FIRST, Words, read, written
+from ledgehitch.budgets.units import lendable, own_parts
+from ledgehitch.budgets.words import FIRST_KIND, LoanMessage, decode, encode
 from ledgehitch.door.decide import ROOM
 from ledgehitch.door.limits import Asked
 from ledgehitch.door.part import Part
 from ledgehitch.door.rates import SET_UPS, PackageRates, budget_of
 from ledgehitch.owners.facts import BUDGETS
-from ledgehitch.owners.words import NOBODY
+from ledgehitch.owners.words import NO_MEMBER
 from ledgehitch.rehearsal.fleet import FleetRig
 from tests.explore_budgets import CORNERS, explored, walked
 
@@ -62,8 +62,8 @@
         """`set_ups`: at once, of all; 0: no limit. One takes `TAKES` seconds, and nobody waits for one."""
         names = tuple(f"g{n}" for n in range(members))
         self.budgets = tuple(b for b in budgets_of({PACKAGE: a_second}, set_ups, TAKES))
-        self.digest = digest_of(self.budgets, own_part, names)
-        self.pool = [may_be_lent(b, own_part) for b in self.budgets]
+        self.digest = budgets_digest(self.budgets, own_part, names)
+        self.pool = [lendable(b, own_part) for b in self.budgets]
         each = [own_parts(b, own_part, names) for b in self.budgets]
         self.own = {n: tuple(own[name] for own in each) for n, name in enumerate(names)}
         self.set_ups, self.out = set_ups, dict[int, list[float]]()  # ends of set-ups, by gateway
@@ -93,7 +93,9 @@
         super().start(n, disk)
         if n not in self.borrowers:
             life = self.chance.getrandbits(32)
-            self.borrowers[n] = Borrower(self.budgets, self.own[n], life, [self.digest], loan_of(self.lease))
+            self.borrowers[n] = Borrower(
+                self.budgets, self.own[n], life, [self.digest], loan_duration(self.lease)
+            )
             self.parts[n] = Part(1.0 / self.n)
             if not self.static:
                 self._tell(n)
@@ -123,7 +125,7 @@
         for n in live:
             self._asks(n)
         for budget in self.budgets:
-            parts = sum(b.part(self.now, budget.name) for b in self.borrowers.values())
+            parts = sum(b.available(self.now, budget.name) for b in self.borrowers.values())
             self.over = max(self.over, parts / WHOLE)
 
     def _set_up(self, n: int) -> bool:
@@ -141,18 +143,18 @@
         b = self.borrowers[n]
         lent = {x.name: b.loans[i] / WHOLE for i, x in enumerate(self.budgets)}
         own = {x.name: b.own[i] / WHOLE for i, x in enumerate(self.budgets)}
-        self.parts[n].told(0.0, lent, b.until, own)
+        self.parts[n].told(0.0, lent, b.loan_until, own)
 
     def _asks(self, n: int) -> None:
         one, b = self.all[n], self.borrowers[n]
         assert one is not None
         owner, term = one.owner_of(self.now, BUDGETS)
         if owner == n and (n not in self.lenders or self.lenders[n].term != term):
-            loan = loan_of(self.lease)
+            loan = loan_duration(self.lease)
             self.lenders[n] = Lender(
                 self.now, term, self.budgets, self.own, self.pool, range(self.n), [self.digest], loan
             )
-        if owner == NOBODY:
+        if owner == NO_MEMBER:
             return
         wanted = {UNIT.name: min(WHOLE, int(self.asked[n].at(self.now) / self.a_second * WHOLE))}
         used = dict[str, int]()
@@ -161,7 +163,7 @@
             wanted[SET_UPS] = parts_wanted(self.budgets[1], min(1.0, most / self.set_ups))
             out = sum(end > self.now for end in self.out.get(n, []))
             used[SET_UPS] = parts_used(self.budgets[1], out / self.set_ups)
-        words = b.asks(self.now, term, used, wanted)
+        words = b.next_request(self.now, term, used, wanted)
         if words is None:
             return
         self.most[n] = 0
@@ -170,33 +172,33 @@
         else:
             self._says(n, owner, words)
 
-    def _says(self, sender: int, to: int, words: Words) -> None:
-        data = written(words)
+    def _says(self, sender: int, to: int, words: LoanMessage) -> None:
+        data = encode(words)
         self.largest = max(self.largest, len(data) + FRAME)
         self._carry(sender, to, data)
 
-    def _answer(self, lender: int, member: int, words: Words) -> Words | None:
+    def _answer(self, lender: int, member: int, words: LoanMessage) -> LoanMessage | None:
         one = self.all[lender]
         assert one is not None
-        term = one.owns(self.now, BUDGETS)
+        term = one.owned_term(self.now, BUDGETS)
         if not term or lender not in self.lenders or self.lenders[lender].term != term:
             return None
         began = time.perf_counter()
-        answer = self.lenders[lender].wants(self.now, member, words)
+        answer = self.lenders[lender].on_request(self.now, member, words)
         self.seconds += time.perf_counter() - began
         return answer
 
-    def _taken(self, n: int, words: Words | None) -> None:
+    def _taken(self, n: int, words: LoanMessage | None) -> None:
         b = self.borrowers[n]
-        if words is not None and b.lent(self.now, words):
+        if words is not None and b.on_loan(self.now, words):
             self.rates_of[n].gather(self.now, self.parts[n])
             self._tell(n)
 
     def _hears(self, to: int, sender: int, data: bytes) -> None:
-        if data[0] < FIRST:
+        if data[0] < FIRST_KIND:
             super()._hears(to, sender, data)
             return
-        words = read(data)
+        words = decode(data)
         if words.kind == "lent":
             self._taken(to, words)
         elif (answer := self._answer(to, sender, words)) is not None:
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -27,13 +27,13 @@
 from ledgehitch.members.roster import News
 from ledgehitch.members.words import BadWords, Words, read, written
 from ledgehitch.owners.decide import Owners
-from ledgehitch.owners.facts import DUTIES, short
-from ledgehitch.owners.memory import Memory
+from ledgehitch.owners.facts import DUTIES, name_digest
+from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.words import KINDS as DUTY_KINDS
-from ledgehitch.owners.words import BadWords as BadDuty
-from ledgehitch.owners.words import Words as Duty
-from ledgehitch.owners.words import read as duty_read
-from ledgehitch.owners.words import written as duty_written
+from ledgehitch.owners.words import DutyMessage as Duty
+from ledgehitch.owners.words import InvalidMessage as BadDuty
+from ledgehitch.owners.words import decode as duty_read
+from ledgehitch.owners.words import encode as duty_written
 
 KEY = bytes(range(32))
 
@@ -67,10 +67,10 @@
         line = json.dumps({"ev": "done", "gateway": "g0"})
         self.journal = f"{_sum('', line)} {line}\n".encode() * 1
         self.drain = msgspec.json.encode(Drain(3.0, "restart", "t", "b"))
-        duty = Duty("ask", 0, 1, 1, short("g0"), b"abcd", b"\0" * 4)
+        duty = Duty("ask", 0, 1, 1, name_digest("g0"), b"abcd", b"\0" * 4)
         self.duty_words = [duty_written(duty._replace(kind=kind, terms=(1, 2))) for kind in DUTY_KINDS]
         names = tuple(f"g{n}" for n in range(8))
-        memory = Memory(0.0, "g1", names, DUTIES, 10.0, None, 7)
+        memory = DurableState(0.0, "g1", names, DUTIES, 10.0, None, 7)
         self.owners = Owners(0.0, 1, names, memory, random.Random(1))
         self.left = msgspec.json.encode(PlanWords(duty="restarts", term=1, version=1, word="go", plan={}))
         self.request = b"POST /v1/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
@@ -100,9 +100,9 @@
         self.now += 0.001
         with contextlib.suppress(BadDuty):
             data = spoilt(self.chance.choice(self.duty_words), self.chance)
-            self.owners.heard(self.now, 0, duty_read(data))
+            self.owners.on_message(self.now, 0, duty_read(data))
         while self.owners.decide(self.now) is not None:
-            self.owners.kept(self.owners.memory.record())
+            self.owners.on_stored(self.owners.durable.record())
         for kind in (Fence, PlanWords, PlanCall):
             with contextlib.suppress(msgspec.MsgspecError, UnicodeDecodeError):
                 msgspec.json.decode(spoilt(self.left, self.chance), type=kind)
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -18,10 +18,10 @@
 from typing import Any
 
 from ledgehitch.config import Fault
-from ledgehitch.owners.decide import Keep, Lost, Owners, Renewed, Send, Won
+from ledgehitch.owners.decide import Lost, Owners, Renewed, Send, Store, Won
 from ledgehitch.owners.facts import DUTIES
-from ledgehitch.owners.memory import Memory
-from ledgehitch.owners.words import read, written
+from ledgehitch.owners.memory import DurableState
+from ledgehitch.owners.words import decode, encode
 from ledgehitch.rehearsal.fleet import FleetRig
 from ledgehitch.standins.cuts import Bad, Cuts
 from tests.explore_owners import CORNERS, explored, walked
@@ -68,7 +68,7 @@
         if self.all.get(n) is not None:
             return
         held = self.disks[n] if disk == "same" else None
-        memory = Memory(
+        memory = DurableState(
             self.clock(n),
             self.names[n],
             self.names,
@@ -137,7 +137,7 @@
     def _hears(self, to: int, sender: int, data: bytes) -> None:
         one = self.all[to]
         assert one is not None
-        one.heard(self.clock(to), sender, read(data))
+        one.on_message(self.clock(to), sender, decode(data))
         self._pull(to)
 
     def owners(self, duty: str) -> list[int]:
@@ -146,11 +146,11 @@
         for n, one in self.all.items():
             lease = one.duties[duty].lease if one is not None else None
             if lease is not None and one is not None and one.duties[duty].won and not lease.ended:
-                out += [n] if self.clock(n) < lease.until() else []
+                out += [n] if self.clock(n) < lease.expires_at() else []
         return out
 
     def term(self, duty: str) -> int:
-        return max(one.memory.voters[duty].term for one in self.all.values() if one is not None)
+        return max(one.durable.voters[duty].term for one in self.all.values() if one is not None)
 
     def _pull(self, n: int) -> None:
         one = self.all[n]
@@ -159,9 +159,9 @@
             match decision:
                 case Send():
                     self._send(n, decision)
-                case Keep(record, then):
+                case Store(record, then):
                     self.disks[n] = record
-                    one.kept(record)
+                    one.on_stored(record)
                     for send in then:
                         self._send(n, send)
                 case Won(duty, term):
@@ -173,7 +173,7 @@
         self.wakes[n] = one.wake_at(self.clock(n))
 
     def _send(self, sender: int, send: Send) -> None:
-        self._carry(sender, send.to, written(send.words))
+        self._carry(sender, send.recipient, encode(send.message))
 
     def _carry(self, sender: int, to: int, data: bytes) -> None:
         self.bytes += len(data) + FRAME
--- a/ledgehitch/budgets/ledger.py
+++ b/ledgehitch/budgets/ledger.py
@@ -12,41 +12,41 @@
 
 from ledgehitch.budgets.facts import Budget
 
-MOST_OUT = 24  # loans to one life of a member that may still be in force; further ones wait
-MOST_LIVES = 4  # of one member of which loans may still be in force
+MAX_OPEN_LOANS = 24  # loans to one life of a member that may still be in force; further ones wait
+MAX_LIVES = 4  # of one member of which loans may still be in force
 
 
 @dataclass(slots=True)
 class Loan:
     number: int
     parts: tuple[int, ...]
-    ends: float  # by the lender's clock, without the lag of a budget
+    expires_at: float  # by the lender's clock, without the lag of a budget
 
 
 @dataclass(slots=True)
-class Taker:
+class BorrowerLife:
     """One life of a member. `said`: what it said last that counts as taken, and up to when that binds."""
 
     sequence: int = -1
     loans: list[Loan] = field(default_factory=list)
-    said: Loan | None = None
-    taken: list[int] = field(default_factory=list)  # of each budget, as counted last
+    reported: Loan | None = None
+    reserved: list[int] = field(default_factory=list)  # of each budget, as counted last
 
     def entries(self) -> list[Loan]:
-        return [*self.loans, self.said] if self.said is not None else self.loans
+        return [*self.loans, self.reported] if self.reported is not None else self.loans
 
 
 class Ledger:
     def __init__(self, budgets: Sequence[Budget], pool: Sequence[int]) -> None:
         """`pool`: parts of each budget that may be lent."""
         self.budgets, self.pool = tuple(budgets), tuple(pool)
-        self.takers: dict[int, dict[int, Taker]] = {}  # by member, by life
-        self.taken: dict[int, list[int]] = {}  # by member, of each budget
-        self.sums = [0] * len(self.budgets)
-        self._ends: list[tuple[float, int]] = []
-        self._longest = max((b.lag for b in self.budgets), default=0.0)
+        self.borrowers: dict[int, dict[int, BorrowerLife]] = {}  # by member, by life
+        self.reserved: dict[int, list[int]] = {}  # by member, of each budget
+        self.reserved_sums = [0] * len(self.budgets)
+        self._expiries: list[tuple[float, int]] = []
+        self._max_lag = max((b.lag for b in self.budgets), default=0.0)
 
-    def said(
+    def on_report(
         self,
         now: float,
         member: int,
@@ -54,118 +54,127 @@
         sequence: int,
         number: int,
         held: tuple[int, ...],
-        binds: float,
+        expires_at: float,
     ) -> bool:
         """A borrower's word: it goes back to none of its loans below `number`, and `held` is taken in any
         case, up to `binds`. Whether it counts: one that is doubled or was overtaken does not."""
-        lives = self.takers.setdefault(member, {})
+        lives = self.borrowers.setdefault(member, {})
         if life not in lives:
-            if len(lives) >= MOST_LIVES:
+            if len(lives) >= MAX_LIVES:
                 return False
-            lives[life] = Taker(taken=[0] * len(self.budgets))
-        one = lives[life]
-        if sequence <= one.sequence:
+            lives[life] = BorrowerLife(reserved=[0] * len(self.budgets))
+        borrower = lives[life]
+        if sequence <= borrower.sequence:
             return False
-        one.sequence = sequence
-        one.loans = [loan for loan in one.loans if loan.number >= number]
-        one.said = Loan(0, held, binds)
-        self._counted(now, member)
+        borrower.sequence = sequence
+        borrower.loans = [loan for loan in borrower.loans if loan.number >= number]
+        borrower.reported = Loan(0, held, expires_at)
+        self._recount(now, member)
         return True
 
-    def lent(self, now: float, member: int, life: int, loan: Loan) -> bool:
+    def add_loan(self, now: float, member: int, life: int, loan: Loan) -> bool:
         """Whether it may be answered: it is counted before it is."""
-        one = self.takers[member][life]
-        if len(one.loans) >= MOST_OUT:
+        borrower = self.borrowers[member][life]
+        if len(borrower.loans) >= MAX_OPEN_LOANS:
             return False
-        one.loans.append(loan)
-        self._counted(now, member)
+        borrower.loans.append(loan)
+        self._recount(now, member)
         return True
 
-    def free(self, now: float, member: int, life: int, budget: int) -> int:
+    def available(self, now: float, member: int, life: int, budget: int) -> int:
         """Parts that this life of a member may have, with all that may be in force elsewhere."""
         self._expire(now)
         if self.budgets[budget].lag:
-            one = self.takers.get(member, {}).get(life)
-            mine = one.taken[budget] if one is not None else 0
+            borrower = self.borrowers.get(member, {}).get(life)
+            own_reserved = borrower.reserved[budget] if borrower is not None else 0
         else:
-            mine = self.taken[member][budget] if member in self.taken else 0
-        return max(0, self.pool[budget] - self.sums[budget] + mine)
+            own_reserved = self.reserved[member][budget] if member in self.reserved else 0
+        return max(0, self.pool[budget] - self.reserved_sums[budget] + own_reserved)
 
-    def _counted(self, now: float, member: int) -> None:
-        lives = self.takers.get(member, {})
+    def _recount(self, now: float, member: int) -> None:
+        lives = self.borrowers.get(member, {})
         newest = next(reversed(lives), None)
-        ends = 1e18
-        for life, one in list(lives.items()):
-            one.taken = [0] * len(self.budgets)
-            for loan in one.entries():
+        next_expiry = 1e18
+        for life, borrower in list(lives.items()):
+            borrower.reserved = [0] * len(self.budgets)
+            for loan in borrower.entries():
                 for i, budget in enumerate(self.budgets):
-                    over = loan.ends + budget.lag
-                    if over > now and loan.parts[i]:
-                        one.taken[i], ends = max(one.taken[i], loan.parts[i]), min(ends, over)
-            one.loans = [loan for loan in one.loans if loan.ends + self._longest > now]
-            if life != newest and not one.loans and not any(one.taken):
+                    released_at = loan.expires_at + budget.lag
+                    if released_at > now and loan.parts[i]:
+                        borrower.reserved[i], next_expiry = (
+                            max(borrower.reserved[i], loan.parts[i]),
+                            min(next_expiry, released_at),
+                        )
+            borrower.loans = [loan for loan in borrower.loans if loan.expires_at + self._max_lag > now]
+            if life != newest and not borrower.loans and not any(borrower.reserved):
                 del lives[life]  # nothing of it can be in force
         # Guards against what a killed life left under way being lent again to its next one: that adds up. A
         # rate's loan ends with its process.
         parts = [
-            sum(each) if budget.lag else max(each, default=0)
-            for budget, each in zip(
-                self.budgets, zip(*(one.taken for one in lives.values()), strict=True), strict=False
+            sum(reserved_by_life) if budget.lag else max(reserved_by_life, default=0)
+            for budget, reserved_by_life in zip(
+                self.budgets,
+                zip(*(borrower.reserved for borrower in lives.values()), strict=True),
+                strict=False,
             )
         ]
         parts = parts or [0] * len(self.budgets)
-        before = self.taken.get(member, [0] * len(self.budgets))
-        self.sums = [s - b + p for s, b, p in zip(self.sums, before, parts, strict=True)]
-        self.taken[member] = parts
-        if ends < 1e17:
-            heapq.heappush(self._ends, (ends, member))
+        former_parts = self.reserved.get(member, [0] * len(self.budgets))
+        self.reserved_sums = [
+            s - b + p for s, b, p in zip(self.reserved_sums, former_parts, parts, strict=True)
+        ]
+        self.reserved[member] = parts
+        if next_expiry < 1e17:
+            heapq.heappush(self._expiries, (next_expiry, member))
 
     def _expire(self, now: float) -> None:
-        while self._ends and self._ends[0][0] <= now:
-            self._counted(now, heapq.heappop(self._ends)[1])
+        while self._expiries and self._expiries[0][0] <= now:
+            self._recount(now, heapq.heappop(self._expiries)[1])
 
 
-def filled(pool: int, needs: Mapping[int, int]) -> dict[int, int]:
+def water_fill(pool: int, needs: Mapping[int, int]) -> dict[int, int]:
     """Water-filling: everybody gets what it needs up to one level that uses up the pool; nobody who needs
     less loses to one who asks for more. Ties fall by number."""
-    out, left = {}, pool
+    shares, remaining = {}, pool
     order = sorted(needs, key=lambda m: (needs[m], m))
     for place, member in enumerate(order):
-        out[member] = min(needs[member], left // (len(order) - place))
-        left -= out[member]
-    return out
+        shares[member] = min(needs[member], remaining // (len(order) - place))
+        remaining -= shares[member]
+    return shares
 
 
-def divided(
-    pool: int, own: Mapping[int, int], wanted: Mapping[int, int], grain: int = 1, first: Sequence[int] = ()
+def divide(
+    pool: int, own: Mapping[int, int], wanted: Mapping[int, int], grain: int = 1, priority: Sequence[int] = ()
 ) -> dict[int, int]:
     """Loans by what is wanted, own part included. What nobody needs is lent in equal parts, so that a need
     that jumps has room at once. Of what is counted they are whole things; `first`: who is to have one where
     not all can."""
     needs = {m: max(0, w - own.get(m, 0)) for m, w in wanted.items()}
     if grain > 1:
-        whole = {m: -(-need // grain) for m, need in needs.items()}
-        order = first or sorted(needs, key=lambda m: (-needs[m], m))
-        return {m: things * grain for m, things in whole_ones(pool // grain, whole, order).items()}
-    out = filled(pool, needs)
-    left = pool - sum(out.values())
-    return {m: parts + left // len(out) for m, parts in out.items()}
+        units_needed = {m: -(-need // grain) for m, need in needs.items()}
+        order = priority or sorted(needs, key=lambda m: (-needs[m], m))
+        return {m: units * grain for m, units in water_fill_units(pool // grain, units_needed, order).items()}
+    loans = water_fill(pool, needs)
+    remaining = pool - sum(loans.values())
+    return {m: parts + remaining // len(loans) for m, parts in loans.items()}
 
 
-def whole_ones(things: int, needs: Mapping[int, int], first: Sequence[int]) -> dict[int, int]:
+def water_fill_units(units: int, needs: Mapping[int, int], priority: Sequence[int]) -> dict[int, int]:
     """As `filled`, in whole things: what one level for all leaves over goes, one to each, to the first who
     need more; what nobody needs to all alike, and what is left of that to the first."""
-    out, left = dict[int, int](), things
+    shares, remaining = dict[int, int](), units
     order = sorted(needs, key=lambda m: (needs[m], m))
     for place, member in enumerate(order):
-        level = left // (len(order) - place)
+        level = remaining // (len(order) - place)
         if needs[member] > level:
-            short = set(order[place:])
-            left -= level * len(short)
-            lifted = {m for m, _ in zip((m for m in first if m in short), range(left), strict=False)}
-            return out | {m: level + (m in lifted) for m in order[place:]}
-        out[member] = needs[member]
-        left -= needs[member]
-    each, more = divmod(left, max(1, len(out)))
-    places = {m: place for place, m in enumerate(first)}
-    return {m: parts + each + (places[m] < more) for m, parts in out.items()}
+            unmet = set(order[place:])
+            remaining -= level * len(unmet)
+            one_more = {
+                m for m, _ in zip((m for m in priority if m in unmet), range(remaining), strict=False)
+            }
+            return shares | {m: level + (m in one_more) for m in order[place:]}
+        shares[member] = needs[member]
+        remaining -= needs[member]
+    each, extra = divmod(remaining, max(1, len(shares)))
+    places = {m: place for place, m in enumerate(priority)}
+    return {m: parts + each + (places[m] < extra) for m, parts in shares.items()}
--- a/ledgehitch/budgets/words.py
+++ b/ledgehitch/budgets/words.py
@@ -8,16 +8,16 @@
 import struct
 from typing import Literal, NamedTuple
 
-from ledgehitch.budgets.facts import MOST_BUDGETS, WHOLE
+from ledgehitch.budgets.facts import MAX_BUDGETS, WHOLE
 
-FIRST = 64  # the kinds of membership and owners lie below
+FIRST_KIND = 64  # the kinds of membership and owners lie below
 Kind = Literal["want", "lent"]
-HEAD = struct.Struct(">B4sQIIIIB")
-WANT = struct.Struct(">III")
-LENT = struct.Struct(">I")
+HEADER = struct.Struct(">B4sQIIIIB")
+WANT_ROW = struct.Struct(">III")
+LENT_ROW = struct.Struct(">I")
 
 
-class Words(NamedTuple):
+class LoanMessage(NamedTuple):
     """`number`: of the loan; in a `want` of the one that was taken last, 0 for none under this term. `loans`:
     parts lent, or still held by a loan. `held`: what counts as taken, a loan or what is still in use beyond
     the own part. `wanted`: with the own part. `seconds`: how long it lasts from the asking."""
@@ -34,42 +34,42 @@
     wanted: tuple[int, ...] = ()
 
 
-class BadWords(ValueError):
+class InvalidMessage(ValueError):
     """What came is none of these; the text says why."""
 
 
-def written(words: Words) -> bytes:
-    head = HEAD.pack(
-        FIRST + (words.kind == "lent"),
-        words.digest,
-        words.term,
-        words.life,
-        words.sequence & 0xFFFFFFFF,
-        words.number & 0xFFFFFFFF,
-        int(words.seconds * 1000),
-        len(words.loans),
+def encode(message: LoanMessage) -> bytes:
+    header = HEADER.pack(
+        FIRST_KIND + (message.kind == "lent"),
+        message.digest,
+        message.term,
+        message.life,
+        message.sequence & 0xFFFFFFFF,
+        message.number & 0xFFFFFFFF,
+        int(message.seconds * 1000),
+        len(message.loans),
     )
-    if words.kind == "lent":
-        return head + b"".join(LENT.pack(x) for x in words.loans)
-    columns = words.loans, words.held, words.wanted
-    return head + b"".join(WANT.pack(*each) for each in zip(*columns, strict=True))
+    if message.kind == "lent":
+        return header + b"".join(LENT_ROW.pack(x) for x in message.loans)
+    columns = message.loans, message.held, message.wanted
+    return header + b"".join(WANT_ROW.pack(*row) for row in zip(*columns, strict=True))
 
 
-def read(data: bytes) -> Words:
+def decode(data: bytes) -> LoanMessage:
     """Raises `BadWords`: a part above the whole, too, which no honest gateway says."""
-    if len(data) < HEAD.size:
-        raise BadWords("short")
-    kind, digest, term, life, sequence, number, millis, count = HEAD.unpack_from(data)
-    if kind not in (FIRST, FIRST + 1):
-        raise BadWords("kind")
-    each = WANT if kind == FIRST else LENT
-    if count > MOST_BUDGETS or len(data) != HEAD.size + count * each.size:
-        raise BadWords("length")
-    rows = list(each.iter_unpack(data[HEAD.size :]))
+    if len(data) < HEADER.size:
+        raise InvalidMessage("short")
+    kind, digest, term, life, sequence, number, millis, count = HEADER.unpack_from(data)
+    if kind not in (FIRST_KIND, FIRST_KIND + 1):
+        raise InvalidMessage("kind")
+    row_struct = WANT_ROW if kind == FIRST_KIND else LENT_ROW
+    if count > MAX_BUDGETS or len(data) != HEADER.size + count * row_struct.size:
+        raise InvalidMessage("length")
+    rows = list(row_struct.iter_unpack(data[HEADER.size :]))
     if any(x > WHOLE for row in rows for x in row):
-        raise BadWords("more than the whole")
+        raise InvalidMessage("more than the whole")
     columns = tuple(zip(*rows, strict=True)) if rows else ((),) * 3
-    if kind == FIRST:
+    if kind == FIRST_KIND:
         loans, held, wanted = columns
-        return Words("want", digest, term, life, sequence, number, millis / 1000, loans, held, wanted)
-    return Words("lent", digest, term, life, sequence, number, millis / 1000, columns[0])
+        return LoanMessage("want", digest, term, life, sequence, number, millis / 1000, loans, held, wanted)
+    return LoanMessage("lent", digest, term, life, sequence, number, millis / 1000, columns[0])
--- a/ledgehitch/daemon/admin.py
+++ b/ledgehitch/daemon/admin.py
@@ -153,7 +153,7 @@
         """At the owner of `restarts`; elsewhere it says who that is."""
         owning = self._owning()
         if not owning.owns(RESTARTS) or self.planned is None:
-            owner = owning.owners.told(owning.now())[RESTARTS]["owner"]
+            owner = owning.owners.duty_status(owning.now())[RESTARTS]["owner"]
             raise Refused(409, f"{owner or 'nobody that is known'} owns restarts", [("Owner", owner)])
         return self.planned(call)
 
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -15,7 +15,7 @@
 from ledgehitch.loop.timers import Timer
 from ledgehitch.members.decide import Became, Members, Send
 from ledgehitch.members.words import BadWords, read, written
-from ledgehitch.owners.words import FIRST
+from ledgehitch.owners.words import FIRST_KIND
 from ledgehitch.quality.keep import Keep
 
 CONTEXT = "ledgehitch 2026 membership datagrams"  # so that no datagram of another kind is one of these
@@ -58,7 +58,7 @@
                 return  # it was closed while this task was about to read
             try:
                 sender, body = self.frames.words(time.time(), data)
-                if body and body[0] >= FIRST:
+                if body and body[0] >= FIRST_KIND:
                     if self.more is not None:
                         self.more(sender, body)
                     continue
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -13,19 +13,19 @@
 import msgspec
 import structlog
 
-from ledgehitch.budgets.facts import loan_of
-from ledgehitch.budgets.words import FIRST as OF_BUDGETS
+from ledgehitch.budgets.facts import loan_duration
+from ledgehitch.budgets.words import FIRST_KIND as OF_BUDGETS
 from ledgehitch.config import BadInput, Site
 from ledgehitch.config.site import stated
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.loop import Event, Loop, forked
 from ledgehitch.loop.kernel import Task
 from ledgehitch.loop.timers import Timer
-from ledgehitch.owners.clock import Clock
-from ledgehitch.owners.decide import Keep, Lost, Owners, Renewed, Send, Won
-from ledgehitch.owners.facts import BUDGETS, DUTIES, promise_of
-from ledgehitch.owners.memory import Memory
-from ledgehitch.owners.words import BadWords, read, written
+from ledgehitch.owners.clock import ClockCheck
+from ledgehitch.owners.decide import Lost, Owners, Renewed, Send, Store, Won
+from ledgehitch.owners.facts import BUDGETS, DUTIES, vote_duration
+from ledgehitch.owners.memory import DurableState
+from ledgehitch.owners.words import InvalidMessage, decode, encode
 from ledgehitch.quality.keep import Keep as File
 from ledgehitch.regions.facts import OF_A_REGION, WHOLE, Region, digest_of, region_of, regions_of
 from ledgehitch.regions.shares import begun
@@ -62,9 +62,9 @@
             match decision:
                 case Send():
                     self._send(decision)
-                case Keep(record, then):
+                case Store(record, then):
                     if self._disk_again > time.monotonic():
-                        self.owners.not_kept(now)
+                        self.owners.on_store_failed(now)
                         break
                     self.writing = Event(self.loop)
                     self.loop.spawn(self._keep, record, then, name="votes to disk", owner=own.home)
@@ -106,18 +106,18 @@
             if not self.disk:
                 log.error("the disk takes no vote: none is given", why=os.strerror(abs(code)))
             self.disk, self._disk_again = os.strerror(abs(code)), time.monotonic() + DISK_AGAIN
-            self.owners.not_kept(self.owning.now())
+            self.owners.on_store_failed(self.owning.now())
         else:
             if self.disk:
                 log.info("the disk takes votes again")
             self.disk, self._disk_again = "", 0.0
-            self.owners.kept(record)
+            self.owners.on_stored(record)
             for send in then:
                 self._send(send)
         self.pull()
 
     def _send(self, send: Send) -> None:
-        self.owning.membership.send(send.to, written(send.words))
+        self.owning.membership.send(send.recipient, encode(send.message))
 
     def write_out(self) -> None:
         """Waits until what was on its way to the disk is there; nothing is decided any more after it."""
@@ -137,7 +137,7 @@
         self, loop: Loop, site: Site, name: str, membership: Membership, directory: Path, seed: int
     ) -> None:
         self.loop, self.name, self.membership = loop, name, membership
-        self.clock = Clock(self._boottime(), time.monotonic())
+        self.clock = ClockCheck(self._boottime(), time.monotonic())
         regions, self.region = regions_of(site), region_of(site, name)
         if regions and self.region not in [r.name for r in regions]:
             raise BadInput(f"gateway {name}: region {self.region!r} has no gateway that is not declared gone")
@@ -147,12 +147,12 @@
         held = self._held(file, "")
         rest = tuple(duty for duty in DUTIES if duty not in mine)
         everywhere = self._scope(site, "", stated(site), rest, file, held, regions, random.Random(seed))
-        memory = everywhere.owners.memory
-        lent = loan_of(memory.lists.any_lease()) + max(p.patience for p in site.packages)
+        memory = everywhere.owners.durable
+        lent = loan_duration(memory.lists.max_recorded_lease()) + max(p.patience for p in site.packages)
         waits = bool(memory.lists.former) and memory.lists.regions != digest_of(regions)
         kept = held.get("shares") if memory.intact and held is not None else None
         shares = begun(self.region, regions, stated(site), kept, waits)
-        memory.divides(self._boottime(), shares, promise_of(lent))
+        memory.set_shares(self._boottime(), shares, vote_duration(lent))
         self.scopes = [everywhere]
         if regions:
             inside = next(r.gateways for r in regions if r.name == self.region)
@@ -184,7 +184,7 @@
     ) -> Scope:
         now, numbered = self._boottime(), tuple(self.membership.names)
         gone = frozenset(set(numbered) - set(stated(site)))
-        memory = Memory(
+        memory = DurableState(
             now,
             self.name,
             names,
@@ -225,13 +225,13 @@
 
     def share(self) -> int:
         """Parts of WHOLE that this gateway's region may use now of each of the fleet's budgets."""
-        shares = self.owners.memory.shares
+        shares = self.owners.durable.shares
         return WHOLE if shares is None else shares.in_force()
 
     def share_to_lend(self) -> int:
         """Of which a lender of this region may go by."""
-        shares, lists = self.owners.memory.shares, self.of(BUDGETS).owners.memory.lists
-        return WHOLE if shares is None else shares.to_lend(lists.most_own_part(), bool(lists.former))
+        shares, lists = self.owners.durable.shares, self.of(BUDGETS).owners.durable.lists
+        return WHOLE if shares is None else shares.to_lend(lists.max_own_part(), bool(lists.former))
 
     @staticmethod
     def _boottime() -> float:
@@ -243,7 +243,7 @@
             held = file.read()
             if isinstance(held, dict):
                 # Guards against a file whose sum is right and whose fields are not: of another program.
-                Memory(0.0, self.name, (self.name,), DUTIES, 1.0, held, 0, scope=scope)
+                DurableState(0.0, self.name, (self.name,), DUTIES, 1.0, held, 0, scope=scope)
                 if held.get("shares") is not None:
                     begun("", (), (), held["shares"], False)
                 return held
@@ -253,11 +253,11 @@
 
     def now(self) -> float:
         now = self._boottime()
-        good = self.clock.read(now, time.monotonic())
+        good = self.clock.check(now, time.monotonic())
         if good != self.owners.clock_good:
             log.error("the clock", good=good)
         for scope in self.scopes:
-            scope.owners.clock(now, good)
+            scope.owners.on_clock_check(now, good)
         return now
 
     def _heard(self, sender: int, body: bytes) -> None:
@@ -266,12 +266,12 @@
                 self.more(sender, body)
             return
         try:
-            words = read(body)
-        except BadWords as why:
+            words = decode(body)
+        except InvalidMessage as why:
             self.bad[str(why)] = self.bad.get(str(why), 0) + 1
             return
         scope = self._by_number[words.duty] if words.duty < len(self._by_number) else self.scopes[0]
-        scope.owners.heard(self.now(), sender, words)
+        scope.owners.on_message(self.now(), sender, words)
         scope.pull()
 
     def pull(self) -> None:
@@ -282,14 +282,14 @@
         """What a scope goes by that others know: whether this one should own anything now."""
         members = self.membership.members
         why = "drains" if not self.serves() else "slow itself" if members.lags() else ""
-        scope.owners.may(members.alive(), not why, why)
+        scope.owners.on_membership(members.alive(), not why, why)
         unused = {} if self.share() else {duty: NO_SHARE for duty in OF_A_REGION}
         scope.owners.withheld = {d: why for d, why in unused.items() if d in scope.owners.duties}
         if scope is not self.scopes[0]:
-            behind = bool(scope.owners.memory.lists.former)
-            if self.owners.memory.behind and not behind:
+            behind = bool(scope.owners.durable.lists.former)
+            if self.owners.durable.region_unsettled and not behind:
                 self.loop.call_soon(self.scopes[0].pull)
-            self.owners.memory.behind = behind
+            self.owners.durable.region_unsettled = behind
 
     # ---- the work of a duty --------------------------------------------------------------------------------
 
@@ -306,7 +306,7 @@
     def owns(self, duty: str) -> int:
         """The term under which an effect may be sent now, 0 for none; looked at before each."""
         scope = self.of(duty)
-        term = scope.owners.owns(self.now(), duty)
+        term = scope.owners.owned_term(self.now(), duty)
         if not term:
             self.loop.call_soon(scope.pull)
         return term
@@ -315,18 +315,18 @@
         """A receiver refused an effect of ours."""
         log.warning("refused", duty=duty, term=term, known=known, where=where)
         scope = self.of(duty)
-        scope.owners.refused(self.now(), duty, term, known, where)
+        scope.owners.on_effect_refused(self.now(), duty, term, known, where)
         scope.pull()
 
     def takes(self, duty: str, term: int, owner: str) -> int:
         """0 where an effect that came here may be carried out: it is on disk then. Else the term known."""
         scope = self.of(duty)
-        taken = scope.owners.takes(duty, term)
+        taken = scope.owners.accepts_effect(duty, term)
         scope.pull()
         while taken and scope.owners.dirty() and scope.writing is not None:
             scope.writing.wait()
             self.loop.sleep(0.0)  # who wrote goes on first
-        known = scope.owners.memory.fence.known(duty)
+        known = scope.owners.durable.fence.highest_term(duty)
         # A higher term may have come while the disk was waited for.
         if taken and not scope.owners.dirty() and known <= term:
             return 0
@@ -355,13 +355,13 @@
             duties = inside.pop("duties")
             out["duties"] |= {duty: told | {"region": scope.region} for duty, told in duties.items()}
             out["region"] = inside | {"name": scope.region, "disk": scope.disk}
-        shares = self.owners.memory.shares
+        shares = self.owners.durable.shares
         if shares is not None:
             out["share"] = {
                 "in_force": shares.in_force(),
                 "stated": shares.stated(),
                 "whole": WHOLE,
-                "go_by_it": sorted(self.owners.memory.on_new),
+                "go_by_it": sorted(self.owners.durable.on_current),
             }
         for duty, told in out["duties"].items():
             told["doing"] = self.work[duty].doing() if told["mine"] and duty in self.work else ""
--- a/ledgehitch/owners/decide.py
+++ b/ledgehitch/owners/decide.py
@@ -10,40 +10,48 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ledgehitch.owners.facts import NO_LIST, RATES, STANDSTILL, STEP, TOP, rank, short
-from ledgehitch.owners.memory import Memory
+from ledgehitch.owners.facts import (
+    EFFECT_WITHOUT_OWNER,
+    MAX_CLOCK_DRIFT,
+    MAX_TERM,
+    MAX_TERM_STEP,
+    NO_LIST_DIGEST,
+    name_digest,
+    rank_members,
+)
+from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.votes import Lease
-from ledgehitch.owners.words import NOBODY, Kind, Words
-
-RENEW = 0.55  # of a lease between two rounds of asking
-AGAIN = 0.05  # of a lease until those who did not answer are asked again
-POLLED = 3  # members that a candidate asks first whether there is an owner
-RARER = 4  # times that the wait after a poll of all in vain doubles
-PATIENT = 0.04  # of a lease for their answers
-WON_WITHIN = 0.1  # of a lease, after which a candidate gives its votes back and waits
-STAND = 0.03  # of a lease by which each further place in the rank waits longer
-PLACES = 6  # of the rank that wait differently
-SPARE = 2  # members asked beyond a majority
-NEARLY = 0.25  # of a lease left, under which a renewal is told as late
-KNOWN = 1.5  # leases that one who does not vote goes by what it was told
-MOST_OUT = 1 << 16  # questions remembered
+from ledgehitch.owners.words import NO_MEMBER, DutyMessage, Kind
+
+RENEW_INTERVAL = 0.55  # of a lease between two rounds of asking
+RETRY_INTERVAL = 0.05  # of a lease until those who did not answer are asked again
+FIRST_POLL_SIZE = 3  # members that a candidate asks first whether there is an owner
+MAX_BACKOFF_DOUBLINGS = 4  # times that the wait after a poll of all in vain doubles
+POLL_TIMEOUT = 0.04  # of a lease for their answers
+CANDIDACY_TIMEOUT = 0.1  # of a lease, after which a candidate gives its votes back and waits
+RANK_DELAY = 0.03  # of a lease by which each further place in the rank waits longer
+MAX_DELAYED_RANKS = 6  # of the rank that wait differently
+EXTRA_REQUESTS = 2  # members asked beyond a majority
+LATE_RENEWAL = 0.25  # of a lease left, under which a renewal is told as late
+OWNER_NOTICE_LEASES = 1.5  # leases that one who does not vote goes by what it was told
+MAX_PENDING_REQUESTS = 1 << 16  # questions remembered
 # Seconds that a network and a disk that must sync take, however short leases are.
-LEAST_PATIENT, LEAST_AGAIN, LEAST_WON = 0.1, 0.2, 0.5
-GREET = 0.05  # of a lease between two greetings to who has not answered, rising to one lease
+MIN_POLL_TIMEOUT_S, MIN_RETRY_INTERVAL_S, MIN_CANDIDACY_TIMEOUT_S = 0.1, 0.2, 0.5
+GREETING_INTERVAL = 0.05  # of a lease between two greetings to who has not answered, rising to one lease
 
 
 @dataclass(frozen=True)
 class Send:
-    to: int
-    words: Words
+    recipient: int
+    message: DutyMessage
 
 
 @dataclass(frozen=True)
-class Keep:
+class Store:
     """On disk first (`kept`), then these may be sent; if that fails (`not_kept`) they are dropped."""
 
     record: dict[str, Any]
-    then: tuple[Send, ...] = ()
+    messages: tuple[Send, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -58,8 +66,8 @@
 
     duty: str
     term: int
-    why: str
-    late: float = 0.0
+    reason: str
+    overdue: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -71,29 +79,29 @@
     left: float
 
 
-Decision = Send | Keep | Won | Lost | Renewed
+Decision = Send | Store | Won | Lost | Renewed
 
 
 @dataclass
-class One:
+class DutyState:
     """One duty at this member."""
 
     name: str
     number: int
-    order: list[int]  # members by rank, best first
+    ranking: list[int]  # members by rank, best first
     lease: Lease | None = None
     won: bool = False
-    polling: set[str] = field(default_factory=set)  # who said that it is free
+    poll_answers: set[str] = field(default_factory=set)  # who said that it is free
     polled_at: float = -1e18  # not polling where it lies far back
-    widened: bool = False  # the poll went to all
-    in_vain: int = 0  # polls of all in a row that no majority answered
-    stood_at: float = 0.0
-    stand_at: float = 1e18
+    polled_all: bool = False  # the poll went to all
+    failed_polls: int = 0  # polls of all in a row that no majority answered
+    candidate_from: float = 0.0
+    candidacy_at: float = 1e18
     round_at: float = 0.0
-    again_at: float = 1e18
-    told_at: float = -1e18
-    known: tuple[int, int, float] = (NOBODY, 0, -1e18)  # owner, term and until when it is believed
-    seen_term: int = 0  # heard of somewhere, refused or denied by: the next one stands above it
+    retry_at: float = 1e18
+    notified_at: float = -1e18
+    known_owner: tuple[int, int, float] = (NO_MEMBER, 0, -1e18)  # owner, term and until when it is believed
+    highest_seen_term: int = 0  # heard of somewhere, refused or denied by: the next one stands above it
     refused: dict[str, int] = field(default_factory=dict)
 
 
@@ -103,48 +111,48 @@
         now: float,
         me: int,
         names: Sequence[str],
-        memory: Memory,
-        chance: random.Random,
+        durable: DurableState,
+        rng: random.Random,
         members: Sequence[int] | None = None,
-        numbers: Sequence[int] | None = None,
+        duty_numbers: Sequence[int] | None = None,
     ) -> None:
         """`names`: of the whole site, whose numbers are its members' on the wire. `members`: those in this
         scope, left out: all. `numbers`: of the duties on the wire, in turn; left out: from 0."""
-        self.me, self.names, self.memory, self.chance = me, tuple(names), memory, chance
-        self.lease = memory.lists.shortest()
-        self.patient = max(PATIENT * self.lease, LEAST_PATIENT)
-        self.again = max(AGAIN * self.lease, LEAST_AGAIN)
-        self.won_within = max(WON_WITHIN * self.lease, LEAST_WON)
+        self.me, self.names, self.durable, self.rng = me, tuple(names), durable, rng
+        self.lease = durable.lists.min_lease()
+        self.poll_timeout = max(POLL_TIMEOUT * self.lease, MIN_POLL_TIMEOUT_S)
+        self.retry_interval = max(RETRY_INTERVAL * self.lease, MIN_RETRY_INTERVAL_S)
+        self.candidacy_timeout = max(CANDIDACY_TIMEOUT * self.lease, MIN_CANDIDACY_TIMEOUT_S)
         self.number_of = {name: i for i, name in enumerate(self.names)}
-        self.shorts = [short(name) for name in self.names]
+        self.name_digests = [name_digest(name) for name in self.names]
         self.members = sorted({me, *(range(len(self.names)) if members is None else members)})
-        self._numbers = list(range(len(memory.voters)) if numbers is None else numbers)
+        self._numbers = list(range(len(durable.voters)) if duty_numbers is None else duty_numbers)
         self.duties = {
-            d: One(d, number, rank(d, self.names, self.members))
-            for number, d in zip(self._numbers, memory.voters, strict=True)
+            d: DutyState(d, number, rank_members(d, self.names, self.members))
+            for number, d in zip(self._numbers, durable.voters, strict=True)
         }
-        self.there: set[int] = set(self.members) - {me}
-        self.fit, self.clock_good = True, True
+        self.reachable: set[int] = set(self.members) - {me}
+        self.eligible, self.clock_good = True, True
         self.why_not = ""
         self.withheld: dict[str, str] = {}  # duties that it does not stand for now, and why
         self.counts: dict[str, int] = {}
-        self._joining = not memory.joined
-        self._formers: dict[str, bool] = {}  # by who answered: whether its list is still unsettled
-        self._out: dict[int, tuple[str, int, int, float]] = {}  # sequence: duty, term, whom, when
+        self._joining = not durable.joined
+        self._unsettled_peers: dict[str, bool] = {}  # by who answered: whether its list is still unsettled
+        self._pending: dict[int, tuple[str, int, int, float]] = {}  # sequence: duty, term, whom, when
         self._sequence = 0
-        self._own: list[tuple[str, int, float]] = []  # votes for ourselves that are not on disk yet
-        self._on_disk: dict[str, Any] | None = None
-        self._after: list[Send] = []
-        self._due: deque[Decision] = deque()
-        self._greet_at, self._greet_every = now, GREET * self.lease
-        self._greets_until = now + memory.promise
-        self._latest = now
+        self._own_votes: list[tuple[str, int, float]] = []  # votes for ourselves that are not on disk yet
+        self._stored: dict[str, Any] | None = None
+        self._outbox: list[Send] = []
+        self._decisions: deque[Decision] = deque()
+        self._greeting_at, self._greeting_interval = now, GREETING_INTERVAL * self.lease
+        self._greeting_until = now + durable.vote_duration
+        self._now = now
 
     # ---- what happens --------------------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: int, words: Words) -> None:
+    def on_message(self, now: float, sender: int, message: DutyMessage) -> None:
         """Words of a member whose frame was good."""
-        if not 0 <= sender < len(self.names) or sender == self.me or words.who != self.shorts[sender]:
+        if not 0 <= sender < len(self.names) or sender == self.me or message.who != self.name_digests[sender]:
             self._count("of another numbering of the gateways")
             return
         if sender not in self.members:
@@ -152,540 +160,600 @@
             return
         # Guards against a change of the list being settled on the word of one that cannot vote yet: of four,
         # two and a newcomer that waits for the third were held to be a majority, and nobody was elected.
-        if words.kind not in ("greet", "greeted") or words.intact:
-            self.memory.runs(now, self.names[sender], words.list)
-        if self.names[sender] in self._formers:
-            self._formers[self.names[sender]] = words.former != NO_LIST
-        if words.kind in ("greet", "greeted"):
-            self._greeting(now, sender, words)
+        if message.kind not in ("greet", "greeted") or message.intact:
+            self.durable.on_member_list(now, self.names[sender], message.list)
+        if self.names[sender] in self._unsettled_peers:
+            self._unsettled_peers[self.names[sender]] = message.former != NO_LIST_DIGEST
+        if message.kind in ("greet", "greeted"):
+            self._on_greeting(now, sender, message)
             return
-        duty = next((o for o in self.duties.values() if o.number == words.duty), None)
+        duty = next((o for o in self.duties.values() if o.number == message.duty), None)
         if duty is None:
             self._count("a duty that nobody knows")
             return
-        if words.term > TOP:
+        if message.term > MAX_TERM:
             self._count("a term out of reach")
             return
-        match words.kind:
+        match message.kind:
             case "poll" | "ask":
-                self._asked(now, duty, sender, words)
+                self._on_request(now, duty, sender, message)
             case "free" | "grant" | "deny":
-                self._answered(now, duty, sender, words)
+                self._on_response(now, duty, sender, message)
             case "yield":
-                self._given_back(now, duty, sender, words)
+                self._on_yield(now, duty, sender, message)
             case "told":
-                if words.term >= max(duty.known[1], self.memory.voters[duty.name].term):
-                    duty.known = sender, words.term, now + min(words.left, KNOWN * self.lease)
-                    duty.in_vain = 0
-
-    def may(self, there: set[int], fit: bool, why_not: str = "") -> None:
+                if message.term >= max(duty.known_owner[1], self.durable.voters[duty.name].term):
+                    duty.known_owner = (
+                        sender,
+                        message.term,
+                        now + min(message.left, OWNER_NOTICE_LEASES * self.lease),
+                    )
+                    duty.failed_polls = 0
+
+    def on_membership(self, reachable: set[int], eligible: bool, why_not: str = "") -> None:
         """Whom membership holds for there, and whether this one should own anything now."""
-        self.there, self.fit, self.why_not = there.intersection(self.members), fit, why_not
+        self.reachable, self.eligible, self.why_not = reachable.intersection(self.members), eligible, why_not
 
-    def clock(self, now: float, good: bool) -> None:
+    def on_clock_check(self, now: float, good: bool) -> None:
         """Whether the clock goes on as it should. One that does not ends every lease here at once."""
         if self.clock_good and not good:
-            for one in self.duties.values():
-                self._lost(now, one, "the clock stood still or jumped back")
+            for state in self.duties.values():
+                self._end_lease(now, state, "the clock stood still or jumped back")
         self.clock_good = good
 
     def resign(self, now: float) -> None:
         """This one goes on its way out: it stands no more, and what it owns is given to the next in rank."""
-        self.fit, self.why_not = False, "on its way out"
-        for one in self.duties.values():
-            one.polled_at = -1e18
-            if one.lease is None:
+        self.eligible, self.why_not = False, "on its way out"
+        for state in self.duties.values():
+            state.polled_at = -1e18
+            if state.lease is None:
                 continue
-            there = [m for m in one.order if m in self.there]
-            self._give_back(now, one, there[0] if one.won and there else NOBODY)
-            self._lost(now, one, "handed over" if one.won else "gave up standing")
+            reachable = [m for m in state.ranking if m in self.reachable]
+            self._release(now, state, reachable[0] if state.won and reachable else NO_MEMBER)
+            self._end_lease(now, state, "handed over" if state.won else "gave up standing")
 
-    def refused(self, now: float, duty: str, term: int, known: int, where: str) -> None:
+    def on_effect_refused(self, now: float, duty: str, term: int, known: int, where: str) -> None:
         """A receiver refused an effect of ours: it knows a higher term."""
-        one = self.duties[duty]
-        one.refused[where] = one.refused.get(where, 0) + 1
-        one.seen_term = max(one.seen_term, min(known, one.seen_term + STEP, TOP))
-        if one.lease is not None and one.lease.term <= term:
-            self._give_back(now, one, NOBODY)
-            self._lost(now, one, f"{where} knows term {known}")
-
-    def takes(self, duty: str, term: int) -> bool:
+        state = self.duties[duty]
+        state.refused[where] = state.refused.get(where, 0) + 1
+        state.highest_seen_term = max(
+            state.highest_seen_term, min(known, state.highest_seen_term + MAX_TERM_STEP, MAX_TERM)
+        )
+        if state.lease is not None and state.lease.term <= term:
+            self._release(now, state, NO_MEMBER)
+            self._end_lease(now, state, f"{where} knows term {known}")
+
+    def accepts_effect(self, duty: str, term: int) -> bool:
         """Whether an effect that arrived here may be carried out, once `Keep` that follows is on disk."""
-        if duty not in self.duties or not self.memory.confirmed:
+        if duty not in self.duties or not self.durable.confirmed:
             self._count("an effect before the terms are known" if duty in self.duties else "unknown duty")
             return False
-        took = self.memory.fence.takes(duty, term)
-        one = self.duties[duty]
-        if took and one.lease is not None and one.lease.term < term:
-            self._lost(self._latest, one, f"an effect of term {term} came here")
-        return took
-
-    def kept(self, record: dict[str, Any]) -> None:
-        self._on_disk = record
-        for duty, term, asked_at in self._own:
+        accepted = self.durable.fence.accepts(duty, term)
+        state = self.duties[duty]
+        if accepted and state.lease is not None and state.lease.term < term:
+            self._end_lease(self._now, state, f"an effect of term {term} came here")
+        return accepted
+
+    def on_stored(self, record: dict[str, Any]) -> None:
+        self._stored = record
+        for duty, term, asked_at in self._own_votes:
             lease = self.duties[duty].lease
             if lease is not None and lease.term == term:
-                lease.granted(self.names[self.me], asked_at)
-                self._look_won(self.duties[duty])
-        self._own = []
+                lease.on_grant(self.names[self.me], asked_at)
+                self._check_won(self.duties[duty])
+        self._own_votes = []
 
-    def not_kept(self, now: float) -> None:
+    def on_store_failed(self, now: float) -> None:
         """The disk did not take it: no vote, no harm. Who wanted to stand does not."""
         self._count("votes that the disk did not take")
-        self._own = []
-        for one in self.duties.values():
-            if one.lease is not None and not one.won:
-                self._lost(now, one, "the disk takes no vote")
+        self._own_votes = []
+        for state in self.duties.values():
+            if state.lease is not None and not state.won:
+                self._end_lease(now, state, "the disk takes no vote")
 
     # ---- as a voter ----------------------------------------------------------------------------------------
 
-    def _asked(self, now: float, one: One, sender: int, words: Words) -> None:
-        voter, name = self.memory.voters[one.name], self.names[sender]
-        if not self.memory.votes(now):
+    def _on_request(self, now: float, state: DutyState, sender: int, message: DutyMessage) -> None:
+        voter, name = self.durable.voters[state.name], self.names[sender]
+        if not self.durable.may_vote(now):
             self._count("asked before it may vote")
             return
-        if not self.memory.lists.covered_by(words.list, words.former):
+        if not self.durable.lists.covered_by(message.list, message.former):
             self._count("asked by one of another version of the site")
             return
-        if words.kind == "poll":
-            if voter.bound(now) and voter.member != name or self.owns(now, one.name):
-                self._deny(now, one, sender, words)
-            elif now < one.known[2] and one.known[0] not in (NOBODY, sender):
+        if message.kind == "poll":
+            if voter.is_bound(now) and voter.member != name or self.owned_term(now, state.name):
+                self._deny(now, state, sender, message)
+            elif now < state.known_owner[2] and state.known_owner[0] not in (NO_MEMBER, sender):
                 # Guards against a candidate asking all for an owner whom half of them were told of: it had
                 # missed one word of it, and of the three that it asked first some had only been told, too.
-                self._say(sender, "deny", one, words.sequence, one.known[1], one.known[0], one.known[2] - now)
+                self._send_about(
+                    sender,
+                    "deny",
+                    state,
+                    message.sequence,
+                    state.known_owner[1],
+                    state.known_owner[0],
+                    state.known_owner[2] - now,
+                )
             else:
-                self._say(sender, "free", one, words.sequence, voter.term)
+                self._send_about(sender, "free", state, message.sequence, voter.term)
             return
-        if not voter.asked(now, words.term, name):
-            self._deny(now, one, sender, words)
+        if not voter.on_vote_request(now, message.term, name):
+            self._deny(now, state, sender, message)
             return
-        if one.lease is not None and one.lease.term < words.term:
-            self._lost(now, one, f"{name} stands with term {words.term}")
-        one.known, one.stand_at = (sender, words.term, now + self.memory.promise), 1e18
-        one.polled_at, one.in_vain = -1e18, 0
-        self._say(sender, "grant", one, words.sequence, words.term)
-
-    def _deny(self, now: float, one: One, sender: int, words: Words) -> None:
-        voter = self.memory.voters[one.name]
-        left = voter.until - now if voter.bound(now) else 0.0
-        member = self.number_of.get(voter.member, NOBODY) if left > 0 else NOBODY
-        self._say(sender, "deny", one, words.sequence, voter.term, member, left)
-
-    def _given_back(self, now: float, one: One, sender: int, words: Words) -> None:
-        gone = self.memory.voters[one.name].given_back(words.term, self.names[sender])
-        if not gone and not (one.known[0] == sender and one.known[1] == words.term):
+        if state.lease is not None and state.lease.term < message.term:
+            self._end_lease(now, state, f"{name} stands with term {message.term}")
+        state.known_owner, state.candidacy_at = (sender, message.term, now + self.durable.vote_duration), 1e18
+        state.polled_at, state.failed_polls = -1e18, 0
+        self._send_about(sender, "grant", state, message.sequence, message.term)
+
+    def _deny(self, now: float, state: DutyState, sender: int, message: DutyMessage) -> None:
+        voter = self.durable.voters[state.name]
+        left = voter.bound_until - now if voter.is_bound(now) else 0.0
+        member = self.number_of.get(voter.member, NO_MEMBER) if left > 0 else NO_MEMBER
+        self._send_about(sender, "deny", state, message.sequence, voter.term, member, left)
+
+    def _on_yield(self, now: float, state: DutyState, sender: int, message: DutyMessage) -> None:
+        released = self.durable.voters[state.name].on_release(message.term, self.names[sender])
+        if not released and not (state.known_owner[0] == sender and state.known_owner[1] == message.term):
             return
-        one.known = NOBODY, words.term, -1e18
-        one.stand_at = 1e18
-        if words.member == self.me and self._may_stand(now, one):
-            one.polled_at = -1e18
-            self._stand(now, one)
-        elif words.member != NOBODY:
-            one.stand_at = now + 2 * self.patient + self._place(one)
+        state.known_owner = NO_MEMBER, message.term, -1e18
+        state.candidacy_at = 1e18
+        if message.member == self.me and self._may_be_candidate(now, state):
+            state.polled_at = -1e18
+            self._start_candidacy(now, state)
+        elif message.member != NO_MEMBER:
+            state.candidacy_at = now + 2 * self.poll_timeout + self._rank_delay(state)
 
     # ---- as a candidate and an owner -----------------------------------------------------------------------
 
-    def _answered(self, now: float, one: One, sender: int, words: Words) -> None:
-        asked = self._out.pop(words.sequence, None)
-        if asked is None or asked[0] != one.name or asked[2] != sender:
+    def _on_response(self, now: float, state: DutyState, sender: int, message: DutyMessage) -> None:
+        request = self._pending.pop(message.sequence, None)
+        if request is None or request[0] != state.name or request[2] != sender:
             return
-        _, term, _, at = asked
-        if words.kind != "free":
-            one.seen_term = max(one.seen_term, min(words.term, max(one.seen_term, term) + STEP))
+        _, term, _, requested_at = request
+        if message.kind != "free":
+            state.highest_seen_term = max(
+                state.highest_seen_term, min(message.term, max(state.highest_seen_term, term) + MAX_TERM_STEP)
+            )
         if term == 0:
-            self._polled(now, one, sender, words)
+            self._on_poll_response(now, state, sender, message)
             return
-        lease = one.lease
+        lease = state.lease
         if lease is None or lease.term != term:
             return
-        if words.kind == "grant" and words.term == term:
-            left = lease.until() - now
-            lease.granted(self.names[sender], at)
-            if one.won and left < NEARLY * self.lease < lease.until() - now:
-                self._due.append(Renewed(one.name, term, left))
-            self._look_won(one)
-        elif words.kind == "deny" and words.term > term:
-            self._give_back(now, one, NOBODY)
-            self._lost(now, one, f"{self.names[sender]} knows term {words.term}")
-
-    def _polled(self, now: float, one: One, sender: int, words: Words) -> None:
-        if one.polled_at < 0:
+        if message.kind == "grant" and message.term == term:
+            left = lease.expires_at() - now
+            lease.on_grant(self.names[sender], requested_at)
+            if state.won and left < LATE_RENEWAL * self.lease < lease.expires_at() - now:
+                self._decisions.append(Renewed(state.name, term, left))
+            self._check_won(state)
+        elif message.kind == "deny" and message.term > term:
+            self._release(now, state, NO_MEMBER)
+            self._end_lease(now, state, f"{self.names[sender]} knows term {message.term}")
+
+    def _on_poll_response(self, now: float, state: DutyState, sender: int, message: DutyMessage) -> None:
+        if state.polled_at < 0:
             return
-        if words.kind == "deny" and words.member != NOBODY:
+        if message.kind == "deny" and message.member != NO_MEMBER:
             # There is an owner, or somebody that stands: how long its promise lasts at that voter.
-            one.known = words.member, words.term, now + words.left
-            one.polled_at, one.stand_at, one.in_vain = -1e18, 1e18, 0
+            state.known_owner = message.member, message.term, now + message.left
+            state.polled_at, state.candidacy_at, state.failed_polls = -1e18, 1e18, 0
             return
-        one.polling.add(self.names[sender])
-        one.seen_term = max(one.seen_term, min(words.term, one.seen_term + STEP))
-        if self.memory.lists.reached([*one.polling, self.names[self.me]]):
-            one.polled_at, one.in_vain = -1e18, 0
-            self._stand(now, one)
-        elif not one.widened and len(one.polling) >= min(POLLED, len(self.members) - 1):
-            self._widen(now, one)
-
-    def _poll(self, now: float, one: One) -> None:
+        state.poll_answers.add(self.names[sender])
+        state.highest_seen_term = max(
+            state.highest_seen_term, min(message.term, state.highest_seen_term + MAX_TERM_STEP)
+        )
+        if self.durable.lists.has_majority([*state.poll_answers, self.names[self.me]]):
+            state.polled_at, state.failed_polls = -1e18, 0
+            self._start_candidacy(now, state)
+        elif not state.polled_all and len(state.poll_answers) >= min(FIRST_POLL_SIZE, len(self.members) - 1):
+            self._poll_all(now, state)
+
+    def _start_poll(self, now: float, state: DutyState) -> None:
         """Asks first, without a term, so that those who are cut off do not raise terms for nothing."""
-        one.polling, one.polled_at, one.stand_at, one.widened = set(), now, 1e18, False
-        some = self.chance.sample(self._others(), min(POLLED, len(self._others())))
-        for to in some:
-            self._question(now, one, to, "poll", 0)
-        if len(some) == len(self._others()):
-            one.widened = True
-        if self.memory.lists.reached([self.names[self.me]]):
-            one.polled_at = -1e18
-            self._stand(now, one)
-
-    def _widen(self, now: float, one: One) -> None:
+        state.poll_answers, state.polled_at, state.candidacy_at, state.polled_all = (
+            set(),
+            now,
+            1e18,
+            False,
+        )
+        polled = self.rng.sample(self._others(), min(FIRST_POLL_SIZE, len(self._others())))
+        for to in polled:
+            self._send_request(now, state, to, "poll", 0)
+        if len(polled) == len(self._others()):
+            state.polled_all = True
+        if self.durable.lists.has_majority([self.names[self.me]]):
+            state.polled_at = -1e18
+            self._start_candidacy(now, state)
+
+    def _poll_all(self, now: float, state: DutyState) -> None:
         """Asks all, where a majority of them may answer.
 
         Guards against everybody asking everybody for as long as a cut lasts that leaves no side a majority:
         datagrams a second that go by the square of the members."""
-        if not self.memory.lists.reached(self.names[n] for n in (self.me, *self.there)):
-            self._again_later(now, one)
+        if not self.durable.lists.has_majority(self.names[n] for n in (self.me, *self.reachable)):
+            self._back_off(now, state)
             return
-        one.widened, one.polled_at = True, now
+        state.polled_all, state.polled_at = True, now
         for to in self._others():
-            if self.names[to] not in one.polling:
-                self._question(now, one, to, "poll", 0)
-
-    def _stand(self, now: float, one: One) -> None:
-        voter, name = self.memory.voters[one.name], self.names[self.me]
-        term = max(voter.term, one.seen_term, self.memory.fence.known(one.name)) + 1
-        if term > TOP or not voter.asked(now, term, name):
-            one.stand_at = 1e18
+            if self.names[to] not in state.poll_answers:
+                self._send_request(now, state, to, "poll", 0)
+
+    def _start_candidacy(self, now: float, state: DutyState) -> None:
+        voter, name = self.durable.voters[state.name], self.names[self.me]
+        term = max(voter.term, state.highest_seen_term, self.durable.fence.highest_term(state.name)) + 1
+        if term > MAX_TERM or not voter.on_vote_request(now, term, name):
+            state.candidacy_at = 1e18
             return
-        one.lease, one.won, one.stood_at = Lease(term, self.memory.lists, self.lease), False, now
-        one.stand_at = 1e18
+        state.lease, state.won, state.candidate_from = (
+            Lease(term, self.durable.lists, self.lease),
+            False,
+            now,
+        )
+        state.candidacy_at = 1e18
         self._count("stood")
-        self._round(now, one)
+        self._start_round(now, state)
 
-    def _round(self, now: float, one: One) -> None:
+    def _start_round(self, now: float, state: DutyState) -> None:
         """Asks a majority and some; who does not answer in time is asked again, and the others with it."""
-        lease = one.lease
+        lease = state.lease
         assert lease is not None
-        if lease.asked_at:
-            self.memory.voters[one.name].asked(now, lease.term, self.names[self.me])
-        self._own.append((one.name, lease.term, now))
-        one.round_at, one.again_at = now, now + self.again
+        if lease.requested_at:
+            self.durable.voters[state.name].on_vote_request(now, lease.term, self.names[self.me])
+        self._own_votes.append((state.name, lease.term, now))
+        state.round_at, state.retry_at = now, now + self.retry_interval
         # Those that granted last are asked first, so that others hear nothing of it but who owns.
-        before = sorted(self._others(), key=lambda m: (-lease.asked_at.get(self.names[m], -1e18), m))
-        most = len(self._others()) if not one.won else len(self.members) // 2 + SPARE
-        there = [m for m in before if m in self.there or not one.won]
-        for to in there[:most]:
-            self._question(now, one, to, "ask", lease.term)
-        self._tell(now, one, set(there[:most]))
+        by_last_grant = sorted(
+            self._others(), key=lambda m: (-lease.requested_at.get(self.names[m], -1e18), m)
+        )
+        limit = len(self._others()) if not state.won else len(self.members) // 2 + EXTRA_REQUESTS
+        recipients = [m for m in by_last_grant if m in self.reachable or not state.won]
+        for to in recipients[:limit]:
+            self._send_request(now, state, to, "ask", lease.term)
+        self._notify_others(now, state, set(recipients[:limit]))
         if not self.dirty():
-            self.kept(self.memory.record())
+            self.on_stored(self.durable.record())
 
-    def _ask_again(self, now: float, one: One) -> None:
+    def _retry_round(self, now: float, state: DutyState) -> None:
         """Those of this round that have not granted: it or its answer may have been lost."""
-        lease = one.lease
+        lease = state.lease
         assert lease is not None
-        one.again_at = now + self.again
-        if lease.until() - self.lease >= one.round_at:
-            one.again_at = 1e18  # a majority has answered
+        state.retry_at = now + self.retry_interval
+        if lease.expires_at() - self.lease >= state.round_at:
+            state.retry_at = 1e18  # a majority has answered
             return
-        fresh = [m for m in self._others() if lease.asked_at.get(self.names[m], -1e18) >= one.round_at]
-        missing = max(0, len(self.members) // 2 - len(fresh))
-        late = [m for m in self._others() if m not in fresh]
+        answered = [
+            m for m in self._others() if lease.requested_at.get(self.names[m], -1e18) >= state.round_at
+        ]
+        missing = max(0, len(self.members) // 2 - len(answered))
+        unanswered = [m for m in self._others() if m not in answered]
         # Twice as many as are missing: at the worst losses that membership bears every second one answers.
-        for to in late if not one.won else self.chance.sample(late, min(len(late), 2 * missing + SPARE)):
-            self._question(now, one, to, "ask", lease.term)
-
-    def _tell(self, now: float, one: One, asked: set[int]) -> None:
+        for to in (
+            unanswered
+            if not state.won
+            else self.rng.sample(unanswered, min(len(unanswered), 2 * missing + EXTRA_REQUESTS))
+        ):
+            self._send_request(now, state, to, "ask", lease.term)
+
+    def _notify_others(self, now: float, state: DutyState, requested: set[int]) -> None:
         """Those who are not asked are told once a lease, so that they do not stand."""
-        if not one.won or now - one.told_at < self.lease * (1 - RATES):
+        if not state.won or now - state.notified_at < self.lease * (1 - MAX_CLOCK_DRIFT):
             return
-        one.told_at = now
-        assert one.lease is not None
+        state.notified_at = now
+        assert state.lease is not None
         for to in self._others():
-            if to in self.there and to not in asked:
-                self._say(to, "told", one, 0, one.lease.term, self.me, KNOWN * self.lease)
-
-    def _look_won(self, one: One) -> None:
-        lease = one.lease
-        if lease is not None and not one.won and lease.until() > self._latest:
-            one.won, one.told_at = True, -1e18
-            one.known = self.me, lease.term, lease.until()
-            self._due.append(Won(one.name, lease.term))
-
-    def _give_back(self, now: float, one: One, successor: int) -> None:
+            if to in self.reachable and to not in requested:
+                self._send_about(
+                    to, "told", state, 0, state.lease.term, self.me, OWNER_NOTICE_LEASES * self.lease
+                )
+
+    def _check_won(self, state: DutyState) -> None:
+        lease = state.lease
+        if lease is not None and not state.won and lease.expires_at() > self._now:
+            state.won, state.notified_at = True, -1e18
+            state.known_owner = self.me, lease.term, lease.expires_at()
+            self._decisions.append(Won(state.name, lease.term))
+
+    def _release(self, now: float, state: DutyState, successor: int) -> None:
         """Says to all that this term is not used any more, by whom it is held here first."""
-        lease = one.lease
+        lease = state.lease
         assert lease is not None
         lease.ended = True
-        self.memory.voters[one.name].given_back(lease.term, self.names[self.me])
+        self.durable.voters[state.name].on_release(lease.term, self.names[self.me])
         for to in self._others():
-            self._say(to, "yield", one, 0, lease.term, successor)
+            self._send_about(to, "yield", state, 0, lease.term, successor)
 
-    def _lost(self, now: float, one: One, why: str) -> None:
-        lease, won = one.lease, one.won
+    def _end_lease(self, now: float, state: DutyState, why: str) -> None:
+        lease, won = state.lease, state.won
         if lease is None:
             return
-        late = max(0.0, now - lease.until()) if won else 0.0
+        late = max(0.0, now - lease.expires_at()) if won else 0.0
         lease.ended = True
-        one.lease, one.won, one.again_at = None, False, 1e18
-        one.seen_term = max(one.seen_term, lease.term)
-        if one.known[0] == self.me:
-            one.known = NOBODY, lease.term, -1e18
-        one.stand_at = now + self._place(one) + self.won_within * self.chance.random()
+        state.lease, state.won, state.retry_at = None, False, 1e18
+        state.highest_seen_term = max(state.highest_seen_term, lease.term)
+        if state.known_owner[0] == self.me:
+            state.known_owner = NO_MEMBER, lease.term, -1e18
+        state.candidacy_at = now + self._rank_delay(state) + self.candidacy_timeout * self.rng.random()
         if won:
-            self._due.append(Lost(one.name, lease.term, why, late))
+            self._decisions.append(Lost(state.name, lease.term, why, late))
 
-    def owns(self, now: float, duty: str) -> int:
+    def owned_term(self, now: float, duty: str) -> int:
         """The term under which an effect may be sent now; 0 for none. Asked before each effect."""
-        one = self.duties[duty]
-        if one.lease is None or not one.won or not self.clock_good:
+        state = self.duties[duty]
+        if state.lease is None or not state.won or not self.clock_good:
             return 0
-        if not one.lease.holds(now):
-            self._lost(now, one, "the lease is over")
+        if not state.lease.is_valid(now):
+            self._end_lease(now, state, "the lease is over")
             return 0
-        return one.lease.term
+        return state.lease.term
 
     # ---- what is decided -----------------------------------------------------------------------------------
 
     def decide(self, now: float) -> Decision | None:
-        self._latest = now
-        if not self._due and not self._after:
-            self._look(now)
-        if self._due:
-            return self._due.popleft()  # rests on nothing that is not on disk yet
+        self._now = now
+        if not self._decisions and not self._outbox:
+            self._update(now)
+        if self._decisions:
+            return self._decisions.popleft()  # rests on nothing that is not on disk yet
         if self.dirty():
-            then, self._after = tuple(self._after), []
-            return Keep(self.memory.record(), then)
-        return self._after.pop(0) if self._after else None
+            messages, self._outbox = tuple(self._outbox), []
+            return Store(self.durable.record(), messages)
+        return self._outbox.pop(0) if self._outbox else None
 
-    def _look(self, now: float) -> None:
-        if now >= self._greet_at:
-            self._greet(now)
+    def _update(self, now: float) -> None:
+        if now >= self._greeting_at:
+            self._send_greetings(now)
         if self._joining and self.joined(now):
             # Guards against a newcomer that starts anew during the change that adds it, and has a file now.
-            self._joining, self.memory.joined = False, True
-        if self.memory.settle(now):
-            self.lease = self.memory.lists.shortest()
-        if len(self._out) > MOST_OUT // 2:
-            self._out = {k: v for k, v in self._out.items() if now - v[3] < self.lease}
-        for one in self.duties.values():
-            if one.lease is not None:
-                self._hold(now, one)
-            elif not self._may_stand(now, one):
-                one.polled_at, one.stand_at = -1e18, 1e18
-            elif one.polled_at >= 0:
-                self._await_poll(now, one)
-            elif now >= one.stand_at:
-                self._poll(now, one)
-            elif one.stand_at > 1e17 and now >= self._free_at(one):
-                one.stand_at = now + self._place(one)
-
-    def _hold(self, now: float, one: One) -> None:
-        lease = one.lease
+            self._joining, self.durable.joined = False, True
+        if self.durable.settle(now):
+            self.lease = self.durable.lists.min_lease()
+        if len(self._pending) > MAX_PENDING_REQUESTS // 2:
+            self._pending = {k: v for k, v in self._pending.items() if now - v[3] < self.lease}
+        for state in self.duties.values():
+            if state.lease is not None:
+                self._update_lease(now, state)
+            elif not self._may_be_candidate(now, state):
+                state.polled_at, state.candidacy_at = -1e18, 1e18
+            elif state.polled_at >= 0:
+                self._check_poll(now, state)
+            elif now >= state.candidacy_at:
+                self._start_poll(now, state)
+            elif state.candidacy_at > 1e17 and now >= self._vacant_at(state):
+                state.candidacy_at = now + self._rank_delay(state)
+
+    def _update_lease(self, now: float, state: DutyState) -> None:
+        lease = state.lease
         assert lease is not None
-        if one.won and not self.owns(now, one.name):
+        if state.won and not self.owned_term(now, state.name):
             return
-        if not one.won and now - one.stood_at > self.won_within:
-            self._give_back(now, one, NOBODY)
-            self._lost(now, one, "not enough votes")
-        elif not self.fit:
-            there = [m for m in one.order if m in self.there]
-            self._give_back(now, one, there[0] if there else NOBODY)
-            self._lost(now, one, self.why_not or "not fit")
-        elif now >= one.round_at + RENEW * self.lease:
-            self._round(now, one)
-        elif now >= one.again_at:
-            self._ask_again(now, one)
-
-    def _await_poll(self, now: float, one: One) -> None:
-        if now < one.polled_at + self.patient:
+        if not state.won and now - state.candidate_from > self.candidacy_timeout:
+            self._release(now, state, NO_MEMBER)
+            self._end_lease(now, state, "not enough votes")
+        elif not self.eligible:
+            reachable = [m for m in state.ranking if m in self.reachable]
+            self._release(now, state, reachable[0] if reachable else NO_MEMBER)
+            self._end_lease(now, state, self.why_not or "not fit")
+        elif now >= state.round_at + RENEW_INTERVAL * self.lease:
+            self._start_round(now, state)
+        elif now >= state.retry_at:
+            self._retry_round(now, state)
+
+    def _check_poll(self, now: float, state: DutyState) -> None:
+        if now < state.polled_at + self.poll_timeout:
             return
-        if not one.widened:
-            self._widen(now, one)
+        if not state.polled_all:
+            self._poll_all(now, state)
         else:
-            self._again_later(now, one)
+            self._back_off(now, state)
 
-    def _again_later(self, now: float, one: One) -> None:
+    def _back_off(self, now: float, state: DutyState) -> None:
         """A poll was in vain: the next ones come rarer, up to once a lease."""
-        wait = self.won_within * (1 + self.chance.random()) * 2 ** min(one.in_vain, RARER)
-        one.in_vain += 1
-        one.polled_at = -1e18
-        one.stand_at = now + self._place(one) + min(wait, max(self.lease, self.won_within))
+        wait = (
+            self.candidacy_timeout
+            * (1 + self.rng.random())
+            * 2 ** min(state.failed_polls, MAX_BACKOFF_DOUBLINGS)
+        )
+        state.failed_polls += 1
+        state.polled_at = -1e18
+        state.candidacy_at = (
+            now + self._rank_delay(state) + min(wait, max(self.lease, self.candidacy_timeout))
+        )
 
-    def _may_stand(self, now: float, one: One) -> bool:
-        if one.name in self.withheld:
+    def _may_be_candidate(self, now: float, state: DutyState) -> bool:
+        if state.name in self.withheld:
             return False
-        return self.fit and self.clock_good and self.memory.votes(now) and self.joined(now)
+        return self.eligible and self.clock_good and self.durable.may_vote(now) and self.joined(now)
 
     def joined(self, now: float) -> bool:
         """Whether others count this one: not where it was declared gone, nor while it knows of nobody's
         terms, nor, where it came without a file, while any that it heard goes by the list before, too."""
-        if self.memory.me not in self.memory.lists.current:
+        if self.durable.me not in self.durable.lists.current:
             return False
-        return self.memory.votes(now) and not (self._joining and any(self._formers.values()))
+        return self.durable.may_vote(now) and not (self._joining and any(self._unsettled_peers.values()))
 
     def owner_of(self, now: float, duty: str) -> tuple[int, int]:
         """Who owns a duty as far as this one knows, and its term; nobody, and the highest term known."""
-        one = self.duties[duty]
-        if mine := self.owns(now, duty):
-            return self.me, mine
-        member, term, until = one.known
-        return (member, term) if now < until else (NOBODY, term)
+        state = self.duties[duty]
+        if owned_term := self.owned_term(now, duty):
+            return self.me, owned_term
+        member, term, until = state.known_owner
+        return (member, term) if now < until else (NO_MEMBER, term)
 
-    def _free_at(self, one: One) -> float:
-        voter = self.memory.voters[one.name]
-        return max(voter.until if voter.member else -1e18, one.known[2])
+    def _vacant_at(self, state: DutyState) -> float:
+        voter = self.durable.voters[state.name]
+        return max(voter.bound_until if voter.member else -1e18, state.known_owner[2])
 
-    def _place(self, one: One) -> float:
+    def _rank_delay(self, state: DutyState) -> float:
         """How long this one waits before it stands: the better its place among those there, the shorter."""
-        there = [m for m in one.order if m == self.me or m in self.there]
-        place = min(there.index(self.me), PLACES)
-        return STAND * self.lease * (place + self.chance.random())
+        reachable = [m for m in state.ranking if m == self.me or m in self.reachable]
+        position = min(reachable.index(self.me), MAX_DELAYED_RANKS)
+        return RANK_DELAY * self.lease * (position + self.rng.random())
 
     # ---- greetings -----------------------------------------------------------------------------------------
 
-    def _greet(self, now: float) -> None:
+    def _send_greetings(self, now: float) -> None:
         """Until all have told what they know, or for a while; while a change of the list is unsettled too."""
-        memory = self.memory
-        waiting = [m for m in self._others() if self.names[m] not in memory.answers]
-        if memory.votes(now) and now >= self._greets_until:
+        durable = self.durable
+        waiting = [m for m in self._others() if self.names[m] not in durable.greeting_responses]
+        if durable.may_vote(now) and now >= self._greeting_until:
             # Guards against a newcomer that never hears that the change which adds it is over.
-            waiting = [m for m in self._others() if self._joining and self._formers.get(self.names[m])]
-        if memory.unsettled():
-            waiting = [m for m in self._others() if self.names[m] not in memory.on_new]
+            waiting = [
+                m for m in self._others() if self._joining and self._unsettled_peers.get(self.names[m])
+            ]
+        if durable.unsettled():
+            waiting = [m for m in self._others() if self.names[m] not in durable.on_current]
         if not waiting:
-            self._greet_at = 1e18
+            self._greeting_at = 1e18
             return
         for to in waiting:
             self._send(
                 to,
-                self._words("greet", self._numbers[0], memory.nonce, 0)._replace(
-                    life=memory.life, intact=memory.intact, terms=memory.terms()
+                self._message("greet", self._numbers[0], durable.nonce, 0)._replace(
+                    life=durable.life, intact=durable.intact, terms=durable.terms()
                 ),
             )
-        self._greet_at = now + self._greet_every
-        self._greet_every = min(self.lease / 4, self._greet_every * 1.5)
+        self._greeting_at = now + self._greeting_interval
+        self._greeting_interval = min(self.lease / 4, self._greeting_interval * 1.5)
 
-    def _greeting(self, now: float, sender: int, words: Words) -> None:
-        name, memory = self.names[sender], self.memory
-        if words.kind == "greet":
-            known = memory.greeted_by(name, words.life, words.sequence)
+    def _on_greeting(self, now: float, sender: int, message: DutyMessage) -> None:
+        name, durable = self.names[sender], self.durable
+        if message.kind == "greet":
+            known = durable.on_greeting(name, message.life, message.sequence)
             # One that is not sure of its own file says so: only what it took part in since counts.
-            sound = memory.intact or (memory.confirmed and not memory.begun)
+            is_sound = durable.intact or (durable.confirmed and not durable.bootstrapped)
             self._send(
                 sender,
-                self._words("greeted", self._numbers[0], words.sequence, 0)._replace(
-                    life=memory.life, known_life=known, intact=sound or self._voted(), terms=memory.terms()
+                self._message("greeted", self._numbers[0], message.sequence, 0)._replace(
+                    life=durable.life,
+                    known_life=known,
+                    intact=is_sound or self._has_voted(),
+                    terms=durable.terms(),
                 ),
             )
             return
-        if words.sequence != memory.nonce:
+        if message.sequence != durable.nonce:
             return
-        before = memory.intact
-        self._formers[name] = words.former != NO_LIST
-        memory.answered(now, name, words.known_life, words.intact, words.terms)
-        if before and not memory.intact:
+        was_intact = durable.intact
+        self._unsettled_peers[name] = message.former != NO_LIST_DIGEST
+        durable.on_greeting_response(now, name, message.known_life, message.intact, message.terms)
+        if was_intact and not durable.intact:
             self._count("an old copy of the state directory")
-            self._joining, memory.joined = True, False
-            memory.nonce = self.chance.getrandbits(32)
-            self._greet_at, self._greet_every = now, GREET * self.lease
-            for one in self.duties.values():
-                self._lost(now, one, "the state directory is an old copy")
+            self._joining, durable.joined = True, False
+            durable.nonce = self.rng.getrandbits(32)
+            self._greeting_at, self._greeting_interval = now, GREETING_INTERVAL * self.lease
+            for state in self.duties.values():
+                self._end_lease(now, state, "the state directory is an old copy")
 
-    def _voted(self) -> bool:
-        return self.memory.confirmed and any(v.term for v in self.memory.voters.values())
+    def _has_voted(self) -> bool:
+        return self.durable.confirmed and any(v.term for v in self.durable.voters.values())
 
     # ---- messages ------------------------------------------------------------------------------------------
 
     def _others(self) -> list[int]:
         return [i for i in self.members if i != self.me]
 
-    def _words(self, kind: Kind, duty: int, sequence: int, term: int) -> Words:
-        here, former = self.memory.lists.digests()
-        return Words(kind, duty, sequence, term, self.shorts[self.me], here, former)
+    def _message(self, kind: Kind, duty: int, sequence: int, term: int) -> DutyMessage:
+        here, former = self.durable.lists.digests()
+        return DutyMessage(kind, duty, sequence, term, self.name_digests[self.me], here, former)
 
-    def _say(
-        self, to: int, kind: Kind, one: One, sequence: int, term: int, member: int = NOBODY, left: float = 0.0
+    def _send_about(
+        self,
+        to: int,
+        kind: Kind,
+        state: DutyState,
+        sequence: int,
+        term: int,
+        member: int = NO_MEMBER,
+        left: float = 0.0,
     ) -> None:
-        self._send(to, self._words(kind, one.number, sequence, term)._replace(member=member, left=left))
+        self._send(to, self._message(kind, state.number, sequence, term)._replace(member=member, left=left))
 
-    def _question(self, now: float, one: One, to: int, kind: Kind, term: int) -> None:
+    def _send_request(self, now: float, state: DutyState, to: int, kind: Kind, term: int) -> None:
         self._sequence = self._sequence % 0xFFFFFFFF + 1
-        if len(self._out) >= MOST_OUT:
-            self._out.pop(next(iter(self._out)))
-        self._out[self._sequence] = one.name, term, to, now
-        self._say(to, kind, one, self._sequence, term)
+        if len(self._pending) >= MAX_PENDING_REQUESTS:
+            self._pending.pop(next(iter(self._pending)))
+        self._pending[self._sequence] = state.name, term, to, now
+        self._send_about(to, kind, state, self._sequence, term)
 
-    def _send(self, to: int, words: Words) -> None:
-        self._after.append(Send(to, words))
+    def _send(self, to: int, message: DutyMessage) -> None:
+        self._outbox.append(Send(to, message))
 
     def dirty(self) -> bool:
         """Whether anything that was voted or taken is not on disk yet."""
-        return self._on_disk != self.memory.record()
+        return self._stored != self.durable.record()
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, event: str) -> None:
+        self.counts[event] = self.counts.get(event, 0) + 1
 
     # ---- what is known -------------------------------------------------------------------------------------
 
     def wake_at(self, now: float) -> float:
-        if self._due or self._after:
+        if self._decisions or self._outbox:
             return now
-        at = [self._greet_at, self.memory.settles_at if not self.memory.behind else 1e18]
-        if self.memory.shares is not None:
-            at.append(self.memory.shares.free_at)
-        for one in self.duties.values():
-            if one.lease is not None:
-                at += [one.round_at + RENEW * self.lease, one.again_at]
-                at.append(one.lease.until() if one.won else one.stood_at + self.won_within)
-            elif one.polled_at >= 0:
-                at.append(one.polled_at + self.patient)
-            elif self._may_stand(now, one):
-                at.append(one.stand_at if one.stand_at < 1e17 else self._free_at(one))
+        times = [
+            self._greeting_at,
+            self.durable.settles_at if not self.durable.region_unsettled else 1e18,
+        ]
+        if self.durable.shares is not None:
+            times.append(self.durable.shares.free_at)
+        for state in self.duties.values():
+            if state.lease is not None:
+                times += [state.round_at + RENEW_INTERVAL * self.lease, state.retry_at]
+                times.append(
+                    state.lease.expires_at() if state.won else state.candidate_from + self.candidacy_timeout
+                )
+            elif state.polled_at >= 0:
+                times.append(state.polled_at + self.poll_timeout)
+            elif self._may_be_candidate(now, state):
+                times.append(state.candidacy_at if state.candidacy_at < 1e17 else self._vacant_at(state))
             else:
-                at.append(max(self.memory.votes_from, now + 0.1 * self.lease))
-        return min(at)
+                times.append(max(self.durable.may_vote_from, now + 0.1 * self.lease))
+        return min(times)
 
-    def told(self, now: float) -> dict[str, dict[str, Any]]:
+    def duty_status(self, now: float) -> dict[str, dict[str, Any]]:
         """For each duty what this member knows of it, for people."""
-        out: dict[str, dict[str, Any]] = {}
-        for name, one in self.duties.items():
-            voter, mine = self.memory.voters[name], self.owns(now, name)
-            member, term, until = one.known
-            if mine:
-                assert one.lease is not None
-                member, term, until = self.me, mine, one.lease.until()
-            known = member != NOBODY and now < until and member < len(self.names)
-            out[name] = {
-                "owner": self.names[member] if known else "",
-                "term": max(term, voter.term, mine),
-                "lease_left": round(until - now, 3) if known else 0.0,
-                "mine": bool(mine),
-                "stands": one.lease is not None and not one.won,
-                "fence": self.memory.fence.known(name),
-                "refused": self.memory.fence.refused.get(name, 0),
-                "refused_by": dict(one.refused),
-                "standstill": "" if known else STANDSTILL.get(name, ""),
+        status: dict[str, dict[str, Any]] = {}
+        for name, state in self.duties.items():
+            voter, owned_term = self.durable.voters[name], self.owned_term(now, name)
+            member, term, until = state.known_owner
+            if owned_term:
+                assert state.lease is not None
+                member, term, until = self.me, owned_term, state.lease.expires_at()
+            is_known = member != NO_MEMBER and now < until and member < len(self.names)
+            status[name] = {
+                "owner": self.names[member] if is_known else "",
+                "term": max(term, voter.term, owned_term),
+                "lease_left": round(until - now, 3) if is_known else 0.0,
+                "mine": bool(owned_term),
+                "stands": state.lease is not None and not state.won,
+                "fence": self.durable.fence.highest_term(name),
+                "refused": self.durable.fence.refused.get(name, 0),
+                "refused_by": dict(state.refused),
+                "standstill": "" if is_known else EFFECT_WITHOUT_OWNER.get(name, ""),
             }
-        return out
+        return status
 
     def state(self, now: float) -> dict[str, Any]:
-        memory = self.memory
+        durable = self.durable
         why = (
             ""
-            if memory.votes(now)
+            if durable.may_vote(now)
             else (
                 "asks the others which terms they know"
-                if not memory.confirmed
+                if not durable.confirmed
                 else "waits until no promise of a former life can hold"
             )
         )
         return {
-            "duties": self.told(now),
+            "duties": self.duty_status(now),
             "votes": not why,
-            "why_not": why or ("" if self.fit else self.why_not),
-            "intact": memory.intact,
-            "begun": memory.begun,
-            "settled": not memory.unsettled(),
+            "why_not": why or ("" if self.eligible else self.why_not),
+            "intact": durable.intact,
+            "begun": durable.bootstrapped,
+            "settled": not durable.unsettled(),
             "clock": self.clock_good,
             "counts": dict(sorted(self.counts.items())),
         }
--- a/ledgehitch/owners/memory.py
+++ b/ledgehitch/owners/memory.py
@@ -7,14 +7,14 @@
 
 from typing import Any
 
-from ledgehitch.owners.facts import STEP, TOP, Lists, majority, promise_of
+from ledgehitch.owners.facts import MAX_TERM, MAX_TERM_STEP, MemberLists, majority, vote_duration
 from ledgehitch.owners.votes import Fence, Voter
 from ledgehitch.regions.shares import Shares
 
-VERSION = 1
+FORMAT_VERSION = 1
 
 
-class Memory:
+class DurableState:
     def __init__(
         self,
         now: float,
@@ -22,9 +22,9 @@
         stated: tuple[str, ...],
         duties: tuple[str, ...],
         lease: float,
-        held: Any,
+        stored: Any,
         nonce: int,
-        promise: float = 0.0,
+        vote_duration_override: float = 0.0,
         own_part: float = 0.0,
         gone: frozenset[str] = frozenset(),
         regions: str = "",
@@ -37,56 +37,62 @@
         site states. `scope`: the region whose duties these are, empty for those of all; a file of another
         counts as lost."""
         self.me, self.nonce, self.gone, self.scope = me, nonce, gone, scope
-        self.intact = isinstance(held, dict) and held.get("version") == VERSION
-        self.intact = self.intact and held.get("scope", "") == scope
-        votes: dict[str, Any] = held["votes"] if self.intact else {}
-        fence: dict[str, int] = held["fence"] if self.intact else {}
-        self.life = (int(held["life"]) if self.intact else 0) + 1
+        self.intact = isinstance(stored, dict) and stored.get("version") == FORMAT_VERSION
+        self.intact = self.intact and stored.get("scope", "") == scope
+        votes: dict[str, Any] = stored["votes"] if self.intact else {}
+        fence: dict[str, int] = stored["fence"] if self.intact else {}
+        self.life = (int(stored["life"]) if self.intact else 0) + 1
         self.lives: dict[str, tuple[int, int]] = {}
         if self.intact:
-            self.lives = {n: (int(a), int(b)) for n, (a, b) in held["lives"].items() if n in stated}
-        self._lives_told: dict[str, list[int]] | None = None  # as they are in a record; None: to be made anew
-        self.lists = _lists(stated, lease, own_part, regions, held if self.intact else {})
+            self.lives = {n: (int(a), int(b)) for n, (a, b) in stored["lives"].items() if n in stated}
+        self._lives_record: dict[str, list[int]] | None = (
+            None  # as they are in a record; None: to be made anew
+        )
+        self.lists = _initial_lists(stated, lease, own_part, regions, stored if self.intact else {})
         self.shares: Shares | None = None  # of the regions; where all of them are heard, and there are any
-        self.longest_lent = 0.0  # seconds that what a lease lent may go on after it
+        self.max_loan_duration = 0.0  # seconds that what a lease lent may go on after it
         # Whether another scope's list is still unsettled. Guards against gateways that say they go by a
         # version while their region's voters still give their votes by the one before the last.
-        self.behind = False
+        self.region_unsettled = False
         # A promise of the last life may have been longer than those of now.
-        before = float(held["lease"]) if self.intact else 0.0
-        self.promise = promise or promise_of(max(self.lists.longest(), before))
-        self.voters = {d: Voter(self.promise, *votes.get(d, (0, ""))) for d in duties}
+        former_lease = float(stored["lease"]) if self.intact else 0.0
+        self.vote_duration = vote_duration_override or vote_duration(
+            max(self.lists.max_lease(), former_lease)
+        )
+        self.voters = {d: Voter(self.vote_duration, *votes.get(d, (0, ""))) for d in duties}
         for voter in self.voters.values():
-            voter.started(now)
+            voter.on_start(now)
         # Guards against terms that begin anew where a duty goes to regions and comes back to all.
-        self.resting = {d: vote for d, vote in votes.items() if d not in duties}
+        self.inactive_votes = {d: vote for d, vote in votes.items() if d not in duties}
         self.fence = Fence(fence)
-        self.votes_from = now if self.intact else now + self.promise
-        self.answers: dict[str, tuple[bool, tuple[int, ...]]] = {}  # to our greeting: intact, terms
+        self.may_vote_from = now if self.intact else now + self.vote_duration
+        self.greeting_responses: dict[
+            str, tuple[bool, tuple[int, ...]]
+        ] = {}  # to our greeting: intact, terms
         self.confirmed = self.intact or len(stated) == 1
         # Whether others counted this one before, so that it had a part of what is the fleet's.
-        self.joined = self.intact and bool(held.get("joined", True))
-        self.begun = False  # terms begin here: nobody that was heard knew of any
-        self.on_new: set[str] = {me}  # who goes by the current list, of those that are in the former one
+        self.joined = self.intact and bool(stored.get("joined", True))
+        self.bootstrapped = False  # terms begin here: nobody that was heard knew of any
+        self.on_current: set[str] = {me}  # who goes by the current list, of those that are in the former one
         self.settles_at = 1e18
 
     def record(self) -> dict[str, Any]:
-        more: dict[str, Any] = {}
+        optional: dict[str, Any] = {}
         if self.lists.regions or self.lists.former_regions:
-            more |= {"regions": self.lists.regions, "former_regions": self.lists.former_regions}
+            optional |= {"regions": self.lists.regions, "former_regions": self.lists.former_regions}
         if self.scope:
-            more["scope"] = self.scope
+            optional["scope"] = self.scope
         if self.shares is not None:
-            more["shares"] = self.shares.record()
+            optional["shares"] = self.shares.record()
         # Guards against a cost of each word that rises with the members: records are held against each other.
-        if self._lives_told is None:
-            self._lives_told = {n: list(pair) for n, pair in self.lives.items()}
-        return more | {
-            "version": VERSION,
+        if self._lives_record is None:
+            self._lives_record = {n: list(pair) for n, pair in self.lives.items()}
+        return optional | {
+            "version": FORMAT_VERSION,
             "life": self.life,
-            "votes": {d: [v.term, v.member] for d, v in self.voters.items()} | self.resting,
+            "votes": {d: [v.term, v.member] for d, v in self.voters.items()} | self.inactive_votes,
             "fence": dict(self.fence.highest),
-            "lives": self._lives_told,
+            "lives": self._lives_record,
             "current": list(self.lists.current),
             "former": list(self.lists.former),
             "lease": self.lists.lease,
@@ -97,87 +103,87 @@
         }
 
     def terms(self) -> tuple[int, ...]:
-        return tuple(max(v.term, self.fence.known(d)) for d, v in self.voters.items())
+        return tuple(max(v.term, self.fence.highest_term(d)) for d, v in self.voters.items())
 
-    def votes(self, now: float) -> bool:
-        return self.confirmed and now >= self.votes_from
+    def may_vote(self, now: float) -> bool:
+        return self.confirmed and now >= self.may_vote_from
 
-    def greeted_by(self, member: str, life: int, nonce: int) -> int:
+    def on_greeting(self, member: str, life: int, nonce: int) -> int:
         """A member's life has begun; gives the life that was known of it before, 0 for none. Must be on disk
         before it is answered."""
         known = self.lives.get(member, (0, 0))
         if known[1] == nonce and known[0] == life:
             return 0
         if life > known[0]:
-            self.lives[member], self._lives_told = (life, nonce), None
+            self.lives[member], self._lives_record = (life, nonce), None
         return known[0]
 
-    def answered(
+    def on_greeting_response(
         self, now: float, member: str, known_life: int, intact: bool, terms: tuple[int, ...]
     ) -> None:
         """An answer to our greeting. One that knows a life of ours that we do not remember says that our
         file is an old copy: it counts as lost."""
         if known_life >= self.life:
             self.life = min(known_life + 1, 0xFFFFFFFF)
-            self.intact, self.confirmed, self.answers = False, False, {}
-            self.votes_from = now + self.promise
+            self.intact, self.confirmed, self.greeting_responses = False, False, {}
+            self.may_vote_from = now + self.vote_duration
             return
-        self.answers[member] = intact, terms
+        self.greeting_responses[member] = intact, terms
         if self.confirmed:
             return
-        sound = [n for n, (whole, _) in self.answers.items() if whole]
-        if len(sound) >= self._needed():
+        sound_members = [n for n, (whole, _) in self.greeting_responses.items() if whole]
+        if len(sound_members) >= self._responses_needed():
             self.confirmed = True
-        elif not sound and len(self.answers) + 1 >= majority(len(self.lists.current)):
-            self.confirmed = self.begun = True
+        elif not sound_members and len(self.greeting_responses) + 1 >= majority(len(self.lists.current)):
+            self.confirmed = self.bootstrapped = True
         if self.confirmed:
-            self._learn()
+            self._adopt_terms()
 
-    def _needed(self) -> int:
+    def _responses_needed(self) -> int:
         """Answers after a loss: any majority that may have voted with us has one of these in it."""
         n = len(self.lists.current)
         return min(majority(n), n - 1)
 
-    def _learn(self) -> None:
+    def _adopt_terms(self) -> None:
         for number, (duty, voter) in enumerate(self.voters.items()):
-            told = [terms[number] for _, terms in self.answers.values() if number < len(terms)]
-            told.append(voter.term)  # where one alone has answered it does not decide
+            reported = [terms[number] for _, terms in self.greeting_responses.values() if number < len(terms)]
+            reported.append(voter.term)  # where one alone has answered it does not decide
             # Guards against one broken member's term near the top: what most do not reach is not believed at
             # once, it is come closer to by a step.
-            highest, middle = max(told), sorted(told)[(len(told) - 1) // 2]
-            term = min(highest, max(middle, voter.term) + STEP, TOP)
+            highest, middle = max(reported), sorted(reported)[(len(reported) - 1) // 2]
+            term = min(highest, max(middle, voter.term) + MAX_TERM_STEP, MAX_TERM)
             if term > voter.term:
                 voter.term, voter.member = term, ""
-            self.fence.highest[duty] = max(self.fence.known(duty), term)
+            self.fence.highest[duty] = max(self.fence.highest_term(duty), term)
 
-    def runs(self, now: float, member: str, current: bytes) -> None:
+    def on_member_list(self, now: float, member: str, current: bytes) -> None:
         """Which list a member goes by, in words of its own that say that it votes or will. When too few go by
         the former one alone for a majority of it, no lease can be won or renewed by it any more; the longest
         that may still run is waited for. Not before a majority of the current one is there: else neither
         list had an owner until it is."""
         former = self.lists.former
-        if not self.unsettled() or member in self.on_new or current != self.lists.digests()[0]:
+        if not self.unsettled() or member in self.on_current or current != self.lists.digests()[0]:
             return
-        self.on_new.add(member)
+        self.on_current.add(member)
         if self.shares is not None:
-            self._shares_run(now)
+            self._update_shares(now)
         if not former:
             return
-        left = len(set(former) - self.on_new - self.gone)
-        enough = len(self.on_new.intersection(self.lists.current)) >= majority(len(self.lists.current))
+        left = len(set(former) - self.on_current - self.gone)
+        enough = len(self.on_current.intersection(self.lists.current)) >= majority(len(self.lists.current))
         if enough and left < majority(len(former)) and self.settles_at > 1e17:
-            self.settles_at = now + self.promise
+            self.settles_at = now + self.vote_duration
 
-    def divides(self, now: float, shares: Shares | None, longest_lent: float) -> None:
+    def set_shares(self, now: float, shares: Shares | None, max_loan_duration: float) -> None:
         """`shares` of the regions begin; None where there are none. `longest_lent`: seconds that what a
         lender lent may go on after its lease."""
-        self.shares, self.longest_lent = shares, longest_lent
-        self._shares_run(now)
+        self.shares, self.max_loan_duration = shares, max_loan_duration
+        self._update_shares(now)
 
-    def _shares_run(self, now: float) -> None:
+    def _update_shares(self, now: float) -> None:
         if self.shares is not None:
-            lease = promise_of(self.lists.any_lease())
-            self.shares.runs(now, self.on_new, self.gone, lease + self.longest_lent)
+            lease = vote_duration(self.lists.max_recorded_lease())
+            self.shares.runs(now, self.on_current, self.gone, lease + self.max_loan_duration)
 
     def unsettled(self) -> bool:
         """Whether it matters still who goes by which list."""
@@ -186,37 +192,37 @@
     def settle(self, now: float) -> bool:
         """Whether the former list, or the former shares of regions, are let go of by this."""
         shared = self.shares is not None and self.shares.settle(now)
-        if now < self.settles_at or self.behind:
+        if now < self.settles_at or self.region_unsettled:
             return shared
-        now_on = self.lists
+        lists = self.lists
         # How long leases were before, and how large own parts, is kept: loans may outlast the change.
-        self.lists = now_on._replace(former=())
+        self.lists = lists._replace(former=())
         self.settles_at = 1e18
         return True
 
 
-def _lists(
-    stated: tuple[str, ...], lease: float, own_part: float, regions: str, held: dict[str, Any]
-) -> Lists:
+def _initial_lists(
+    stated: tuple[str, ...], lease: float, own_part: float, regions: str, stored: dict[str, Any]
+) -> MemberLists:
     """One change of the list at a time: a third version waits behind one that is not settled."""
-    new = Lists(stated, (), lease, lease, own_part, own_part, regions, regions)
-    if not held.get("current"):
+    new = MemberLists(stated, (), lease, lease, own_part, own_part, regions, regions)
+    if not stored.get("current"):
         return new
     # A file of a program that knew no own part: the part that it went by is not known, so it changes.
-    own, former_own = held.get("own_part", 1.0), held.get("former_own_part", 1.0)
-    old = Lists(
-        tuple(held["current"]),
-        tuple(held["former"]),
-        held["lease"],
-        held["former_lease"],
+    own, former_own = stored.get("own_part", 1.0), stored.get("former_own_part", 1.0)
+    old = MemberLists(
+        tuple(stored["current"]),
+        tuple(stored["former"]),
+        stored["lease"],
+        stored["former_lease"],
         own,
         former_own,
-        held.get("regions", ""),
-        held.get("former_regions", ""),
+        stored.get("regions", ""),
+        stored.get("former_regions", ""),
     )
     if (old.current, old.lease, old.own_part, old.regions) == (stated, lease, own_part, regions):
         return old
     before = (old.former, old.former_lease, old.former_own_part, old.former_regions)
     if old.former and before != (stated, lease, own_part, regions):
         return old
-    return Lists(stated, old.current, lease, old.lease, own_part, own, regions, old.regions)
+    return MemberLists(stated, old.current, lease, old.lease, own_part, own, regions, old.regions)
--- a/ledgehitch/owners/votes.py
+++ b/ledgehitch/owners/votes.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from ledgehitch.owners.facts import STEP, TOP, Lists, majority
+from ledgehitch.owners.facts import MAX_TERM, MAX_TERM_STEP, MemberLists, majority
 
 
 @dataclass(slots=True)
@@ -17,69 +17,69 @@
     """One duty at one voter. `term` and `member` must be on disk before a grant is answered; `until` is never
     there: a voter that starts anew binds itself for a whole `promise` (seconds of its own clock)."""
 
-    promise: float
+    vote_duration: float
     term: int = 0
     member: str = ""  # whom this term was given to; empty: to nobody, or it was given back
-    until: float = -1e18
+    bound_until: float = -1e18
 
-    def bound(self, now: float) -> bool:
-        return bool(self.member) and now < self.until
+    def is_bound(self, now: float) -> bool:
+        return bool(self.member) and now < self.bound_until
 
-    def started(self, now: float) -> None:
+    def on_start(self, now: float) -> None:
         """After a start: what was promised may still run, and for how long is not known."""
         if self.member:
-            self.until = now + self.promise
+            self.bound_until = now + self.vote_duration
 
-    def asked(self, now: float, term: int, member: str) -> bool:
+    def on_vote_request(self, now: float, term: int, member: str) -> bool:
         """Whether this member may be owner under this term; asked again, the promise lengthens."""
-        if term < self.term or term > min(self.term + STEP, TOP):
+        if term < self.term or term > min(self.term + MAX_TERM_STEP, MAX_TERM):
             return False
         if term == self.term:
             if not self.member or member != self.member:
                 return False
-        elif self.bound(now) and member != self.member:
+        elif self.is_bound(now) and member != self.member:
             return False
         self.term, self.member = term, member
-        self.until = max(self.until, now + self.promise)
+        self.bound_until = max(self.bound_until, now + self.vote_duration)
         return True
 
-    def given_back(self, term: int, member: str) -> bool:
+    def on_release(self, term: int, member: str) -> bool:
         """Its owner is owner no longer, in words of its own; this term is never given again."""
         if (term, member) != (self.term, self.member):
             return False
-        self.member, self.until = "", -1e18
+        self.member, self.bound_until = "", -1e18
         return True
 
 
 class Lease:
     """One term as its owner sees it. It ends by itself, and for good."""
 
-    def __init__(self, term: int, lists: Lists, lease: float) -> None:
-        self.term, self.lists, self.lease = term, lists, lease
-        self.asked_at: dict[str, float] = {}  # by who granted: when it was asked for what it granted
+    def __init__(self, term: int, lists: MemberLists, duration: float) -> None:
+        self.term, self.lists, self.duration = term, lists, duration
+        self.requested_at: dict[str, float] = {}  # by who granted: when it was asked for what it granted
         self.ended = False
-        self._seen = -1e18  # the latest time that was read
+        self._latest_read = -1e18  # the latest time that was read
 
-    def granted(self, member: str, asked_at: float) -> None:
-        self.asked_at[member] = max(asked_at, self.asked_at.get(member, -1e18))
+    def on_grant(self, member: str, requested_at: float) -> None:
+        self.requested_at[member] = max(requested_at, self.requested_at.get(member, -1e18))
 
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """Up to when it holds: a majority of each list was asked at the earliest a lease before."""
         ends = []
-        for one in self.lists.all():
-            asked = sorted((self.asked_at[n] for n in one if n in self.asked_at), reverse=True)
-            most = majority(len(one))
-            ends.append(asked[most - 1] + self.lease if len(asked) >= most else -1e18)
+        for names in self.lists.in_force():
+            requested = sorted((self.requested_at[n] for n in names if n in self.requested_at), reverse=True)
+            needed = majority(len(names))
+            ends.append(requested[needed - 1] + self.duration if len(requested) >= needed else -1e18)
         return min(ends)
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Looked at before every effect. A clock that jumped back cannot keep it: it ends it."""
-        if now < self._seen:
+        if now < self._latest_read:
             self.ended = True
-        self._seen = max(self._seen, now)
-        if not self.ended and self.asked_at and now >= self.until() > -1e18:
+        self._latest_read = max(self._latest_read, now)
+        if not self.ended and self.requested_at and now >= self.expires_at() > -1e18:
             self.ended = True  # no late answer wakes it up again: who asked may have stood still
-        return not self.ended and now < self.until()
+        return not self.ended and now < self.expires_at()
 
 
 class Fence:
@@ -90,14 +90,14 @@
         self.highest: dict[str, int] = dict(highest or {})
         self.refused: dict[str, int] = {}
 
-    def known(self, duty: str) -> int:
+    def highest_term(self, duty: str) -> int:
         return self.highest.get(duty, 0)
 
-    def takes(self, duty: str, term: int) -> bool:
+    def accepts(self, duty: str, term: int) -> bool:
         """Whether an effect of this term may be carried out; one that is lower, none, or out of reach may
         not, and changes nothing."""
-        known = self.known(duty)
-        if not 0 < term <= TOP or not known <= term <= known + STEP:
+        known = self.highest_term(duty)
+        if not 0 < term <= MAX_TERM or not known <= term <= known + MAX_TERM_STEP:
             self.refused[duty] = self.refused.get(duty, 0) + 1
             return False
         self.highest[duty] = term
--- a/ledgehitch/owners/words.py
+++ b/ledgehitch/owners/words.py
@@ -9,18 +9,18 @@
 import struct
 from typing import Literal, NamedTuple
 
-FIRST = 32  # the kinds of membership lie below
+FIRST_KIND = 32  # the kinds of membership lie below
 Kind = Literal["poll", "free", "ask", "grant", "deny", "yield", "told", "greet", "greeted"]
 KINDS: tuple[Kind, ...] = ("poll", "free", "ask", "grant", "deny", "yield", "told", "greet", "greeted")
-HEAD = struct.Struct(">BBIQ4s4s4s")
-TAIL = struct.Struct(">HI")
-LIVES = struct.Struct(">IIBB")
+HEADER = struct.Struct(">BBIQ4s4s4s")
+OWNER = struct.Struct(">HI")
+GREETING = struct.Struct(">IIBB")
 TERM = struct.Struct(">Q")
-MOST_DUTIES = 32
-NOBODY = 0xFFFF
+MAX_DUTIES = 32
+NO_MEMBER = 0xFFFF
 
 
-class Words(NamedTuple):
+class DutyMessage(NamedTuple):
     """`member`, `left`: whom a `deny` or `told` names as owner and for how long (seconds), or whom a `yield`
     names as successor. `terms` by the duties' numbers, in greetings alone."""
 
@@ -31,7 +31,7 @@
     who: bytes
     list: bytes
     former: bytes
-    member: int = NOBODY
+    member: int = NO_MEMBER
     left: float = 0.0
     life: int = 0
     known_life: int = 0
@@ -39,51 +39,51 @@
     terms: tuple[int, ...] = ()
 
 
-class BadWords(ValueError):
+class InvalidMessage(ValueError):
     """What came is none of these; the text says why."""
 
 
-def written(words: Words) -> bytes:
-    head = HEAD.pack(
-        FIRST + KINDS.index(words.kind),
-        words.duty,
-        words.sequence & 0xFFFFFFFF,
-        words.term,
-        words.who,
-        words.list,
-        words.former,
+def encode(message: DutyMessage) -> bytes:
+    header = HEADER.pack(
+        FIRST_KIND + KINDS.index(message.kind),
+        message.duty,
+        message.sequence & 0xFFFFFFFF,
+        message.term,
+        message.who,
+        message.list,
+        message.former,
     )
-    if words.kind in ("deny", "told", "yield"):
-        return head + TAIL.pack(words.member, max(0, min(int(words.left * 1000), 0xFFFFFFFF)))
-    if words.kind in ("greet", "greeted"):
-        some = words.terms[:MOST_DUTIES]
-        lives = LIVES.pack(words.life, words.known_life, words.intact, len(some))
-        return head + lives + b"".join(TERM.pack(term) for term in some)
-    return head
+    if message.kind in ("deny", "told", "yield"):
+        return header + OWNER.pack(message.member, max(0, min(int(message.left * 1000), 0xFFFFFFFF)))
+    if message.kind in ("greet", "greeted"):
+        terms = message.terms[:MAX_DUTIES]
+        greeting = GREETING.pack(message.life, message.known_life, message.intact, len(terms))
+        return header + greeting + b"".join(TERM.pack(term) for term in terms)
+    return header
 
 
-def read(data: bytes) -> Words:
+def decode(data: bytes) -> DutyMessage:
     """Raises `BadWords`."""
-    if len(data) < HEAD.size:
-        raise BadWords("short")
-    number, duty, sequence, term, who, here, former = HEAD.unpack_from(data)
-    if not FIRST <= number < FIRST + len(KINDS):
-        raise BadWords("kind")
-    kind, rest = KINDS[number - FIRST], data[HEAD.size :]
-    words = Words(kind, duty, sequence, term, who, here, former)
+    if len(data) < HEADER.size:
+        raise InvalidMessage("short")
+    number, duty, sequence, term, who, here, former = HEADER.unpack_from(data)
+    if not FIRST_KIND <= number < FIRST_KIND + len(KINDS):
+        raise InvalidMessage("kind")
+    kind, rest = KINDS[number - FIRST_KIND], data[HEADER.size :]
+    message = DutyMessage(kind, duty, sequence, term, who, here, former)
     if kind in ("deny", "told", "yield"):
-        if len(rest) != TAIL.size:
-            raise BadWords("length")
-        member, left = TAIL.unpack(rest)
-        return words._replace(member=member, left=left / 1000)
+        if len(rest) != OWNER.size:
+            raise InvalidMessage("length")
+        member, left = OWNER.unpack(rest)
+        return message._replace(member=member, left=left / 1000)
     if kind in ("greet", "greeted"):
-        if len(rest) < LIVES.size:
-            raise BadWords("length")
-        life, known, intact, count = LIVES.unpack_from(rest)
-        if intact > 1 or count > MOST_DUTIES or len(rest) != LIVES.size + count * TERM.size:
-            raise BadWords("length")
-        terms = tuple(t for (t,) in TERM.iter_unpack(rest[LIVES.size :]))
-        return words._replace(life=life, known_life=known, intact=bool(intact), terms=terms)
+        if len(rest) < GREETING.size:
+            raise InvalidMessage("length")
+        life, known, intact, count = GREETING.unpack_from(rest)
+        if intact > 1 or count > MAX_DUTIES or len(rest) != GREETING.size + count * TERM.size:
+            raise InvalidMessage("length")
+        terms = tuple(t for (t,) in TERM.iter_unpack(rest[GREETING.size :]))
+        return message._replace(life=life, known_life=known, intact=bool(intact), terms=terms)
     if rest:
-        raise BadWords("length")
-    return words
+        raise InvalidMessage("length")
+    return message
--- a/ledgehitch/scale/plan.py
+++ b/ledgehitch/scale/plan.py
@@ -10,7 +10,7 @@
 
 from ledgehitch.config.read import BadInput, read_record
 from ledgehitch.config.site import Amount, Count, Name, Positive, Record, Share
-from ledgehitch.owners.facts import BUDGETS, DUTIES, rank
+from ledgehitch.owners.facts import BUDGETS, DUTIES, rank_members
 
 MOST_PROCESSES = 300  # of a run, with the copies that write votes to disk
 LONGEST = 3600.0  # seconds of a run
@@ -149,7 +149,7 @@
     """The numbers of the real members. Those that should lend to all and to their regions are among them, so
     that what a lender takes is seen at a process of its own; the others fill up zones."""
     zones = [i * plan.zones // plan.members for i in range(plan.members)]
-    order = rank(BUDGETS, [f"g{i}" for i in range(plan.members)])
+    order = rank_members(BUDGETS, [f"g{i}" for i in range(plan.members)])
     firsts = [order[0]]
     for some in plan.regions.values():
         firsts += [i for i in order if f"z{zones[i]}" in some][:1]
--- a/ledgehitch/standins/wires.py
+++ b/ledgehitch/standins/wires.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from ledgehitch.budgets.words import FIRST as OF_BUDGETS
-from ledgehitch.budgets.words import BadWords
-from ledgehitch.budgets.words import Words as Loan
-from ledgehitch.budgets.words import read as read_loan
+from ledgehitch.budgets.words import FIRST_KIND as OF_BUDGETS
+from ledgehitch.budgets.words import InvalidMessage
+from ledgehitch.budgets.words import LoanMessage as Loan
+from ledgehitch.budgets.words import decode as read_loan
 from ledgehitch.http import Client, ConnectFailed, Interrupted, NoAnswer, Request, Response, Server
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, TimedOut, endpoint
 from ledgehitch.proof.tape import Tape
@@ -123,7 +123,7 @@
             return None
         try:
             return read_loan(body)
-        except BadWords:
+        except InvalidMessage:
             return None
 
     # ---- steps ---------------------------------------------------------------------------------------------
--- a/tests/explore_budgets.py
+++ b/tests/explore_budgets.py
@@ -19,10 +19,10 @@
 from ledgehitch.budgets.facts import WHOLE, Budget
 from ledgehitch.budgets.ledger import Ledger
 from ledgehitch.budgets.lender import Lender
-from ledgehitch.budgets.parts import OwnPart, lent_by
-from ledgehitch.budgets.units import spread
-from ledgehitch.budgets.words import Words
-from ledgehitch.owners.facts import Lists
+from ledgehitch.budgets.parts import OwnPart, lending_terms
+from ledgehitch.budgets.units import spread_units
+from ledgehitch.budgets.words import LoanMessage
+from ledgehitch.owners.facts import MemberLists
 from tests.interleavings import Exploration
 
 LOAN, FAST, RENEWED = 2.0, 2.0, 9.0
@@ -34,7 +34,7 @@
 class Message(NamedTuple):
     sender: int
     to: int
-    words: Words
+    words: LoanMessage
 
 
 class Corner(NamedTuple):
@@ -58,7 +58,10 @@
 
 # Four things, of which one is nobody's to lend: one of three has it.
 COUNT = Budget(NAME, "count", 1.0, WHOLE // 4)
-assert spread(1, NAME, NAMES) == {"0": 0, "1": 0, "2": 1} and spread(1, NAME, NAMES[:2]) == {"0": 1, "1": 0}
+assert spread_units(1, NAME, NAMES) == {"0": 0, "1": 0, "2": 1} and spread_units(1, NAME, NAMES[:2]) == {
+    "0": 1,
+    "1": 0,
+}
 TAKE_OVER = Corner(doubles=False)
 # Each member speaks to the new lender, so that it need not wait.
 GIVEN_UP = Corner(gives_up=True, borrowers=(0, 1, 2), doubles=False, ends=3.0)
@@ -199,24 +202,28 @@
             tuple(self.lives),
             tuple(self.asked),
             tuple(
-                b and (b.term, b.number, b.loans, b.until, tuple(b._asked.items())) for b in self.borrowers
+                b and (b.term, b.number, b.loans, b.loan_until, tuple(b._requested_at.items()))
+                for b in self.borrowers
             ),
             tuple(
                 x
                 and (
                     x.term,
                     x._number,
-                    tuple(x.waits),
-                    tuple(sorted(x.silent)),
+                    tuple(x.waits_until),
+                    tuple(sorted(x.unheard)),
                     repr(x.wanted),
                     repr(x.targets),
-                    repr(sorted(x.ledger.takers.items())),
+                    repr(sorted(x.ledger.borrowers.items())),
                     repr(x.ledger.pool),
-                    repr([(t._began, t._waits) for t in x.turns]),
+                    repr([(t._turn_started, t._waiting_since) for t in x.turns]),
                 )
                 for x in self.lenders
             ),
-            tuple((own.lists, own._listed_at, own._began, tuple(own._before.items())) for own in self.owns),
+            tuple(
+                (own.lists, own._list_changed_at, own._started_at, tuple(own._former_parts.items()))
+                for own in self.owns
+            ),
         )
 
     def part(self, me: int) -> int:
@@ -228,10 +235,10 @@
             return self.own(me) + b.loans[0]
         looks = _borrower(b)
         looks.own = (self.own(me),)
-        return looks.part(self.clock(me), NAME)
+        return looks.available(self.clock(me), NAME)
 
     def own(self, me: int) -> int:
-        own = self.owns[me].at(self.clock(me), True, had=True)[0]
+        own = self.owns[me].parts_at(self.clock(me), True, had_part=True)[0]
         if self.spoilt == "every gateway rounds its own part up":
             return max(own, self.corner.unit.grain)
         return own
@@ -252,27 +259,27 @@
         self.asked[me] = 0
         self.borrowers[me] = Borrower([self.corner.unit], [0], self.lives[me], [DIGEST], LOAN)
         old = self.corner.former if self.lives[me] == 1 and me not in self.corner.lenders else ()
-        lists = Lists(NAMES, self.corner.former, 0.0, 0.0, OWN_PART, OWN_PART)
+        lists = MemberLists(NAMES, self.corner.former, 0.0, 0.0, OWN_PART, OWN_PART)
         if str(me) in old:
             lists = lists._replace(current=old, former=())
         if self.spoilt == "own things by the new list alone":
             lists = lists._replace(former=())
         self.owns[me] = OwnPart(self.clock(me), lists, str(me), [self.corner.unit])
         if self.spoilt == "a new life has its own things at once":
-            self.owns[me]._began = LONG_AGO
+            self.owns[me]._started_at = LONG_AGO
 
     def settled(self, me: int) -> None:
         """It hears that nobody goes by the former list any more."""
         own = self.owns[me]
-        own.listed(self.clock(me), own.lists._replace(former=()))
+        own.on_list_change(self.clock(me), own.lists._replace(former=()))
         if self.spoilt == "what comes with a list is had at once":
-            own._before = {}
+            own._former_parts = {}
         if (lender := self.lenders[me]) is not None:
-            lender.of(lender.budgets, *self.lent_by(me), lender.digests)
+            lender.reconfigure(lender.budgets, *self.lending_terms(me), lender.digests)
 
-    def lent_by(self, me: int) -> tuple[dict[int, tuple[int, ...]], tuple[int, ...], set[int]]:
+    def lending_terms(self, me: int) -> tuple[dict[int, tuple[int, ...]], tuple[int, ...], set[int]]:
         numbers = {name: number for number, name in enumerate(NAMES)}
-        return lent_by([self.corner.unit], self.owns[me].lists, frozenset(), numbers)
+        return lending_terms([self.corner.unit], self.owns[me].lists, frozenset(), numbers)
 
     def crash(self, me: int) -> None:
         parts, since = self.out[me]
@@ -288,9 +295,11 @@
         c = self.corner
         self.owner, self.term, self.lease = me, self.term + 1, self.now + c.lease
         bound = FAST - 1.0 if max(c.rates) > 1.0 and self.spoilt != "no allowance for clocks" else 0.0
-        lender = Lender(self.clock(me), self.term, [c.unit], *self.lent_by(me), [DIGEST], LOAN, bound=bound)
+        lender = Lender(
+            self.clock(me), self.term, [c.unit], *self.lending_terms(me), [DIGEST], LOAN, clock_drift=bound
+        )
         if self.spoilt == "a new owner lends at once":
-            lender.waits = [self.clock(me)]
+            lender.waits_until = [self.clock(me)]
         if self.spoilt in ("the own part is lent as well", "a thing is lent that is somebody's own"):
             lender.ledger.pool = (WHOLE,)
         self.lenders[me] = lender
@@ -298,10 +307,10 @@
     def asks(self, me: int, all_of_it: bool) -> None:
         b = self.borrowers[me]
         assert b is not None
-        b._ask_at = -1e18
+        b._next_request_at = -1e18
         b.own = (self.own(me),)
         used = {NAME: self.out[me][0]}
-        words = b.asks(self.clock(me), self.term, used, {NAME: WHOLE if all_of_it else 0})
+        words = b.next_request(self.clock(me), self.term, used, {NAME: WHOLE if all_of_it else 0})
         if words is None:
             return
         if self.spoilt == "given back is counted twice":
@@ -315,10 +324,10 @@
             lender = self.lenders[x.to]
             if lender is None or self.owner != x.to or self.now >= self.lease or self.prepared[x.to]:
                 return
-            lender._divided_at = -1e18
+            lender._last_division_at = -1e18
             if self.spoilt == "a new life takes the place of the last":
-                lender.ledger.takers.get(x.sender, {}).clear()
-            answer = lender.wants(now, x.sender, x.words)
+                lender.ledger.borrowers.get(x.sender, {}).clear()
+            answer = lender.on_request(now, x.sender, x.words)
             if answer is not None:
                 self.prepared[x.to] = Message(x.to, x.sender, answer)
             return
@@ -327,16 +336,16 @@
             return
         if self.spoilt == "a borrower ignores terms" and words.term < b.term and not b.number:
             words = words._replace(term=b.term)
-        if self.spoilt == "loan counted from the answer" and words.sequence in b._asked:
-            b._asked[words.sequence] = now
+        if self.spoilt == "loan counted from the answer" and words.sequence in b._requested_at:
+            b._requested_at[words.sequence] = now
         if self.spoilt == "an overtaken loan is taken":
             b.number = 0
-        b.lent(now, words)
+        b.on_loan(now, words)
 
 
 def _borrower(b: Borrower) -> Borrower:
     new = copy.copy(b)
-    new._asked, new.counts = dict(b._asked), {}
+    new._requested_at, new.counts = dict(b._requested_at), {}
     return new
 
 
@@ -346,30 +355,33 @@
     new.ledger = Ledger(old.budgets, old.pool)
     new.turns = [copy.copy(turns) for turns in x.turns]
     for turns in new.turns:
-        turns._began, turns._waits = dict(turns._began), dict(turns._waits)
-    for member, lives in old.takers.items():
-        new.ledger.takers[member] = {}
+        turns._turn_started, turns._waiting_since = dict(turns._turn_started), dict(turns._waiting_since)
+    for member, lives in old.borrowers.items():
+        new.ledger.borrowers[member] = {}
         for life, one in lives.items():
             other = copy.copy(one)
             other.loans = list(one.loans)
-            new.ledger.takers[member][life] = other
-    new.ledger.taken, new.ledger.sums = {m: list(t) for m, t in old.taken.items()}, list(old.sums)
-    new.ledger._ends = list(old._ends)
+            new.ledger.borrowers[member][life] = other
+    new.ledger.reserved, new.ledger.reserved_sums = (
+        {m: list(t) for m, t in old.reserved.items()},
+        list(old.reserved_sums),
+    )
+    new.ledger._expiries = list(old._expiries)
     new.wanted, new.targets, new.counts = dict(x.wanted), [dict(t) for t in x.targets], {}
-    new.waits, new.silent = list(x.waits), set(x.silent)
+    new.waits_until, new.unheard = list(x.waits_until), set(x.unheard)
     return new
 
 
 def begun(corner: Corner, spoilt: str = "") -> World:
     w = World(corner, spoilt, 0.0, [None] * 3, [None] * 3, [None] * 3, [0] * 3, [0] * 3, ((0, 0.0),) * 3)
-    w.owns = [OwnPart(0.0, Lists(NAMES), str(me), [corner.unit]) for me in range(3)]
+    w.owns = [OwnPart(0.0, MemberLists(NAMES), str(me), [corner.unit]) for me in range(3)]
     for me in range(3):
         w.start(me)
-        w.owns[me]._began = w.owns[me]._listed_at = LONG_AGO
+        w.owns[me]._started_at = w.owns[me]._list_changed_at = LONG_AGO
     w.wins(corner.lenders[0])
     lender = w.lenders[corner.lenders[0]]
     assert lender is not None
-    lender.waits = [0.0]  # the fleet begins with it
+    lender.waits_until = [0.0]  # the fleet begins with it
     return w
 
 
--- a/tests/explore_owners.py
+++ b/tests/explore_owners.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ledgehitch.owners.facts import Lists
-from ledgehitch.owners.memory import Memory
+from ledgehitch.owners.facts import MemberLists
+from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.votes import Fence, Lease, Voter
 from tests.interleavings import Exploration
 
@@ -128,7 +128,7 @@
     corner: Corner
     spoilt: str
     now: float = 0.0
-    members: list[Memory | None] = field(default_factory=list)
+    members: list[DurableState | None] = field(default_factory=list)
     leases: list[Lease | None] = field(default_factory=list)
     checked: list[int] = field(default_factory=list)  # the term found good, by who stopped before its effect
     disks: list[Any] = field(default_factory=list)
@@ -170,20 +170,20 @@
                 and (
                     m.voters[DUTY].term,
                     m.voters[DUTY].member,
-                    m.voters[DUTY].until,
-                    m.fence.known(DUTY),
+                    m.voters[DUTY].bound_until,
+                    m.fence.highest_term(DUTY),
                     m.lists.former,
-                    m.votes_from,
+                    m.may_vote_from,
                     m.confirmed,
                     m.intact,
-                    tuple(sorted(m.answers)),
-                    tuple(sorted(m.on_new)),
+                    tuple(sorted(m.greeting_responses)),
+                    tuple(sorted(m.on_current)),
                     m.settles_at,
                     m.life,
                 )
                 for m in self.members
             ),
-            tuple(x and (x.term, tuple(sorted(x.asked_at.items())), x.ended) for x in self.leases),
+            tuple(x and (x.term, tuple(sorted(x.requested_at.items())), x.ended) for x in self.leases),
             tuple(repr(d) for d in self.disks),
         )
 
@@ -194,7 +194,7 @@
         holding = 0
         for me, lease in enumerate(self.leases):
             if lease is not None and self.members[me] is not None:
-                holding += _lease(lease).holds(self.clock(me))
+                holding += _lease(lease).is_valid(self.clock(me))
         if holding > 1:
             self.breach = "two owners at one moment"
         return not self.breach
@@ -217,16 +217,16 @@
         if max(c.rates) == 1.0:
             promise = LEASE
         self.lives[me] += 1
-        m = Memory(self.clock(me), str(me), stated, (DUTY,), LEASE, held, self.lives[me], promise)
+        m = DurableState(self.clock(me), str(me), stated, (DUTY,), LEASE, held, self.lives[me], promise)
         if self.spoilt == "votes at once after a restart":
-            m.voters[DUTY].until = -1e18
+            m.voters[DUTY].bound_until = -1e18
         if self.spoilt == "fence forgotten at a restart":
             m.fence = Fence()
         if self.spoilt == "a lost file is believed":
-            m.intact, m.confirmed, m.votes_from = True, True, self.clock(me) + promise
+            m.intact, m.confirmed, m.may_vote_from = True, True, self.clock(me) + promise
         # Where nobody comes back with another file than its own, greetings only add states: left out.
         if not c.stale and not c.empty:
-            m.confirmed, m.votes_from = True, min(m.votes_from, self.clock(me))
+            m.confirmed, m.may_vote_from = True, min(m.may_vote_from, self.clock(me))
         self.members[me] = m
         if self.spoilt != "votes are not on disk":
             self.disks[me] = m.record()
@@ -240,14 +240,14 @@
         m, now = self.members[me], self.clock(me)
         assert m is not None
         voter = m.voters[DUTY]
-        if not m.votes(now) or voter.term + above > self.corner.terms:
+        if not m.may_vote(now) or voter.term + above > self.corner.terms:
             return False
-        if not voter.asked(now, voter.term + above, str(me)):
+        if not voter.on_vote_request(now, voter.term + above, str(me)):
             return False
         self.keep(me)
         lists = m.lists
         if self.spoilt == "majority of those alive":
-            lists = Lists(tuple(str(i) for i, one in enumerate(self.members) if one is not None))
+            lists = MemberLists(tuple(str(i) for i, one in enumerate(self.members) if one is not None))
         self.leases[me] = Lease(voter.term, lists, LEASE)
         self._own(me)
         return True
@@ -255,8 +255,8 @@
     def _own(self, me: int) -> None:
         m, lease, now = self.members[me], self.leases[me], self.clock(me)
         assert m is not None and lease is not None
-        if m.voters[DUTY].asked(now, lease.term, str(me)):
-            lease.granted(str(me), now)
+        if m.voters[DUTY].on_vote_request(now, lease.term, str(me)):
+            lease.on_grant(str(me), now)
 
     def asks(self, me: int, to: int) -> None:
         m, lease = self.members[me], self.leases[me]
@@ -267,7 +267,7 @@
     def gives_back(self, me: int, to: int) -> None:
         m, lease = self.members[me], self.leases[me]
         assert m is not None and lease is not None
-        m.voters[DUTY].given_back(lease.term, str(me))
+        m.voters[DUTY].on_release(lease.term, str(me))
         self.keep(me)
         self.leases[me] = None
         self.wire += (Message("back", me, to, lease.term),)
@@ -277,12 +277,12 @@
         if m is None:
             return
         if x.lists[0]:
-            m.runs(now, str(x.sender), x.lists[0])
+            m.on_member_list(now, str(x.sender), x.lists[0])
         match x.kind:
             case "ask":
-                if not m.votes(now) or not m.lists.covered_by(*x.lists):
+                if not m.may_vote(now) or not m.lists.covered_by(*x.lists):
                     return
-                if m.voters[DUTY].asked(now, x.term, str(x.sender)):
+                if m.voters[DUTY].on_vote_request(now, x.term, str(x.sender)):
                     lease = self.leases[x.to]
                     if lease is not None and lease.term < x.term:
                         self.leases[x.to] = None
@@ -293,16 +293,16 @@
                 lease = self.leases[x.to]
                 if lease is not None and lease.term == x.term:
                     from_answer = self.spoilt == "lease counted from the answer"
-                    lease.granted(str(x.sender), now if from_answer else x.asked_at)
+                    lease.on_grant(str(x.sender), now if from_answer else x.asked_at)
             case "back":
-                if m.voters[DUTY].given_back(x.term, str(x.sender)):
+                if m.voters[DUTY].on_release(x.term, str(x.sender)):
                     self.keep(x.to)
             case "effect":
                 self._effect(x, m)
             case "greet":
-                known = m.greeted_by(str(x.sender), x.life, x.nonce)
+                known = m.on_greeting(str(x.sender), x.life, x.nonce)
                 self.keep(x.to)
-                sound = m.intact or (m.confirmed and not m.begun)
+                sound = m.intact or (m.confirmed and not m.bootstrapped)
                 self.wire += (
                     Message(
                         "greeted",
@@ -319,31 +319,31 @@
                 )
             case "greeted":
                 if x.nonce == m.nonce:
-                    m.answered(now, str(x.sender), x.known, x.sound, (x.term,))
+                    m.on_greeting_response(now, str(x.sender), x.known, x.sound, (x.term,))
 
-    def _effect(self, x: Message, m: Memory) -> None:
+    def _effect(self, x: Message, m: DurableState) -> None:
         if not m.confirmed:
             return
-        if self.spoilt == "no fence" or m.fence.takes(DUTY, x.term):
+        if self.spoilt == "no fence" or m.fence.accepts(DUTY, x.term):
             self.keep(x.to)
             if x.term < self.taken:
                 self.breach = f"an effect of term {x.term} was taken after one of term {self.taken}"
             self.taken = max(self.taken, x.term)
 
 
-def _memory(m: Memory) -> Memory:
-    new = Memory.__new__(Memory)
+def _memory(m: DurableState) -> DurableState:
+    new = DurableState.__new__(DurableState)
     new.__dict__.update(m.__dict__)
     old = m.voters[DUTY]
-    new.voters = {DUTY: Voter(old.promise, old.term, old.member, old.until)}
+    new.voters = {DUTY: Voter(old.vote_duration, old.term, old.member, old.bound_until)}
     new.fence, new.lives = Fence(m.fence.highest), dict(m.lives)
-    new.answers, new.on_new = dict(m.answers), set(m.on_new)
+    new.greeting_responses, new.on_current = dict(m.greeting_responses), set(m.on_current)
     return new
 
 
 def _lease(lease: Lease) -> Lease:
-    new = Lease(lease.term, lease.lists, lease.lease)
-    new.asked_at, new.ended, new._seen = dict(lease.asked_at), lease.ended, lease._seen
+    new = Lease(lease.term, lease.lists, lease.duration)
+    new.requested_at, new.ended, new._latest_read = dict(lease.requested_at), lease.ended, lease._latest_read
     return new
 
 
@@ -353,13 +353,13 @@
     stated = tuple(str(i) for i in range(corner.stated))
     for me in range(n):
         if me < corner.stated:
-            m = Memory(0.0, str(me), stated, (DUTY,), LEASE, None, 0)
+            m = DurableState(0.0, str(me), stated, (DUTY,), LEASE, None, 0)
             m.intact, m.life = True, 0  # all have told each other that they begin
             w.disks[me] = w.first[me] = m.record()
         w.start(me, w.disks[me])
         one = w.members[me]
         assert one is not None
-        one.confirmed, one.votes_from = True, 0.0
+        one.confirmed, one.may_vote_from = True, 0.0
         one.lives = {str(i): (1, 1) for i in range(n) if i != me}
         # The old copy is of the life that runs: its number of lives does not tell it from the last one.
         w.disks[me] = w.first[me] = one.record()
@@ -398,7 +398,7 @@
         yield from _owner_steps(w, me, room)
         if (c.stale or c.empty) and not m.confirmed and room:
             for to in range(c.stated):
-                if to != me and str(to) not in m.answers and w.members[to] is not None:
+                if to != me and str(to) not in m.greeting_responses and w.members[to] is not None:
                     new = w.copied()
                     new.wire += (Message("greet", me, to, 0, 0.0, m.lists.digests(), m.life, m.nonce),)
                     yield f"{me} greets {to}", new
@@ -429,7 +429,11 @@
             return
     elif room:
         for to, other in enumerate(w.members):
-            if to != me and other is not None and str(to) in {n for one in lease.lists.all() for n in one}:
+            if (
+                to != me
+                and other is not None
+                and str(to) in {n for one in lease.lists.in_force() for n in one}
+            ):
                 new = w.copied()
                 new.asks(me, to)
                 yield f"{me} asks {to}", new
@@ -437,7 +441,7 @@
                     new = w.copied()
                     new.gives_back(me, to)
                     yield f"{me} gives back, told to {to}", new
-    if lease is not None and c.effects and not w.checked[me] and _lease(lease).holds(w.clock(me)):
+    if lease is not None and c.effects and not w.checked[me] and _lease(lease).is_valid(w.clock(me)):
         new = w.copied()
         new.checked[me] = lease.term
         yield f"{me} checks its lease", new
--- a/tests/explore_regions.py
+++ b/tests/explore_regions.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ledgehitch.owners.facts import Lists, promise_of
-from ledgehitch.owners.memory import Memory
+from ledgehitch.owners.facts import MemberLists, vote_duration
+from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.votes import Fence, Lease, Voter
 from ledgehitch.regions.facts import WHOLE, Region, digest_of
 from ledgehitch.regions.shares import Shares
@@ -117,7 +117,7 @@
 
 @dataclass
 class Gateway:
-    scopes: dict[str, Memory]  # by duty
+    scopes: dict[str, DurableState]  # by duty
     leases: dict[str, Lease | None]
     region: str
     checked: tuple[float, int] | None = None  # its clock when it was asked, and the share it lends
@@ -175,17 +175,20 @@
                         (
                             v.term,
                             v.member,
-                            v.until,
+                            v.bound_until,
                             m.lists,
-                            m.votes_from,
+                            m.may_vote_from,
                             m.settles_at,
-                            tuple(sorted(m.on_new)),
+                            tuple(sorted(m.on_current)),
                             m.shares and (m.shares.known, m.shares.free_at, m.shares.former),
                         )
                         for m in g.scopes.values()
                         for v in m.voters.values()
                     ),
-                    *(x and (x.term, tuple(sorted(x.asked_at.items())), x.ended) for x in g.leases.values()),
+                    *(
+                        x and (x.term, tuple(sorted(x.requested_at.items())), x.ended)
+                        for x in g.leases.values()
+                    ),
                 )
                 for g in self.up
             ),
@@ -199,7 +202,7 @@
         owners: dict[tuple[str, str], int] = {}
         for me, g in enumerate(self.up):
             for duty, lease in g.leases.items():
-                if lease is not None and _lease(lease).holds(self.clock(me)):
+                if lease is not None and _lease(lease).is_valid(self.clock(me)):
                     scope = duty, self._region(g, duty)
                     owners[scope] = owners.get(scope, 0) + 1
         for (duty, region), some in sorted(owners.items()):
@@ -249,7 +252,7 @@
         if shares is not None and self.spoilt == "nothing remembered counts as known":
             shares.known = shares.known or held is None
         over = (LEASE + LOAN) * promise / LEASE if self.spoilt != "raised before what was lent is over" else 0
-        m.divides(now, shares, over - promise_of(LEASE))  # a lease is added there
+        m.set_shares(now, shares, over - vote_duration(LEASE))  # a lease is added there
         self.up[me] = Gateway(scopes, {ALL: None, OWN: None}, region.name)
         self.lives[me] += 1
         self.runs[me] = number
@@ -265,9 +268,9 @@
         regions: str,
         scope: str,
         promise: float,
-    ) -> Memory:
+    ) -> DurableState:
         now = self.clock(me)
-        m = Memory(now, str(me), names, duties, LEASE, held, 0, promise, regions=regions, scope=scope)
+        m = DurableState(now, str(me), names, duties, LEASE, held, 0, promise, regions=regions, scope=scope)
         if not m.intact and self.up:
             # What greetings bring it: the terms of those that it asks; it votes when it has waited.
             for g in self.up:
@@ -286,7 +289,7 @@
         """What `Owning` does each time that it looks."""
         g, now = self.up[me], self.clock(me)
         g.scopes[OWN].settle(now)
-        g.scopes[ALL].behind = bool(g.scopes[OWN].lists.former)
+        g.scopes[ALL].region_unsettled = bool(g.scopes[OWN].lists.former)
         g.scopes[ALL].settle(now)
 
     def share(self, me: int) -> int:
@@ -296,15 +299,15 @@
     def stands(self, me: int, duty: str) -> bool:
         m, now = self.up[me].scopes[duty], self.clock(me)
         voter = m.voters[duty]
-        if not m.votes(now) or duty == OWN and not self.share(me) or str(me) not in m.lists.current:
+        if not m.may_vote(now) or duty == OWN and not self.share(me) or str(me) not in m.lists.current:
             return False
-        if not voter.asked(now, voter.term + 1, str(me)):
+        if not voter.on_vote_request(now, voter.term + 1, str(me)):
             return False
         lists = m.lists
         if self.spoilt == "the majority of all counted over the region" and duty == ALL:
-            lists = Lists(self.up[me].scopes[OWN].lists.current)
+            lists = MemberLists(self.up[me].scopes[OWN].lists.current)
         lease = _Anyone(voter.term, lists, LEASE) if self._over_all(duty) else Lease(voter.term, lists, LEASE)
-        lease.granted(str(me), now)
+        lease.on_grant(str(me), now)
         self.up[me].leases[duty] = lease
         self.keep(me)
         return True
@@ -321,13 +324,13 @@
         careless = self._over_all(duty) or (
             self.spoilt == "both regions count the same gateway" and duty == OWN and to == 1
         )
-        if strange and not careless or not there.votes(now):
+        if strange and not careless or not there.may_vote(now):
             return False
-        if not there.voters[duty].asked(now, lease.term, str(me)):
+        if not there.voters[duty].on_vote_request(now, lease.term, str(me)):
             return False
-        here.voters[duty].asked(self.clock(me), lease.term, str(me))
-        lease.granted(str(me), self.clock(me))
-        lease.granted(str(to), self.clock(me))
+        here.voters[duty].on_vote_request(self.clock(me), lease.term, str(me))
+        lease.on_grant(str(me), self.clock(me))
+        lease.on_grant(str(to), self.clock(me))
         self.keep(to)
         self.keep(me)
         return True
@@ -335,35 +338,39 @@
     def hears(self, me: int, of: int) -> bool:
         """Whether it was news which version `of` goes by."""
         here, there = self.up[me].scopes[ALL], self.up[of].scopes[ALL]
-        if not there.votes(self.clock(of)) or not here.unsettled():
+        if not there.may_vote(self.clock(of)) or not here.unsettled():
             return False
-        before = set(here.on_new)
-        here.runs(self.clock(me), str(of), there.lists.digests()[0])
+        before = set(here.on_current)
+        here.on_member_list(self.clock(me), str(of), there.lists.digests()[0])
         own, theirs = self.up[me].scopes[OWN], self.up[of].scopes[OWN]
         if own.scope == theirs.scope:
-            own.runs(self.clock(me), str(of), theirs.lists.digests()[0])
+            own.on_member_list(self.clock(me), str(of), theirs.lists.digests()[0])
         if self.spoilt == "raised before the other region goes by it" and here.shares is not None:
             mine = set(here.shares.current[0].gateways if me < 2 else here.shares.current[1].gateways)
-            if here.on_new >= mine:
+            if here.on_current >= mine:
                 here.shares.known = True
-        return here.on_new != before
+        return here.on_current != before
 
 
 class _Anyone(Lease):
     """A planted fault: whoever granted counts, up to a majority of the list."""
 
-    def until(self) -> float:
-        asked = sorted(self.asked_at.values(), reverse=True)
+    def expires_at(self) -> float:
+        asked = sorted(self.requested_at.values(), reverse=True)
         most = len(self.lists.current) // 2 + 1
-        return asked[most - 1] + self.lease if len(asked) >= most else -1e18
+        return asked[most - 1] + self.duration if len(asked) >= most else -1e18
 
 
-def _memory(m: Memory) -> Memory:
-    new = Memory.__new__(Memory)
+def _memory(m: DurableState) -> DurableState:
+    new = DurableState.__new__(DurableState)
     new.__dict__.update(m.__dict__)
-    new.voters = {d: Voter(v.promise, v.term, v.member, v.until) for d, v in m.voters.items()}
-    new.fence, new.lives, new.answers = Fence(m.fence.highest), dict(m.lives), dict(m.answers)
-    new.on_new = set(m.on_new)
+    new.voters = {d: Voter(v.vote_duration, v.term, v.member, v.bound_until) for d, v in m.voters.items()}
+    new.fence, new.lives, new.greeting_responses = (
+        Fence(m.fence.highest),
+        dict(m.lives),
+        dict(m.greeting_responses),
+    )
+    new.on_current = set(m.on_current)
     if m.shares is not None:
         new.shares = Shares(m.shares.mine, m.shares.current, m.shares.former, m.shares.known)
         new.shares.free_at = m.shares.free_at
@@ -371,8 +378,8 @@
 
 
 def _lease(lease: Lease) -> Lease:
-    new = type(lease)(lease.term, lease.lists, lease.lease)
-    new.asked_at, new.ended, new._seen = dict(lease.asked_at), lease.ended, lease._seen
+    new = type(lease)(lease.term, lease.lists, lease.duration)
+    new.requested_at, new.ended, new._latest_read = dict(lease.requested_at), lease.ended, lease._latest_read
     return new
 
 
@@ -391,14 +398,14 @@
     promise = LEASE * (FAST if max(w.corner.rates) > 1 and w.spoilt != "no allowance for clocks" else 1.0)
     scopes = {}
     for duty, names, scope in ((ALL, NAMES, ""), (OWN, region.gateways, region.name)):
-        m = Memory(
+        m = DurableState(
             0.0, str(me), names, (duty,), LEASE, None, 0, promise, regions=digest_of(regions), scope=scope
         )
         m.intact = m.confirmed = True
-        m.votes_from = 0.0
+        m.may_vote_from = 0.0
         scopes[duty] = m
     if regions:
-        scopes[ALL].divides(0.0, Shares(region.name, regions, regions, True), 0.0)
+        scopes[ALL].set_shares(0.0, Shares(region.name, regions, regions, True), 0.0)
     w.up.append(Gateway(scopes, {ALL: None, OWN: None}, region.name))
     w.lives[me] = 1
     w.keep(me)
@@ -428,7 +435,7 @@
             if me in some:
                 yield from _owner_steps(w, me, duty)
         lease = g.leases[OWN]
-        owns = lease is not None and _lease(lease).holds(w.clock(me))
+        owns = lease is not None and _lease(lease).is_valid(w.clock(me))
         if me in c.standing and g.checked is None and owns and w.share(me):
             new = w.copied()
             new.up[me].checked = w.now, w.share(me)
@@ -450,7 +457,7 @@
 
 def _owner_steps(w: World, me: int, duty: str) -> Iterator[tuple[str, World]]:
     lease = w.up[me].leases[duty]
-    if lease is None or not _lease(lease).holds(w.clock(me)) and len(lease.asked_at) > 1:
+    if lease is None or not _lease(lease).is_valid(w.clock(me)) and len(lease.requested_at) > 1:
         if w.up[me].scopes[duty].voters[duty].term < 2:
             new = w.copied()
             if new.stands(me, duty):
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -8,22 +8,29 @@
 from hypothesis import strategies as st
 
 from ledgehitch.budgets.borrower import Borrower
-from ledgehitch.budgets.facts import ASKS, WHOLE, Budget, budgets_of, digest_of, loan_of
-from ledgehitch.budgets.ledger import MOST_OUT, divided, filled
+from ledgehitch.budgets.facts import (
+    REQUESTS_PER_LOAN,
+    WHOLE,
+    Budget,
+    budgets_digest,
+    budgets_of,
+    loan_duration,
+)
+from ledgehitch.budgets.ledger import MAX_OPEN_LOANS, divide, water_fill
 from ledgehitch.budgets.lender import Lender
-from ledgehitch.budgets.parts import NOBODYS, OwnPart, lent_by
-from ledgehitch.budgets.units import may_be_lent, own_parts
-from ledgehitch.budgets.words import BadWords, Words, read, written
+from ledgehitch.budgets.parts import UNNUMBERED, OwnPart, lending_terms
+from ledgehitch.budgets.units import lendable, own_parts
+from ledgehitch.budgets.words import InvalidMessage, LoanMessage, decode, encode
 from ledgehitch.fleet.shared import Told, remarks
 from ledgehitch.fleet.shared import divided as shares
 from ledgehitch.fleet.shared import read as read_said
-from ledgehitch.owners.facts import Lists, promise_of
+from ledgehitch.owners.facts import MemberLists, vote_duration
 from tests.explore_budgets import CORNERS, PLANTED, explored, walked
 
 T = 1000.0
 RATE, COUNT = Budget("offers.live", "rate"), Budget("set_ups", "count", 3.0, WHOLE // 20)
 DIGEST, LOAN = b"same", 5.0
-PERIOD = LOAN / ASKS
+PERIOD = LOAN / REQUESTS_PER_LOAN
 
 
 @pytest.mark.parametrize("name", CORNERS)
@@ -55,10 +62,10 @@
 def test_what_is_divided_is_the_pool_and_nobody_who_asks_is_starved(
     pool: int, wanted: dict[int, int], own: int, grain: int
 ) -> None:
-    loans = divided(pool, dict.fromkeys(wanted, own), wanted, grain)
+    loans = divide(pool, dict.fromkeys(wanted, own), wanted, grain)
     assert loans.keys() == wanted.keys() and sum(loans.values()) <= pool
     assert all(parts >= 0 and parts % grain == 0 for parts in loans.values())
-    level = filled(pool, {m: max(0, w - own) for m, w in wanted.items()})
+    level = water_fill(pool, {m: max(0, w - own) for m, w in wanted.items()})
     assert sum(level.values()) <= pool
     for member, parts in level.items():
         short = parts < max(0, wanted[member] - own)
@@ -72,7 +79,7 @@
 
 def test_one_that_asks_a_thousand_times_its_use_takes_nothing_from_those_who_need_less() -> None:
     wanted = dict.fromkeys(range(9), WHOLE // 20) | {9: WHOLE}
-    loans = divided(WHOLE, {}, wanted)
+    loans = divide(WHOLE, {}, wanted)
     assert all(loans[m] == WHOLE // 20 for m in range(9)) and loans[9] == WHOLE - 9 * (WHOLE // 20)
 
 
@@ -80,7 +87,7 @@
     names, grain = tuple("abcdefg"), WHOLE // 20
     by_name = own_parts(COUNT, 0.1, names)
     own = {number: by_name[name] for number, name in enumerate(names)}
-    loans = divided(may_be_lent(COUNT, 0.1), own, {0: WHOLE, 1: WHOLE, 2: 3 * grain}, grain)
+    loans = divide(lendable(COUNT, 0.1), own, {0: WHOLE, 1: WHOLE, 2: 3 * grain}, grain)
     whole = {m: (own[m] + parts) / grain for m, parts in loans.items()}
     assert whole[2] == 3 and all(n == int(n) for n in whole.values())
     assert sum(whole.values()) + sum(own[m] for m in range(3, 7)) / grain == 20
@@ -95,7 +102,7 @@
     def __init__(self, n: int = 3, own_part: float = 0.1, unit: Budget = RATE) -> None:
         self.names = tuple(f"g{me}" for me in range(n))
         self.own = list(own_parts(unit, own_part, self.names).values())
-        self.pool = may_be_lent(unit, own_part)
+        self.pool = lendable(unit, own_part)
         self.unit, self.n, self.term = unit, n, 0
         self.borrowers = [Borrower([unit], [self.own[me]], me + 1, [DIGEST], LOAN) for me in range(n)]
         self.lender = self.won(T - 100.0)
@@ -106,22 +113,22 @@
         self.lender = Lender(now, self.term, [self.unit], own, [self.pool], range(self.n), [DIGEST], LOAN)
         return self.lender
 
-    def ask(self, now: float, me: int, wanted: float, used: float = 0.0) -> Words | None:
+    def ask(self, now: float, me: int, wanted: float, used: float = 0.0) -> LoanMessage | None:
         b = self.borrowers[me]
-        b._ask_at = -1e18
+        b._next_request_at = -1e18
         name = self.unit.name
-        words = b.asks(now, self.term, {name: int(used * WHOLE)}, {name: int(wanted * WHOLE)})
+        words = b.next_request(now, self.term, {name: int(used * WHOLE)}, {name: int(wanted * WHOLE)})
         assert words is not None
-        return self.lender.wants(now, me, read(written(words)))
+        return self.lender.on_request(now, me, decode(encode(words)))
 
     def turn(self, now: float, wanted: dict[int, float]) -> None:
         for me, want in wanted.items():
             answer = self.ask(now, me, want)
             if answer is not None:
-                self.borrowers[me].lent(now, read(written(answer)))
+                self.borrowers[me].on_loan(now, decode(encode(answer)))
 
     def parts(self, now: float) -> list[float]:
-        return [b.part(now, self.unit.name) / WHOLE for b in self.borrowers]
+        return [b.available(now, self.unit.name) / WHOLE for b in self.borrowers]
 
 
 def test_loans_follow_need_end_by_themselves_and_leave_the_own_part() -> None:
@@ -135,7 +142,7 @@
     parts = few.parts(T + 7)
     assert min(parts[1:]) >= 0.45 and sum(parts) <= 1
     assert few.parts(T + 7 + LOAN) == [pytest.approx(1 / 30, abs=1e-8)] * 3
-    assert few.borrowers[1].part(T + 6, "offers.live") == few.own[1], "a clock that jumped back ends it"
+    assert few.borrowers[1].available(T + 6, "offers.live") == few.own[1], "a clock that jumped back ends it"
 
 
 def test_a_new_lender_renews_what_is_held_and_divides_anew_once_nothing_else_can_be_in_force() -> None:
@@ -154,14 +161,14 @@
     few.won(T + 9.0)
     few.turn(T + 9.1, {1: 1.0, 0: 0.0})
     few.turn(T + 9.5, {2: 0.2})
-    assert few.lender.waits == [T + 9.5], "all have spoken: it knows what is held"
+    assert few.lender.waits_until == [T + 9.5], "all have spoken: it knows what is held"
 
 
 def test_what_is_still_out_counts_as_taken_though_the_loan_is_smaller() -> None:
     few = Few(2, unit=COUNT)
     few.turn(T, {0: 1.0, 1: 0.1})
     few.turn(T + 1, {0: 1.0, 1: 0.1})
-    used = few.borrowers[0].part(T + 1, "set_ups") / WHOLE
+    used = few.borrowers[0].available(T + 1, "set_ups") / WHOLE
     assert used >= 0.8
     for tick in range(2, 5):
         few.turn(T + tick, {1: 1.0})
@@ -173,38 +180,42 @@
 
 
 def test_an_own_part_waits_for_former_loans_where_it_is_new_or_was_raised_and_falls_at_once() -> None:
-    three = Lists(("a", "b", "c"), lease=6.0, former_lease=6.0, own_part=0.3, former_own_part=0.3)
-    longest = promise_of(loan_of(6.0))
+    three = MemberLists(("a", "b", "c"), lease=6.0, former_lease=6.0, own_part=0.3, former_own_part=0.3)
+    longest = vote_duration(loan_duration(6.0))
     old, new = OwnPart(0.0, three, "a", [RATE]), OwnPart(0.0, three, "a", [RATE])
 
     def third(whole: float) -> tuple[int]:
         return (int(whole * WHOLE) // 3,)
 
-    assert old.at(longest + 1.0, True, had=True) == third(0.3)
-    assert new.at(10.0, False, had=False) == (0,) and new.at(20.0, True, had=False) == (0,)
-    assert new.at(20.0 + longest - 0.01, True, had=False) == (0,)
-    assert new.at(20.0 + longest, True, had=False) == third(0.3)
-    assert new.at(40.0, False, had=False) == new.at(41.0, True, had=False) == (0,), "it left, and waits anew"
+    assert old.parts_at(longest + 1.0, True, had_part=True) == third(0.3)
+    assert new.parts_at(10.0, False, had_part=False) == (0,) and new.parts_at(20.0, True, had_part=False) == (
+        0,
+    )
+    assert new.parts_at(20.0 + longest - 0.01, True, had_part=False) == (0,)
+    assert new.parts_at(20.0 + longest, True, had_part=False) == third(0.3)
+    assert new.parts_at(40.0, False, had_part=False) == new.parts_at(41.0, True, had_part=False) == (0,), (
+        "it left, and waits anew"
+    )
     raised = three._replace(own_part=0.6)
-    old.listed(100.0, raised)
-    assert old.at(100.0, True, had=True) == third(0.3)
-    assert old.at(100.0 + longest, True, had=True) == third(0.6)
+    old.on_list_change(100.0, raised)
+    assert old.parts_at(100.0, True, had_part=True) == third(0.3)
+    assert old.parts_at(100.0 + longest, True, had_part=True) == third(0.6)
     lowered = raised._replace(own_part=0.15, former_own_part=0.6)
-    old.listed(200.0, lowered)
-    assert old.at(200.0, True, had=True) == third(0.15)
+    old.on_list_change(200.0, lowered)
+    assert old.parts_at(200.0, True, had_part=True) == third(0.15)
 
 
 def test_what_may_be_lent_during_a_change_leaves_the_larger_own_part_and_counts_both_lists() -> None:
-    settled = Lists(("a", "b"), own_part=0.2, former_own_part=0.9)
+    settled = MemberLists(("a", "b"), own_part=0.2, former_own_part=0.9)
     tenth = (WHOLE // 10,)
-    assert lent_by([RATE], settled, frozenset(), {"a": 0, "b": 1}) == (
+    assert lending_terms([RATE], settled, frozenset(), {"a": 0, "b": 1}) == (
         {0: tenth, 1: tenth},
         (WHOLE * 8 // 10,),
         {0, 1},
     )
-    changing = Lists(("a", "b"), ("a", "c", "d"), own_part=0.2, former_own_part=0.6)
-    own, pool, members = lent_by([RATE], changing, frozenset({"d"}), {"a": 0, "b": 1})
-    assert (own, pool) == ({0: tenth, 1: (0,)}, (WHOLE * 4 // 10,)) and members == {0, 1, NOBODYS}
+    changing = MemberLists(("a", "b"), ("a", "c", "d"), own_part=0.2, former_own_part=0.6)
+    own, pool, members = lending_terms([RATE], changing, frozenset({"d"}), {"a": 0, "b": 1})
+    assert (own, pool) == ({0: tenth, 1: (0,)}, (WHOLE * 4 // 10,)) and members == {0, 1, UNNUMBERED}
 
 
 def test_answers_that_are_late_doubled_overtaken_or_for_another_change_nothing() -> None:
@@ -213,45 +224,56 @@
     assert first is not None and second is not None
     b = few.borrowers[0]
     for more in ({"life": 9}, {"digest": b"else"}, {"term": 0}, {"loans": (1, 1)}, {"sequence": 77}):
-        assert not b.lent(T + 0.6, second._replace(**more))
-    assert b.lent(T + 0.6, second) and b.until == T + 0.5 + LOAN
-    assert not b.lent(T + 0.6, second) and not b.lent(T + 0.6, first)
+        assert not b.on_loan(T + 0.6, second._replace(**more))
+    assert b.on_loan(T + 0.6, second) and b.loan_until == T + 0.5 + LOAN
+    assert not b.on_loan(T + 0.6, second) and not b.on_loan(T + 0.6, first)
     third = few.ask(T + 1, 0, 0.3)
-    assert third is not None and not b.lent(T + 1 + LOAN, third._replace(seconds=900.0))
+    assert third is not None and not b.on_loan(T + 1 + LOAN, third._replace(seconds=900.0))
     assert sum(b.counts.values()) == 8
-    b.clock(False)
-    assert b.part(T + 1.2, "offers.live") == few.own[0]
+    b.on_clock_check(False)
+    assert b.available(T + 1.2, "offers.live") == few.own[0]
 
 
 def test_a_lender_waits_for_loans_that_were_longer_before_leases_were_changed() -> None:
-    lender = Lender(T, 2, [RATE, COUNT], {}, [WHOLE, WHOLE], range(3), [DIGEST], loan_of(2.0), loan_of(20.0))
-    longest = loan_of(20.0) * 1.01
-    assert lender.waits == pytest.approx([T + longest, T + longest + COUNT.lag])
+    lender = Lender(
+        T, 2, [RATE, COUNT], {}, [WHOLE, WHOLE], range(3), [DIGEST], loan_duration(2.0), loan_duration(20.0)
+    )
+    longest = loan_duration(20.0) * 1.01
+    assert lender.waits_until == pytest.approx([T + longest, T + longest + COUNT.lag])
 
 
 def test_a_lender_answers_nothing_to_who_is_of_another_term_version_or_number() -> None:
     few = Few()
-    words = few.borrowers[0].asks(T, 1, {}, {"offers.live": WHOLE})
+    words = few.borrowers[0].next_request(T, 1, {}, {"offers.live": WHOLE})
     assert words is not None
     for other in (words._replace(term=2), words._replace(digest=b"else"), words._replace(loans=(), held=())):
-        assert few.lender.wants(T, 0, other) is None
-    assert few.lender.wants(T, 3, words) is None
-    assert few.lender.wants(T, 0, words) is not None and few.lender.wants(T, 0, words) is None, "doubled"
+        assert few.lender.on_request(T, 0, other) is None
+    assert few.lender.on_request(T, 3, words) is None
+    assert few.lender.on_request(T, 0, words) is not None and few.lender.on_request(T, 0, words) is None, (
+        "doubled"
+    )
     for number in range(2, 40):
-        few.lender.wants(T, 0, words._replace(sequence=number))
-    assert len(few.lender.ledger.takers[0][1].loans) == MOST_OUT
+        few.lender.on_request(T, 0, words._replace(sequence=number))
+    assert len(few.lender.ledger.borrowers[0][1].loans) == MAX_OPEN_LOANS
     for life in range(2, 9):
-        few.lender.wants(T, 0, words._replace(life=life))
-    assert len(few.lender.ledger.takers[0]) <= 4 and few.lender.ledger.sums[0] <= few.lender.ledger.pool[0]
+        few.lender.on_request(T, 0, words._replace(life=life))
+    assert (
+        len(few.lender.ledger.borrowers[0]) <= 4
+        and few.lender.ledger.reserved_sums[0] <= few.lender.ledger.pool[0]
+    )
 
 
 def test_who_needs_much_more_than_it_has_asks_soon_and_others_once_a_period() -> None:
     b = Borrower([RATE], [own_parts(RATE, 0.1, "abc")["a"]], 1, [DIGEST], LOAN)
-    assert b.asks(T, 1, {}, {}) and not b.asks(T + PERIOD - 0.01, 1, {}, {}) and b.asks(T + PERIOD, 1, {}, {})
-    assert not b.asks(T + PERIOD + 0.1, 1, {}, {"offers.live": WHOLE})
-    assert b.asks(T + PERIOD + 0.2, 1, {}, {"offers.live": WHOLE})
-    assert not b.asks(T + 9, 0, {}, {}), "of a former term"
-    assert b.asks(T + 9, 2, {}, {"offers.live": 77 * WHOLE}).wanted == (WHOLE,)  # type: ignore[union-attr]
+    assert (
+        b.next_request(T, 1, {}, {})
+        and not b.next_request(T + PERIOD - 0.01, 1, {}, {})
+        and b.next_request(T + PERIOD, 1, {}, {})
+    )
+    assert not b.next_request(T + PERIOD + 0.1, 1, {}, {"offers.live": WHOLE})
+    assert b.next_request(T + PERIOD + 0.2, 1, {}, {"offers.live": WHOLE})
+    assert not b.next_request(T + 9, 0, {}, {}), "of a former term"
+    assert b.next_request(T + 9, 2, {}, {"offers.live": 77 * WHOLE}).wanted == (WHOLE,)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -260,7 +282,7 @@
     chance = random.Random(seed)
     unit = COUNT if seed % 2 else RATE
     few = Few(6, unit=unit)
-    wire: list[tuple[float, int, Words]] = []
+    wire: list[tuple[float, int, LoanMessage]] = []
     out, lingers = [0] * 6, list[tuple[int, float]]()
     since = [0.0] * 6
     lease = T + 3.0
@@ -270,7 +292,7 @@
             few.won(now)
             lease = now + chance.uniform(1.0, 12.0)
         for me, b in enumerate(few.borrowers):
-            words = b.asks(
+            words = b.next_request(
                 now,
                 few.term,
                 {unit.name: few.own[me] + out[me]},
@@ -279,7 +301,7 @@
             for _ in range(chance.choice([0, 1, 1, 1, 2]) if words is not None else 0):
                 wire.append((now + chance.random(), me, words))  # type: ignore[arg-type]
             if unit.unit == "count":
-                mine = max(0, b.part(now, unit.name) - few.own[me])
+                mine = max(0, b.available(now, unit.name) - few.own[me])
                 if out[me] and (now - since[me] >= unit.lag or chance.random() < 0.1):
                     out[me] = 0
                 elif not out[me] and chance.random() < 0.3:
@@ -292,13 +314,15 @@
             wire.remove(item)
             _, me, words = item
             if words.kind == "want":
-                answer = few.lender.wants(now, me, words)
+                answer = few.lender.on_request(now, me, words)
                 for _ in range(chance.choice([0, 1, 1, 2]) if answer is not None else 0):
                     wire.append((now + chance.random(), me, answer))  # type: ignore[arg-type]
             else:
-                few.borrowers[me].lent(now, words)
+                few.borrowers[me].on_loan(now, words)
         lingers = [x for x in lingers if x[1] > now]
-        used = sum(max(b.part(now, unit.name), few.own[me] + out[me]) for me, b in enumerate(few.borrowers))
+        used = sum(
+            max(b.available(now, unit.name), few.own[me] + out[me]) for me, b in enumerate(few.borrowers)
+        )
         assert used + sum(parts for parts, _ in lingers) <= WHOLE
 
 
@@ -309,22 +333,22 @@
 @given(st.binary(max_size=120))
 def test_words_of_any_bytes_are_read_whole_or_refused(data: bytes) -> None:
     try:
-        words = read(data)
-    except BadWords:
+        words = decode(data)
+    except InvalidMessage:
         return
-    assert written(words) == data
+    assert encode(words) == data
 
 
 def test_words_above_the_whole_or_cut_off_are_refused() -> None:
-    want = Words("want", DIGEST, 3, 4, 5, 6, 0.0, (7, 8), (9, 10), (11, WHOLE))
-    data = written(want)
-    assert read(data) == want
-    assert read(written(want._replace(kind="lent", held=(), wanted=()))).loans == (7, 8)
+    want = LoanMessage("want", DIGEST, 3, 4, 5, 6, 0.0, (7, 8), (9, 10), (11, WHOLE))
+    data = encode(want)
+    assert decode(data) == want
+    assert decode(encode(want._replace(kind="lent", held=(), wanted=()))).loans == (7, 8)
     for cut in range(len(data)):
-        with pytest.raises(BadWords):
-            read(data[:cut])
-    with pytest.raises(BadWords, match="whole"):
-        read(written(want._replace(wanted=(11, WHOLE + 1))))
+        with pytest.raises(InvalidMessage):
+            decode(data[:cut])
+    with pytest.raises(InvalidMessage, match="whole"):
+        decode(encode(want._replace(wanted=(11, WHOLE + 1))))
 
 
 def test_budgets_are_of_the_sites_limits_and_versions_that_differ_do_not_lend() -> None:
@@ -332,7 +356,7 @@
     assert [b.name for b in budgets] == ["offers.event", "offers.live", "set_ups"]
     assert budgets[2].grain == WHOLE // 20 and budgets[2].lag == 4.0 and budgets_of({}, 0.0, 4.0) == ()
     versions = [(budgets, 0.1, "ab"), (budgets, 0.2, "ab"), (budgets, 0.1, "abc"), (budgets[:2], 0.1, "ab")]
-    assert len({digest_of(*version) for version in versions}) == 4
+    assert len({budgets_digest(*version) for version in versions}) == 4
 
 
 # ---- what the tool makes of what gateways say --------------------------------------------------------------
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1048,7 +1048,7 @@
         fed.http()
         fed.certificate()
     assert fed.receiver.refused["mac"] > 100 and len(fed.members.told()) == 7
-    assert len(fed.owners._out) < 1000 and all(v.term < 2**40 for v in fed.owners.memory.voters.values())
+    assert len(fed.owners._pending) < 1000 and all(v.term < 2**40 for v in fed.owners.durable.voters.values())
     assert len(fed.members._out) < 100 and len(fed.members._for) < 400
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from ledgehitch.budgets.facts import WHOLE, loan_of
+from ledgehitch.budgets.facts import WHOLE, loan_duration
 from ledgehitch.proof.budgeted import Wholes, judged_budgets
 from ledgehitch.proof.tape import Line
 from ledgehitch.rehearsal.fleet import FleetRig
@@ -74,7 +74,7 @@
         rig.until(lambda: used(rig) >= 0.9, 60.0, 0.5)
         still = next(n for n in rig.names if n != first and part(rig, n) > 0.05)
         rig.still(still)
-        rig.loop.sleep(1.5 * loan_of(rig.lease))
+        rig.loop.sleep(1.5 * loan_duration(rig.lease))
         rig.goes_on(still)  # its loan is over, and requests wait in its sockets
         rig.wires.lent_late = 0.2  # answers are under way when their lender stops
         rig.still(first)
@@ -186,7 +186,7 @@
         rig.until(lambda: part(rig, "g0") + part(rig, "g4") > 0.9, 60.0)
         rig.start_all(["g1"])  # it turns up all the same: it takes nothing
         rig.until(lambda: bool((rig.asked("g1", "/v1/budgets") or {}).get("alone")), 60.0)
-        rig.loop.sleep(2 * loan_of(rig.lease))
+        rig.loop.sleep(2 * loan_duration(rig.lease))
         assert part(rig, "g1") == 0.0 and part(rig, "g0") + part(rig, "g4") > 0.9
 
     rig = lending(tmp_path, 5)
