--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -12,12 +12,12 @@
 from hypothesis import strategies as st
 
 from benchmarks.owners import Crowd
-from ledgehitch.owners.clock import Clock
-from ledgehitch.owners.decide import Keep, Lost, Owners, Send, Won
-from ledgehitch.owners.facts import DUTIES, STEP, TOP, Lists, majority, rank
-from ledgehitch.owners.memory import Memory
+from ledgehitch.owners.clock import ClockCheck
+from ledgehitch.owners.decide import Lost, Owners, Send, Store, Won
+from ledgehitch.owners.facts import DUTIES, MAX_TERM, MAX_TERM_STEP, MemberLists, majority, rank_members
+from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.votes import Fence, Lease, Voter
-from ledgehitch.owners.words import KINDS, BadWords, Words, read, written
+from ledgehitch.owners.words import KINDS, DutyMessage, InvalidMessage, decode, encode
 from ledgehitch.quality.keep import Keep as File
 from tests.explore_owners import CORNERS, PLANTED, explored, walked
 
@@ -46,72 +46,80 @@
 
 
 def test_a_lease_that_was_over_is_not_woken_by_a_late_answer_nor_kept_by_a_clock_that_jumps_back() -> None:
-    lease = Lease(3, Lists(("a", "b", "c")), 10.0)
-    lease.granted("a", T)
-    assert not lease.holds(T)
-    lease.granted("b", T + 1)
-    assert lease.holds(T + 9.9) and lease.until() == T + 10
-    assert not lease.holds(T + 10)
-    lease.granted("c", T + 9)
-    assert not lease.holds(T + 11), "it was noticed to be over"
-    other = Lease(4, Lists(("a",)), 10.0)
-    other.granted("a", T)
-    assert other.holds(T + 5) and not other.holds(T + 4.9) and not other.holds(T + 5)
+    lease = Lease(3, MemberLists(("a", "b", "c")), 10.0)
+    lease.on_grant("a", T)
+    assert not lease.is_valid(T)
+    lease.on_grant("b", T + 1)
+    assert lease.is_valid(T + 9.9) and lease.expires_at() == T + 10
+    assert not lease.is_valid(T + 10)
+    lease.on_grant("c", T + 9)
+    assert not lease.is_valid(T + 11), "it was noticed to be over"
+    other = Lease(4, MemberLists(("a",)), 10.0)
+    other.on_grant("a", T)
+    assert other.is_valid(T + 5) and not other.is_valid(T + 4.9) and not other.is_valid(T + 5)
 
 
 def test_a_voter_binds_itself_and_no_term_is_given_twice_or_out_of_reach() -> None:
     voter = Voter(10.0)
-    assert voter.asked(T, 1, "a") and voter.asked(T + 5, 1, "a") and voter.until == T + 15
-    assert not voter.asked(T + 14, 2, "b") and not voter.asked(T + 14, 1, "b")
-    assert voter.asked(T + 14, 2, "a"), "the same one may take a higher term"
-    assert not voter.given_back(1, "a") and voter.given_back(2, "a")
-    assert not voter.asked(T + 14, 2, "a"), "what was given back is never given again"
-    assert not voter.asked(T + 14, 3 + STEP, "b") and not voter.asked(T + 14, TOP + 1, "b")
-    assert voter.asked(T + 14, 3, "b")
+    assert (
+        voter.on_vote_request(T, 1, "a")
+        and voter.on_vote_request(T + 5, 1, "a")
+        and voter.bound_until == T + 15
+    )
+    assert not voter.on_vote_request(T + 14, 2, "b") and not voter.on_vote_request(T + 14, 1, "b")
+    assert voter.on_vote_request(T + 14, 2, "a"), "the same one may take a higher term"
+    assert not voter.on_release(1, "a") and voter.on_release(2, "a")
+    assert not voter.on_vote_request(T + 14, 2, "a"), "what was given back is never given again"
+    assert not voter.on_vote_request(T + 14, 3 + MAX_TERM_STEP, "b") and not voter.on_vote_request(
+        T + 14, MAX_TERM + 1, "b"
+    )
+    assert voter.on_vote_request(T + 14, 3, "b")
     again = Voter(10.0, voter.term, voter.member)
-    again.started(T)
-    assert not again.asked(T + 9.9, 4, "c") and again.asked(T + 10, 4, "c")
+    again.on_start(T)
+    assert not again.on_vote_request(T + 9.9, 4, "c") and again.on_vote_request(T + 10, 4, "c")
 
 
 def test_a_fence_refuses_what_is_lower_none_or_out_of_reach() -> None:
     fence = Fence({"restarts": 5})
-    assert not fence.takes("restarts", 4) and not fence.takes("restarts", 0)
-    assert not fence.takes("restarts", 6 + STEP) and not fence.takes("restarts", TOP + 1)
-    assert fence.takes("restarts", 5) and fence.takes("restarts", 9) and not fence.takes("restarts", 5)
-    assert fence.takes("verdicts", 1) and fence.refused == {"restarts": 5}
+    assert not fence.accepts("restarts", 4) and not fence.accepts("restarts", 0)
+    assert not fence.accepts("restarts", 6 + MAX_TERM_STEP) and not fence.accepts("restarts", MAX_TERM + 1)
+    assert fence.accepts("restarts", 5) and fence.accepts("restarts", 9) and not fence.accepts("restarts", 5)
+    assert fence.accepts("verdicts", 1) and fence.refused == {"restarts": 5}
 
 
 def test_a_changed_list_needs_a_majority_of_both_until_it_is_settled() -> None:
     old, new = tuple("abc"), tuple("abcdefg")
-    both = Lists(new, old)
-    assert not both.reached("defg") and not both.reached("abc") and both.reached("abde")
-    assert Lists(old).covered_by(*both.digests()) and not both.covered_by(*Lists(new).digests())
-    held = Memory(T, "a", old, DUTIES, 10.0, None, 1).record()
-    m = Memory(T, "a", new, DUTIES, 10.0, held, 2)
+    both = MemberLists(new, old)
+    assert not both.has_majority("defg") and not both.has_majority("abc") and both.has_majority("abde")
+    assert MemberLists(old).covered_by(*both.digests()) and not both.covered_by(*MemberLists(new).digests())
+    held = DurableState(T, "a", old, DUTIES, 10.0, None, 1).record()
+    m = DurableState(T, "a", new, DUTIES, 10.0, held, 2)
     assert m.lists == both
-    assert Memory(T, "a", tuple("abcd"), DUTIES, 10.0, m.record(), 3).lists == both, "one change at a time"
-    m.runs(T, "d", m.lists.digests()[0])
+    assert DurableState(T, "a", tuple("abcd"), DUTIES, 10.0, m.record(), 3).lists == both, (
+        "one change at a time"
+    )
+    m.on_member_list(T, "d", m.lists.digests()[0])
     assert not m.settle(T + 99), "no member of the former list but itself goes by the new one"
-    m.runs(T, "b", m.lists.digests()[0])
+    m.on_member_list(T, "b", m.lists.digests()[0])
     assert not m.settle(T + 99), "none has a majority: three of seven are there, and one of three is left"
-    m.runs(T, "e", m.lists.digests()[0])
-    assert not m.settle(T + 10.0) and m.settle(T + m.promise) and m.lists == Lists(new)
+    m.on_member_list(T, "e", m.lists.digests()[0])
+    assert not m.settle(T + 10.0) and m.settle(T + m.vote_duration) and m.lists == MemberLists(new)
 
 
 def test_a_clock_that_jumps_back_stands_still_or_goes_slow_is_not_gone_by() -> None:
-    clock = Clock(T, 50.0)
-    assert clock.read(T + 1, 51.0) and clock.read(T + 2.01, 52.0)
-    assert clock.read(T + 600, 53.5), "the machine slept: the second clock did not go on"
-    assert not clock.read(T + 599.9, 54.0), "it jumped back"
-    assert not clock.read(T + 600.4, 54.5) and clock.read(T + 601, 55.1), "it went right for a second"
-    assert not clock.read(T + 601, 56.2), "it stood still"
-    assert not clock.read(T + 601.9, 57.2), "it goes slower than the bound allows"
+    clock = ClockCheck(T, 50.0)
+    assert clock.check(T + 1, 51.0) and clock.check(T + 2.01, 52.0)
+    assert clock.check(T + 600, 53.5), "the machine slept: the second clock did not go on"
+    assert not clock.check(T + 599.9, 54.0), "it jumped back"
+    assert not clock.check(T + 600.4, 54.5) and clock.check(T + 601, 55.1), "it went right for a second"
+    assert not clock.check(T + 601, 56.2), "it stood still"
+    assert not clock.check(T + 601.9, 57.2), "it goes slower than the bound allows"
 
 
 def test_duties_spread_over_the_members_and_all_rank_them_alike() -> None:
     names = [f"g{n}" for n in range(12)]
-    firsts = {rank(f"duty-{n}", names)[0] for n in range(40)}
-    assert len(firsts) > 8 and rank("restarts", names) == rank("restarts", list(names))
+    firsts = {rank_members(f"duty-{n}", names)[0] for n in range(40)}
+    assert len(firsts) > 8 and rank_members("restarts", names) == rank_members("restarts", list(names))
     assert [majority(n) for n in (1, 2, 3, 4, 5)] == [1, 2, 2, 3, 3]
 
 
@@ -142,7 +150,7 @@
     assert crowd.bytes - sent < 15.0 * 40 * 40 * 40
     for n, one in crowd.all.items():
         assert one is not None
-        one.may(halves[n >= 20] - {n}, True)
+        one.on_membership(halves[n >= 20] - {n}, True)
     crowd.run(15.0, 0.05)
     sent = crowd.bytes
     crowd.run(30.0, 0.05)
@@ -150,7 +158,7 @@
     crowd.part(())
     for n, one in crowd.all.items():
         assert one is not None
-        one.may(set(range(40)) - {n}, True)
+        one.on_membership(set(range(40)) - {n}, True)
     at = crowd.now
     crowd.until(lambda: all(crowd.owners(d) for d in DUTIES), 60.0)
     assert crowd.now - at <= 2 * 10.0 + 1.0 and crowd.most_owners == 1
@@ -243,7 +251,7 @@
 
 def lone(n: int = 1, held: Any = None, seed: int = 1) -> Owners:
     names = tuple(f"g{i}" for i in range(n))
-    memory = Memory(T, "g0", names, DUTIES, 10.0, held, 7)
+    memory = DurableState(T, "g0", names, DUTIES, 10.0, held, 7)
     return Owners(T, 0, names, memory, random.Random(seed))
 
 
@@ -251,12 +259,12 @@
     """What is decided; `disk`: whether it takes what must be kept."""
     out: list[Any] = []
     while (decision := owners.decide(now)) is not None:
-        if isinstance(decision, Keep):
+        if isinstance(decision, Store):
             if not disk:
-                owners.not_kept(now)
+                owners.on_store_failed(now)
                 return out
-            owners.kept(decision.record)
-            out += decision.then
+            owners.on_stored(decision.record)
+            out += decision.messages
         else:
             out.append(decision)
     return out
@@ -264,7 +272,7 @@
 
 def owning(now: float) -> Owners:
     owners = lone()
-    while not owners.owns(now, "restarts"):
+    while not owners.owned_term(now, "restarts"):
         now += 0.1
         pulled(owners, now)
     return owners
@@ -279,126 +287,138 @@
     full = lone()
     for tick in range(300):
         assert not any(isinstance(d, Won | Send) for d in pulled(full, T + tick * 0.1, disk=False))
-    assert not full.owns(T + 30, "restarts") and full.counts["votes that the disk did not take"] > 0
+    assert not full.owned_term(T + 30, "restarts") and full.counts["votes that the disk did not take"] > 0
 
 
 def test_what_a_lease_ends_by() -> None:
     owners = owning(T)
-    term = owners.owns(T + 15, "restarts")
+    term = owners.owned_term(T + 15, "restarts")
     assert term
-    owners.clock(T + 15, False)
-    assert not owners.owns(T + 15, "restarts")
-    assert [d.why for d in pulled(owners, T + 15) if isinstance(d, Lost)][0].startswith("the clock stood")
+    owners.on_clock_check(T + 15, False)
+    assert not owners.owned_term(T + 15, "restarts")
+    assert [d.reason for d in pulled(owners, T + 15) if isinstance(d, Lost)][0].startswith("the clock stood")
     owners = owning(T)
     now = T + 15
-    term = owners.owns(now, "restarts")
-    owners.refused(now, "restarts", term, term + 40, "g7")
-    assert not owners.owns(now, "restarts")
-    while not owners.owns(now, "restarts"):
+    term = owners.owned_term(now, "restarts")
+    owners.on_effect_refused(now, "restarts", term, term + 40, "g7")
+    assert not owners.owned_term(now, "restarts")
+    while not owners.owned_term(now, "restarts"):
         now += 0.1
         pulled(owners, now)
-    assert owners.owns(now, "restarts") == term + 41, "the next one stands above what is known"
-    assert owners.takes("restarts", term + 50) and not owners.owns(now, "restarts")
-    assert not owners.takes("restarts", term + 41) and not owners.takes("nothing", 1)
+    assert owners.owned_term(now, "restarts") == term + 41, "the next one stands above what is known"
+    assert owners.accepts_effect("restarts", term + 50) and not owners.owned_term(now, "restarts")
+    assert not owners.accepts_effect("restarts", term + 41) and not owners.accepts_effect("nothing", 1)
 
 
 def test_one_that_lost_its_file_takes_no_effect_and_votes_only_when_it_may() -> None:
     owners = lone(5)
     pulled(owners, T)
-    assert not owners.takes("restarts", 3)
-    ask = Words("ask", 0, 9, 1, owners.shorts[1], *owners.memory.lists.digests())
-    owners.heard(T, 1, ask)
-    assert not [d for d in pulled(owners, T) if isinstance(d, Send) and d.words.kind == "grant"]
+    assert not owners.accepts_effect("restarts", 3)
+    ask = DutyMessage("ask", 0, 9, 1, owners.name_digests[1], *owners.durable.lists.digests())
+    owners.on_message(T, 1, ask)
+    assert not [d for d in pulled(owners, T) if isinstance(d, Send) and d.message.kind == "grant"]
     for n in (1, 2, 3):
-        owners.heard(
+        owners.on_message(
             T + 1,
             n,
-            ask._replace(kind="greeted", sequence=7, who=owners.shorts[n], intact=True, terms=(4, 2)),
+            ask._replace(kind="greeted", sequence=7, who=owners.name_digests[n], intact=True, terms=(4, 2)),
         )
-    assert not owners.takes("restarts", 3) and owners.takes("restarts", 4)
-    owners.heard(T + 2, 1, ask._replace(term=5))
-    assert not [d for d in pulled(owners, T + 2) if isinstance(d, Send) and d.words.kind == "grant"]
-    owners.heard(T + 11, 1, ask._replace(term=5))
-    assert [d for d in pulled(owners, T + 11) if isinstance(d, Send) and d.words.kind == "grant"]
+    assert not owners.accepts_effect("restarts", 3) and owners.accepts_effect("restarts", 4)
+    owners.on_message(T + 2, 1, ask._replace(term=5))
+    assert not [d for d in pulled(owners, T + 2) if isinstance(d, Send) and d.message.kind == "grant"]
+    owners.on_message(T + 11, 1, ask._replace(term=5))
+    assert [d for d in pulled(owners, T + 11) if isinstance(d, Send) and d.message.kind == "grant"]
 
 
 def test_a_newcomer_that_cannot_vote_yet_settles_no_change_of_the_list() -> None:
     """Found where a restart took long: two of three had the new list, and the fourth could not vote."""
     old, new = ("g0", "g1", "g2"), ("g0", "g1", "g2", "g3")
-    held = Memory(T, "g0", old, DUTIES, 10.0, None, 1).record()
-    owners = Owners(T, 0, new, Memory(T, "g0", new, DUTIES, 10.0, held, 2), random.Random(1))
-    said = Words("greeted", 0, 2, 0, owners.shorts[1], *owners.memory.lists.digests(), intact=True)
-    owners.heard(T, 1, said)
-    only_new = (owners.memory.lists.digests()[0], b"\0" * 4)
-    waits = said._replace(who=owners.shorts[3], list=only_new[0], former=only_new[1], intact=False)
-    owners.heard(T, 3, waits)
-    assert not owners.memory.settle(T + 11) and owners.memory.lists.former == old
-    owners.heard(T, 3, waits._replace(intact=True))
-    assert owners.memory.settle(T + 11) and not owners.memory.lists.former
+    held = DurableState(T, "g0", old, DUTIES, 10.0, None, 1).record()
+    owners = Owners(T, 0, new, DurableState(T, "g0", new, DUTIES, 10.0, held, 2), random.Random(1))
+    said = DutyMessage(
+        "greeted", 0, 2, 0, owners.name_digests[1], *owners.durable.lists.digests(), intact=True
+    )
+    owners.on_message(T, 1, said)
+    only_new = (owners.durable.lists.digests()[0], b"\0" * 4)
+    waits = said._replace(who=owners.name_digests[3], list=only_new[0], former=only_new[1], intact=False)
+    owners.on_message(T, 3, waits)
+    assert not owners.durable.settle(T + 11) and owners.durable.lists.former == old
+    owners.on_message(T, 3, waits._replace(intact=True))
+    assert owners.durable.settle(T + 11) and not owners.durable.lists.former
 
 
 def test_who_is_declared_gone_is_not_waited_for_and_counts_for_nothing() -> None:
     """Four of seven are dead: by the former list nobody is elected any more. Two of them are vouched for."""
     old = tuple(f"g{n}" for n in range(7))
     new, gone = old[:5], frozenset(old[5:])
-    held = Memory(T, "g0", old, DUTIES, 10.0, None, 1, own_part=0.1).record()
+    held = DurableState(T, "g0", old, DUTIES, 10.0, None, 1, own_part=0.1).record()
     for vouched in (frozenset[str](), gone):
-        m = Memory(T, "g0", new, DUTIES, 10.0, held, 2, own_part=0.1, gone=vouched)
+        m = DurableState(T, "g0", new, DUTIES, 10.0, held, 2, own_part=0.1, gone=vouched)
         for name in ("g1", "g2"):
-            m.runs(T, name, m.lists.digests()[0])
-        assert m.settle(T + m.promise) == bool(vouched)
-    assert m.lists.own_share() == 0.1 / 5 and m.lists.reached(["g0", "g1", "g2"])
-    back = Owners(T, 6, old, Memory(T, "g6", new, DUTIES, 10.0, held, 3, own_part=0.1), random.Random(1))
+            m.on_member_list(T, name, m.lists.digests()[0])
+        assert m.settle(T + m.vote_duration) == bool(vouched)
+    assert m.lists.own_share() == 0.1 / 5 and m.lists.has_majority(["g0", "g1", "g2"])
+    back = Owners(
+        T, 6, old, DurableState(T, "g6", new, DUTIES, 10.0, held, 3, own_part=0.1), random.Random(1)
+    )
     assert not back.joined(T + 60) and not any(isinstance(d, Won) for d in pulled(back, T + 60))
 
 
 def test_versions_of_the_own_part_are_versions_of_the_list() -> None:
     """Also of a program that lent nothing: its file and its words name none, it went by 1/n."""
     names = ("g0", "g1", "g2")
-    held = Memory(T, "g0", names, DUTIES, 10.0, None, 1, own_part=1.0).record()
+    held = DurableState(T, "g0", names, DUTIES, 10.0, None, 1, own_part=1.0).record()
     for key in ("own_part", "former_own_part", "joined"):
         del held[key]
-    m = Memory(T, "g0", names, DUTIES, 10.0, held, 2, own_part=0.25)
-    assert m.lists.former == names and m.lists.own_share() == 0.25 / 3 and m.lists.most_own_part() == 1.0
-    assert Lists(names, own_part=1.0).covered_by(*m.lists.digests()) and m.joined
+    m = DurableState(T, "g0", names, DUTIES, 10.0, held, 2, own_part=0.25)
+    assert m.lists.former == names and m.lists.own_share() == 0.25 / 3 and m.lists.max_own_part() == 1.0
+    assert MemberLists(names, own_part=1.0).covered_by(*m.lists.digests()) and m.joined
     for name in names[1:]:
-        m.runs(T, name, m.lists.digests()[0])
-    assert m.settle(T + m.promise) and m.lists.most_own_part() == 0.25
-    raised = Lists(names, (), 10.0, 10.0, 0.5, 0.1)
-    assert raised.own_share() == 0.5 / 3 and raised.own_share(surely=True) == 0.1 / 3
-    again = Memory(T, "g0", names, DUTIES, 2.0, m.record(), 3, own_part=0.25)
+        m.on_member_list(T, name, m.lists.digests()[0])
+    assert m.settle(T + m.vote_duration) and m.lists.max_own_part() == 0.25
+    raised = MemberLists(names, (), 10.0, 10.0, 0.5, 0.1)
+    assert raised.own_share() == 0.5 / 3 and raised.own_share(conservative=True) == 0.1 / 3
+    again = DurableState(T, "g0", names, DUTIES, 2.0, m.record(), 3, own_part=0.25)
     for name in names[1:]:
-        again.runs(T, name, again.lists.digests()[0])
-    assert again.settle(T + again.promise) and again.lists.any_lease() == 10.0, "loans may be longer"
+        again.on_member_list(T, name, again.lists.digests()[0])
+    assert again.settle(T + again.vote_duration) and again.lists.max_recorded_lease() == 10.0, (
+        "loans may be longer"
+    )
 
 
 def test_a_newcomer_that_starts_anew_during_the_change_has_no_part_before_the_others_count_it() -> None:
     new = tuple(f"g{n}" for n in range(4))
-    first = Owners(T, 3, new, Memory(T, "g3", new, DUTIES, 10.0, None, 1), random.Random(1))
+    first = Owners(T, 3, new, DurableState(T, "g3", new, DUTIES, 10.0, None, 1), random.Random(1))
     pulled(first, T)
-    again = Memory(T, "g3", new, DUTIES, 10.0, first.memory.record(), 2)
+    again = DurableState(T, "g3", new, DUTIES, 10.0, first.durable.record(), 2)
     assert again.intact and not again.joined
     owners = Owners(T, 3, new, again, random.Random(1))
-    both = Lists(new, new[:3]).digests()
+    both = MemberLists(new, new[:3]).digests()
     for n in range(3):
-        owners.heard(T, n, Words("greeted", 0, 2, 0, owners.shorts[n], *both, intact=True, terms=(0, 0, 0)))
+        owners.on_message(
+            T, n, DutyMessage("greeted", 0, 2, 0, owners.name_digests[n], *both, intact=True, terms=(0, 0, 0))
+        )
     assert not owners.joined(T + 60)
     for n in range(3):
-        owners.heard(T, n, Words("greeted", 0, 2, 0, owners.shorts[n], both[0], b"\0" * 4, intact=True))
+        owners.on_message(
+            T, n, DutyMessage("greeted", 0, 2, 0, owners.name_digests[n], both[0], b"\0" * 4, intact=True)
+        )
     pulled(owners, T + 60)
-    assert owners.joined(T + 60) and owners.memory.record()["joined"]
+    assert owners.joined(T + 60) and owners.durable.record()["joined"]
 
 
 def test_who_was_told_of_an_owner_says_so_to_who_asks_until_what_it_was_told_has_ended() -> None:
-    owners = lone(5, lone(5).memory.record())
-    told = Words("told", 0, 0, 3, owners.shorts[1], *owners.memory.lists.digests(), member=1, left=15.0)
-    poll = told._replace(kind="poll", sequence=9, term=0, who=owners.shorts[2], member=0xFFFF, left=0.0)
+    owners = lone(5, lone(5).durable.record())
+    told = DutyMessage(
+        "told", 0, 0, 3, owners.name_digests[1], *owners.durable.lists.digests(), member=1, left=15.0
+    )
+    poll = told._replace(kind="poll", sequence=9, term=0, who=owners.name_digests[2], member=0xFFFF, left=0.0)
 
-    def answer(now: float, sender: int) -> Words:
-        owners.heard(now, sender, poll._replace(who=owners.shorts[sender]))
-        return next(d.words for d in pulled(owners, now) if isinstance(d, Send) and d.words.sequence == 9)
+    def answer(now: float, sender: int) -> DutyMessage:
+        owners.on_message(now, sender, poll._replace(who=owners.name_digests[sender]))
+        return next(d.message for d in pulled(owners, now) if isinstance(d, Send) and d.message.sequence == 9)
 
-    owners.heard(T, 1, told)
+    owners.on_message(T, 1, told)
     said = answer(T + 5, 2)
     assert (said.kind, said.member, said.term) == ("deny", 1, 3) and said.left == pytest.approx(10.0)
     assert answer(T + 5, 1).kind == "free", "it is the owner itself that asks: it has lost its lease"
@@ -429,12 +449,16 @@
 
 
 def test_an_old_copy_of_the_state_counts_as_lost() -> None:
-    held = lone(3).memory.record()
+    held = lone(3).durable.record()
     owners = lone(3, held)
-    assert owners.memory.intact
-    greeted = Words("greeted", 0, 7, 0, owners.shorts[1], *owners.memory.lists.digests(), intact=True)
-    owners.heard(T, 1, greeted._replace(known_life=owners.memory.life + 3))
-    assert not owners.memory.intact and not owners.memory.confirmed and owners.memory.life > held["life"] + 3
+    assert owners.durable.intact
+    greeted = DutyMessage(
+        "greeted", 0, 7, 0, owners.name_digests[1], *owners.durable.lists.digests(), intact=True
+    )
+    owners.on_message(T, 1, greeted._replace(known_life=owners.durable.life + 3))
+    assert (
+        not owners.durable.intact and not owners.durable.confirmed and owners.durable.life > held["life"] + 3
+    )
     assert owners.counts["an old copy of the state directory"] == 1
 
 
@@ -445,10 +469,10 @@
 @given(st.binary(max_size=120))
 def test_words_of_any_bytes_are_read_whole_or_refused(data: bytes) -> None:
     try:
-        words = read(data)
-    except BadWords:
+        words = decode(data)
+    except InvalidMessage:
         return
-    assert written(words) == data or words.kind in ("deny", "told", "yield")
+    assert encode(words) == data or words.kind in ("deny", "told", "yield")
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -458,16 +482,16 @@
     owners, now = lone(3), T
     for _ in range(60):
         kind = chance.choice(KINDS)
-        term = chance.choice([0, 1, 2**20, 2**40, TOP, TOP + 1, 2**64 - 1])
+        term = chance.choice([0, 1, 2**20, 2**40, MAX_TERM, MAX_TERM + 1, 2**64 - 1])
         sender = chance.choice([1, 2, 3, 60_000])
-        who = owners.shorts[sender] if sender < 3 else b"abcd"
-        words = Words(
+        who = owners.name_digests[sender] if sender < 3 else b"abcd"
+        words = DutyMessage(
             kind,
             chance.choice([0, 1, 9]),
             chance.choice([7, 1, 2**32 - 1]),
             term,
             who,
-            *owners.memory.lists.digests(),
+            *owners.durable.lists.digests(),
             member=chance.choice([0, 1, 65535]),
             left=chance.choice([0.0, 1e6]),
             life=2**32 - 1,
@@ -477,12 +501,16 @@
         )
         if sender == 2:  # one is broken, the other says what is true
             words = words._replace(terms=(3, 3), term=min(term, 3), known_life=0)
-        owners.heard(now, sender, read(written(words)))
+        owners.on_message(now, sender, decode(encode(words)))
         pulled(owners, now)
         now += chance.choice([0.0, 0.3, 5.0])
-    assert all(v.term < 2**32 for v in owners.memory.voters.values())
-    assert all(one.seen_term < 2**32 for one in owners.duties.values())
-    assert len(owners.counts) < 12 and len(owners.memory.lives) <= 2 and len(owners.memory.answers) <= 2
+    assert all(v.term < 2**32 for v in owners.durable.voters.values())
+    assert all(one.highest_seen_term < 2**32 for one in owners.duties.values())
+    assert (
+        len(owners.counts) < 12
+        and len(owners.durable.lives) <= 2
+        and len(owners.durable.greeting_responses) <= 2
+    )
 
 
 # ---- off in `run` and `sim` --------------------------------------------------------------------------------
@@ -514,12 +542,12 @@
 
 
 def test_a_record_has_all_lives_that_were_greeted_and_an_earlier_one_stays_as_it_was() -> None:
-    memory = Memory(T, "a", tuple("abc"), DUTIES, 10.0, None, 1)
+    memory = DurableState(T, "a", tuple("abc"), DUTIES, 10.0, None, 1)
     before = memory.record()
-    memory.greeted_by("b", 3, 7)
+    memory.on_greeting("b", 3, 7)
     between = memory.record()
-    assert memory.greeted_by("b", 3, 7) == 0 and memory.record() == between
-    memory.greeted_by("c", 1, 9)
+    assert memory.on_greeting("b", 3, 7) == 0 and memory.record() == between
+    memory.on_greeting("c", 1, 9)
     assert [r["lives"] for r in (before, between, memory.record())] == [
         {},
         {"b": [3, 7]},
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ledgehitch.config.read import BadInput
-from ledgehitch.owners.facts import BUDGETS, DUTIES, RESTARTS, rank
+from ledgehitch.owners.facts import BUDGETS, DUTIES, RESTARTS, rank_members
 from ledgehitch.scale.judge import (
     Event,
     Term,
@@ -66,7 +66,7 @@
     real = [s for s in all_of if s.process < 0]
     assert len(real) == one.real >= 5 and {s.region for s in real} == {"west", "east"}
     # The one that should lend to all is a process of its own, so that what that takes can be measured.
-    assert rank(BUDGETS, [s.name for s in all_of])[0] in {int(s.name[1:]) for s in real}
+    assert rank_members(BUDGETS, [s.name for s in all_of])[0] in {int(s.name[1:]) for s in real}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -20,10 +20,10 @@
 from ledgehitch.fleet.owned import Said, cannot_vote, owned
 from ledgehitch.fleet.shared import Lends, Mine, Told, divided
 from ledgehitch.owners.decide import Owners
-from ledgehitch.owners.facts import BUDGETS, DUTIES, Lists, rank
-from ledgehitch.owners.memory import Memory
-from ledgehitch.owners.words import Words, written
-from ledgehitch.owners.words import read as read_words
+from ledgehitch.owners.facts import BUDGETS, DUTIES, MemberLists, rank_members
+from ledgehitch.owners.memory import DurableState
+from ledgehitch.owners.words import DutyMessage, encode
+from ledgehitch.owners.words import decode as read_words
 from ledgehitch.proof.budgeted import Wholes, judged_budgets
 from ledgehitch.proof.owned import judged_owned
 from ledgehitch.proof.tape import Line
@@ -238,7 +238,7 @@
 def test_a_site_without_regions_has_the_digest_the_file_and_the_words_that_it_had() -> None:
     names = ("g0", "g1", "g2")
     before = blake3(b"g0\ng1\ng2\n10.000\n0.100000").digest(4)
-    m = Memory(T, "g0", names, DUTIES, 10.0, None, 1, own_part=0.1)
+    m = DurableState(T, "g0", names, DUTIES, 10.0, None, 1, own_part=0.1)
     assert m.lists.digests() == (before, b"\0" * 4)
     assert sorted(m.record()) == [
         "current",
@@ -257,9 +257,9 @@
     one = Owners(T, 0, names, m, random.Random(1))
     assert one.members == [0, 1, 2] and [d.number for d in one.duties.values()] == [0, 1, 2]
     sent = [d for _ in range(9) if (d := one.decide(T)) is not None]
-    words = [w for d in sent for w in getattr(d, "then", ())]
-    assert words and {w.words.duty for w in words} == {0} and {len(w.words.terms) for w in words} == {3}
-    assert rank(BUDGETS, names) == rank(BUDGETS, names, [0, 1, 2])
+    sends = [send for d in sent for send in getattr(d, "messages", ())]
+    assert sends and {s.message.duty for s in sends} == {0} and {len(s.message.terms) for s in sends} == {3}
+    assert rank_members(BUDGETS, names) == rank_members(BUDGETS, names, [0, 1, 2])
 
 
 class TwoRegions(Crowd):
@@ -269,7 +269,7 @@
         if self.all.get(n) is not None:
             return
         mine = [m for m in range(self.n) if m % 2 == n % 2]
-        memory = Memory(
+        memory = DurableState(
             self.clock(n),
             self.names[n],
             tuple(self.names[m] for m in mine),
@@ -292,12 +292,12 @@
     some = TwoRegions(6, duties=(BUDGETS,))
     some.until(lambda: bool(some.owner(0) and some.owner(1)), 60.0)
     some.run(5.0)
-    terms = [o and o.memory.voters[BUDGETS].term for o in some.all.values()]
+    terms = [o and o.durable.voters[BUDGETS].term for o in some.all.values()]
     before = some.owner(0), some.owner(1)
     some.part([0, 2, 4])
     some.run(60.0)
     assert (some.owner(0), some.owner(1)) == before and some.most_owners == 2
-    assert terms == [o and o.memory.voters[BUDGETS].term for o in some.all.values()]
+    assert terms == [o and o.durable.voters[BUDGETS].term for o in some.all.values()]
     some.stop(before[0][0])
     at = some.now
     some.until(lambda: some.owner(0) not in ([], before[0]), 60.0)
@@ -314,22 +314,22 @@
 
 def test_words_of_another_region_an_unknown_duty_and_another_version_are_refused_and_counted() -> None:
     names, north = tuple(f"g{n}" for n in range(6)), (0, 2, 4)
-    memory = Memory(
+    memory = DurableState(
         T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN), scope="north"
     )
-    memory.confirmed, memory.votes_from = True, T
+    memory.confirmed, memory.may_vote_from = True, T
     one = Owners(T, 0, names, memory, random.Random(1), north, [2])
     pulled(one, T)
     before = memory.record()
-    good = Words("ask", 2, 9, 1, one.shorts[2], *memory.lists.digests())
-    other = Lists(NORTH.gateways, (), 10.0, 10.0, regions=digest_of(RAISED)).digests()
+    good = DutyMessage("ask", 2, 9, 1, one.name_digests[2], *memory.lists.digests())
+    other = MemberLists(NORTH.gateways, (), 10.0, 10.0, regions=digest_of(RAISED)).digests()
     for sender, words in (
-        (1, good._replace(who=one.shorts[1])),
+        (1, good._replace(who=one.name_digests[1])),
         (2, good._replace(duty=1)),
         (2, good._replace(list=other[0])),
         (2, good._replace(term=1 << 63)),
     ):
-        one.heard(T, sender, read_words(written(words)))
+        one.on_message(T, sender, read_words(encode(words)))
     assert sorted(one.counts.items()) == [
         ("a duty that nobody knows", 1),
         ("a term out of reach", 1),
@@ -337,37 +337,45 @@
         ("of a gateway of another region", 1),
     ]
     assert memory.record() == before
-    one.heard(T, 2, good)
+    one.on_message(T, 2, good)
     assert memory.voters[BUDGETS].member == "g2"
 
 
 def test_a_file_of_another_region_counts_as_lost_and_regions_are_versions_of_the_list() -> None:
-    first = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN), scope="north")
+    first = DurableState(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN), scope="north"
+    )
     held = first.record()
-    assert Memory(
+    assert DurableState(
         T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN), scope="north"
     ).intact
-    assert not Memory(
+    assert not DurableState(
         T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN), scope="south"
     ).intact
-    m = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(RAISED), scope="north")
+    m = DurableState(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(RAISED), scope="north"
+    )
     assert m.lists.former == NORTH.gateways and first.lists.digests()[0] == m.lists.digests()[1]
-    third = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, m.record(), 3, regions="third", scope="north")
+    third = DurableState(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, m.record(), 3, regions="third", scope="north"
+    )
     assert third.lists == m.lists, "a third version waits"
-    m.runs(T, "g2", m.lists.digests()[0])
-    m.behind = True
+    m.on_member_list(T, "g2", m.lists.digests()[0])
+    m.region_unsettled = True
     assert not m.settle(T + 11)
-    m.behind = False
+    m.region_unsettled = False
     assert m.settle(T + 11) and not m.lists.former
 
 
 def test_a_duty_that_goes_to_regions_and_comes_back_goes_on_above_its_terms() -> None:
     names = tuple(f"g{n}" for n in range(6))
-    whole = Memory(T, "g0", names, DUTIES, 10.0, None, 1)
-    assert whole.voters[BUDGETS].asked(T, 7, "g3")
-    apart = Memory(T, "g0", names, DUTIES[:2], 10.0, whole.record(), 2, regions=digest_of(EVEN))
+    whole = DurableState(T, "g0", names, DUTIES, 10.0, None, 1)
+    assert whole.voters[BUDGETS].on_vote_request(T, 7, "g3")
+    apart = DurableState(T, "g0", names, DUTIES[:2], 10.0, whole.record(), 2, regions=digest_of(EVEN))
     assert sorted(apart.voters) == sorted(DUTIES[:2]) and len(apart.terms()) == 2
-    back = Memory(T, "g0", names, DUTIES, 10.0, msgspec.json.decode(msgspec.json.encode(apart.record())), 3)
+    back = DurableState(
+        T, "g0", names, DUTIES, 10.0, msgspec.json.decode(msgspec.json.encode(apart.record())), 3
+    )
     assert back.voters[BUDGETS].term == 7 and back.record()["votes"].keys() == set(DUTIES)
 
 
--- a/tests/test_whole_units.py
+++ b/tests/test_whole_units.py
@@ -9,20 +9,34 @@
 from hypothesis import strategies as st
 
 from ledgehitch.budgets.borrower import Borrower
-from ledgehitch.budgets.facts import ASKS, WHOLE, Budget, budgets_of, loan_of, parts_used, parts_wanted
-from ledgehitch.budgets.ledger import divided
+from ledgehitch.budgets.facts import (
+    REQUESTS_PER_LOAN,
+    WHOLE,
+    Budget,
+    budgets_of,
+    loan_duration,
+    parts_used,
+    parts_wanted,
+)
+from ledgehitch.budgets.ledger import divide
 from ledgehitch.budgets.lender import Lender
-from ledgehitch.budgets.parts import OwnPart, lent_by
-from ledgehitch.budgets.units import lent_beside, may_be_lent, own_parts, smallest_own, spread
+from ledgehitch.budgets.parts import OwnPart, lending_terms
+from ledgehitch.budgets.units import (
+    lendable,
+    lendable_in_all_versions,
+    own_parts,
+    smallest_own_parts,
+    spread_units,
+)
 from ledgehitch.config.site import GatewayRecord
 from ledgehitch.door.part import MOST_COUNTED, Part, grain_of, things
 from ledgehitch.door.rates import SET_UPS, PackageRates
 from ledgehitch.gateway.serve import own_shares
-from ledgehitch.owners.facts import Lists, promise_of
+from ledgehitch.owners.facts import MemberLists, vote_duration
 from tests.rig import site
 
 T, LOAN, DIGEST = 1000.0, 5.0, b"same"
-PERIOD = LOAN / ASKS
+PERIOD = LOAN / REQUESTS_PER_LOAN
 RATE = Budget("offers.live", "rate")
 wholes = st.one_of(st.integers(1, 700), st.integers(1, MOST_COUNTED), st.integers(MOST_COUNTED + 1, 10**6))
 shares = st.one_of(st.just(WHOLE), st.integers(1, WHOLE))
@@ -44,7 +58,7 @@
 ) -> None:
     budget = count(whole)
     own = own_parts(budget, own_part, names_of(gateways), share)
-    pool = may_be_lent(budget, own_part, share)
+    pool = lendable(budget, own_part, share)
     assert sum(own.values()) + pool <= share and pool >= 0
     assert all(parts % budget.grain == 0 for parts in [*own.values(), pool])
     if budget.grain > 1:
@@ -96,11 +110,11 @@
     """Each gateway goes by the former version, or by both; the lender lends by both."""
     budgets = [RATE, count(whole)]
     current, former = (tuple(f"g{n}" for n in sorted(some)) for some in (now, before))
-    lists = Lists(current, former, own_part=own_part, former_own_part=former_part)
-    by_both = smallest_own(budgets, lists, share=share)
-    old = Lists(former, own_part=former_part, former_own_part=former_part)
-    by_former = smallest_own(budgets, old, share=share)
-    pool = lent_beside(budgets, lists, share)
+    lists = MemberLists(current, former, own_part=own_part, former_own_part=former_part)
+    by_both = smallest_own_parts(budgets, lists, share=share)
+    old = MemberLists(former, own_part=former_part, former_own_part=former_part)
+    by_former = smallest_own_parts(budgets, old, share=share)
+    pool = lendable_in_all_versions(budgets, lists, share)
     for _ in range(5):
         mixed = [chance.choice([by_both[n], by_former[n] if n in former else by_both[n]]) for n in by_both]
         for i in range(2):
@@ -109,10 +123,10 @@
     # force at first: a newcomer waits for it (`OwnPart.at`).
     settled = lists._replace(former=())
     for surely, names, most in (
-        (False, current, lent_beside(budgets, settled, share)),
-        (True, former, lent_beside(budgets, old, share)),
+        (False, current, lendable_in_all_versions(budgets, settled, share)),
+        (True, former, lendable_in_all_versions(budgets, old, share)),
     ):
-        after = smallest_own(budgets, settled, surely, share)
+        after = smallest_own_parts(budgets, settled, surely, share)
         for i in range(2):
             own = sum(max(parts[i], by_both[n][i]) for n, parts in after.items() if n in names)
             assert own + most[i] <= share
@@ -131,7 +145,7 @@
 ) -> None:
     names = names_of(gateways)
     for lender, grain in ((one, grain_of(one)), (other, grain_of(other))):
-        left, total = may_be_lent(count(lender), own_part), 0
+        left, total = lendable(count(lender), own_part), 0
         for name in names:
             whole = chance.choice([one, other])
             loan = chance.choice([0, left, chance.randint(0, left)]) // grain * grain
@@ -142,55 +156,57 @@
 
 def test_who_has_an_own_unit_is_the_same_at_every_gateway_and_only_more_as_units_rise() -> None:
     names = names_of(550)
-    before = spread(0, SET_UPS, names)
+    before = spread_units(0, SET_UPS, names)
     for units in range(1, 1200):
-        now = spread(units, SET_UPS, names)
+        now = spread_units(units, SET_UPS, names)
         assert sum(now.values()) == units and sum(now[n] - before[n] for n in names) == 1
         assert all(now[n] >= before[n] for n in names)
         before = now
-    assert spread(30, SET_UPS, names) == spread(30, SET_UPS, tuple(reversed(names)))
-    assert spread(30, SET_UPS, names) != spread(30, "other", names)
+    assert spread_units(30, SET_UPS, names) == spread_units(30, SET_UPS, tuple(reversed(names)))
+    assert spread_units(30, SET_UPS, names) != spread_units(30, "other", names)
     five = own_parts(count(5000), 0.1, names)
     assert sorted(set(five.values())) == [0, WHOLE // 5000] and sum(five.values()) == WHOLE // 10
 
 
 def test_an_own_unit_waits_until_what_the_last_life_or_holder_began_is_over() -> None:
     budgets = [RATE, Budget(SET_UPS, "count", 3.0, WHOLE // 10)]
-    lists = Lists(("a", "b"), lease=6.0, former_lease=6.0, own_part=0.2, former_own_part=0.2)
-    lag, longest = promise_of(3.0), promise_of(loan_of(6.0))
+    lists = MemberLists(("a", "b"), lease=6.0, former_lease=6.0, own_part=0.2, former_own_part=0.2)
+    lag, longest = vote_duration(3.0), vote_duration(loan_duration(6.0))
     one = OwnPart(T, lists, "a", budgets)
-    assert one.at(T + lag - 0.01, True, had=True) == (WHOLE // 10, 0)
-    assert one.at(T + lag, True, had=True) == (WHOLE // 10, WHOLE // 10)
+    assert one.parts_at(T + lag - 0.01, True, had_part=True) == (WHOLE // 10, 0)
+    assert one.parts_at(T + lag, True, had_part=True) == (WHOLE // 10, WHOLE // 10)
     new = OwnPart(T, lists, "a", budgets)
-    assert new.at(T + 1.0, True, had=False) == (0, 0)
-    assert new.at(T + 1.0 + longest, True, had=False) == (WHOLE // 10, 0)
-    assert new.at(T + 1.0 + longest + lag, True, had=False) == (WHOLE // 10, WHOLE // 10)
+    assert new.parts_at(T + 1.0, True, had_part=False) == (0, 0)
+    assert new.parts_at(T + 1.0 + longest, True, had_part=False) == (WHOLE // 10, 0)
+    assert new.parts_at(T + 1.0 + longest + lag, True, had_part=False) == (WHOLE // 10, WHOLE // 10)
     # A unit that comes with a change of the list, and goes with one at once.
     names = names_of(6)
     first, *_, last = sorted(names, key=lambda n: -own_parts(budgets[1], 0.1, names)[n])
-    six = Lists(names, own_part=0.1, former_own_part=0.1)
+    six = MemberLists(names, own_part=0.1, former_own_part=0.1)
     five = six._replace(current=tuple(n for n in names if n != first))
     heir = next(n for n, parts in own_parts(budgets[1], 0.1, five.current).items() if parts)
     gains, loses = OwnPart(T, six, heir, budgets), OwnPart(T, five, heir, budgets)
-    gains.listed(T + 100.0, five._replace(former=names))
-    assert gains.at(T + 150.0, True, had=True)[1] == 0
-    gains.listed(T + 200.0, five)
-    assert gains.at(T + 200.0 + lag - 0.01, True, had=True)[1] == 0
-    assert gains.at(T + 200.0 + lag, True, had=True)[1] == WHOLE // 10
-    assert loses.at(T + 99.0, True, had=True)[1] == WHOLE // 10
-    loses.listed(T + 100.0, six._replace(former=five.current))
-    assert loses.at(T + 100.0, True, had=True)[1] == 0
+    gains.on_list_change(T + 100.0, five._replace(former=names))
+    assert gains.parts_at(T + 150.0, True, had_part=True)[1] == 0
+    gains.on_list_change(T + 200.0, five)
+    assert gains.parts_at(T + 200.0 + lag - 0.01, True, had_part=True)[1] == 0
+    assert gains.parts_at(T + 200.0 + lag, True, had_part=True)[1] == WHOLE // 10
+    assert loses.parts_at(T + 99.0, True, had_part=True)[1] == WHOLE // 10
+    loses.on_list_change(T + 100.0, six._replace(former=five.current))
+    assert loses.parts_at(T + 100.0, True, had_part=True)[1] == 0
     assert last not in (first, heir)
     # A lower whole counts at once.
-    one.placed([RATE, Budget(SET_UPS, "count", 3.0, WHOLE // 4)])
-    assert one.at(T + 300.0, True, had=True)[1] == (WHOLE // 4 if own_parts(count(4), 0.2, "ab")["a"] else 0)
+    one.set_budgets([RATE, Budget(SET_UPS, "count", 3.0, WHOLE // 4)])
+    assert one.parts_at(T + 300.0, True, had_part=True)[1] == (
+        WHOLE // 4 if own_parts(count(4), 0.2, "ab")["a"] else 0
+    )
 
 
 def test_the_lender_lends_a_scopes_share_beside_its_own_parts() -> None:
     budgets, names = [RATE, count(30)], names_of(3)
     numbers = {name: n for n, name in enumerate(names)}
-    lists = Lists(names, own_part=0.1, former_own_part=0.1)
-    own, pool, members = lent_by(budgets, lists, frozenset(), numbers, WHOLE // 2)
+    lists = MemberLists(names, own_part=0.1, former_own_part=0.1)
+    own, pool, members = lending_terms(budgets, lists, frozenset(), numbers, WHOLE // 2)
     assert pool == (WHOLE // 2 - WHOLE // 20, 13 * (WHOLE // 30)) and members == {0, 1, 2}, "13 of 15"
     assert sum(parts[0] for parts in own.values()) <= WHOLE // 20
     assert sorted(parts[1] // (WHOLE // 30) for parts in own.values()) == [0, 0, 1]
@@ -214,16 +230,16 @@
         """All ask once, within a period; gives the units that each has then."""
         for me, b in enumerate(self.borrowers):
             self.now += PERIOD / len(self.borrowers)
-            b._ask_at = -1e18
-            words = b.asks(self.now, 1, {}, {SET_UPS: wanted.get(me, 0) * self.budget.grain})
+            b._next_request_at = -1e18
+            words = b.next_request(self.now, 1, {}, {SET_UPS: wanted.get(me, 0) * self.budget.grain})
             assert words is not None
-            answer = self.lender.wants(self.now, me, words)
-            assert answer is not None and b.lent(self.now, answer)
+            answer = self.lender.on_request(self.now, me, words)
+            assert answer is not None and b.on_loan(self.now, answer)
             assert sum(self.units()) <= WHOLE // self.budget.grain
         return self.units()
 
     def units(self) -> list[int]:
-        held = [b.part(self.now, SET_UPS) for b in self.borrowers]
+        held = [b.available(self.now, SET_UPS) for b in self.borrowers]
         assert all(parts % self.budget.grain == 0 for parts in held)
         return [parts // self.budget.grain for parts in held]
 
@@ -249,7 +265,7 @@
     some = Asking(10, 3)
     wanted = {m: units * some.budget.grain for m, units in {1: 1, 4: 9, 5: 9, 7: 9}.items()}
     first = some.lender.turns[0].order(T, wanted, {}, {})
-    loans = divided(WHOLE, {}, wanted, some.budget.grain, first)
+    loans = divide(WHOLE, {}, wanted, some.budget.grain, first)
     assert loans == {1: 0, 4: WHOLE // 3, 5: WHOLE // 3, 7: WHOLE // 3}
     for _ in range(4):
         held = some.round({4: 9, 5: 9, 7: 9})
