--- a/benchmarks/cut.py
+++ b/benchmarks/cut.py
@@ -15,7 +15,7 @@
 
 from benchmarks.data_path import KEPT
 from ledgehitch.owners.facts import DUTIES
-from ledgehitch.regions.facts import OF_A_REGION
+from ledgehitch.regions.facts import REGIONAL_DUTIES
 from ledgehitch.rehearsal.fleet import FleetRig
 from ledgehitch.scale.facts import Point, kept_now, load_now, write_kept
 
@@ -44,7 +44,7 @@
     sides = [[g.name for g in rig.site.gateways if g.zone == zone] for zone in ("z0", "z1")]
     assert [len(side) for side in sides] == [GATEWAYS // 2] * 2
     regions = bool(rig.site.regions)
-    own = set(OF_A_REGION) if regions else set(DUTIES)  # the duties that a side can be asked to own
+    own = set(REGIONAL_DUTIES) if regions else set(DUTIES)  # the duties that a side can be asked to own
     rig.start_all()
     scopes = sides if regions else [rig.names]
     rig.until(lambda: all("budgets" in owned(rig, some) for some in scopes), 60.0)
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -24,8 +24,8 @@
 from ledgehitch.http.parse import RequestReader
 from ledgehitch.keys import judge
 from ledgehitch.members.decide import Members
-from ledgehitch.members.roster import News
-from ledgehitch.members.words import BadWords, Words, read, written
+from ledgehitch.members.roster import MemberStatus
+from ledgehitch.members.words import InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.owners.decide import Owners
 from ledgehitch.owners.facts import DUTIES, name_digest
 from ledgehitch.owners.memory import DurableState
@@ -62,8 +62,8 @@
         self.sender = Peers([KEY], 0, 1)
         self.members = Members(0.0, 1, 8, 1, random.Random(1))
         self.now = 0.0
-        news = tuple(News(n, 1 << 16, "alive") for n in range(8))
-        self.words = written(Words("ask", 1, 0, news))
+        news = tuple(MemberStatus(n, 1 << 16, "alive") for n in range(8))
+        self.words = encode(MembershipMessage("ask", 1, 0, news))
         line = json.dumps({"ev": "done", "gateway": "g0"})
         self.journal = f"{_sum('', line)} {line}\n".encode() * 1
         self.drain = msgspec.json.encode(Drain(3.0, "restart", "t", "b"))
@@ -84,8 +84,8 @@
             data = self.sender.frame(self.now, 1, spoilt(self.words, self.chance)[:1000])
         try:
             sender, body = self.receiver.words(self.now, data)
-            self.members.heard(self.now, sender, read(body))
-        except (Refusal, BadWords):
+            self.members.on_message(self.now, sender, decode(body))
+        except (Refusal, InvalidMessage):
             pass
         while self.members.decide(self.now) is not None:
             pass
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -10,8 +10,8 @@
 import sys
 from typing import Any
 
-from ledgehitch.members.decide import Became, Members, Send
-from ledgehitch.members.words import read, written
+from ledgehitch.members.decide import Members, Send, StatusChanged
+from ledgehitch.members.words import decode, encode
 
 FRAME = 52  # bytes of head and MAC around the words
 
@@ -39,7 +39,7 @@
     def leave(self, n: int, for_good: bool) -> None:
         one = self.all[n]
         assert one is not None
-        one.leaves(self.now, for_good)
+        one.leave(self.now, for_good)
         self._pull(n)
         self.all[n] = None
 
@@ -51,7 +51,7 @@
                 _, _, sender, to, data = heapq.heappop(self.events)
                 one = self.all[to]
                 if one is not None:
-                    one.heard(self.now, sender, read(data))
+                    one.on_message(self.now, sender, decode(data))
                     self._pull(to)
             for n, one in self.all.items():
                 if one is not None and one.wake_at() <= self.now:
@@ -63,7 +63,7 @@
         while (decision := one.decide(self.now)) is not None:
             match decision:
                 case Send(to, words):
-                    data = written(words)
+                    data = encode(words)
                     self.bytes += len(data) + FRAME
                     self.messages += 1
                     apart = (n in self.parted) != (to in self.parted)
@@ -71,7 +71,7 @@
                         self.number += 1
                         late = self.now + self.chance.uniform(0.001, 0.05)
                         heapq.heappush(self.events, (late, self.number, n, to, data))
-                case Became(member, status):
+                case StatusChanged(member, status):
                     self.became.append((self.now, n, member, status))
 
     def knows(self, status: str, member: int) -> float:
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -13,8 +13,8 @@
 from ledgehitch.gateway.peers import Peers, Refusal
 from ledgehitch.loop import Datagrams, Loop, endpoint
 from ledgehitch.loop.timers import Timer
-from ledgehitch.members.decide import Became, Members, Send
-from ledgehitch.members.words import BadWords, read, written
+from ledgehitch.members.decide import Members, Send, StatusChanged
+from ledgehitch.members.words import InvalidMessage, decode, encode
 from ledgehitch.owners.words import FIRST_KIND
 from ledgehitch.quality.keep import Keep
 
@@ -62,10 +62,10 @@
                     if self.more is not None:
                         self.more(sender, body)
                     continue
-                self.members.heard(time.monotonic(), sender, read(body))
+                self.members.on_message(time.monotonic(), sender, decode(body))
             except Refusal:
                 continue  # counted there
-            except BadWords as why:
+            except InvalidMessage as why:
                 self.bad[str(why)] = self.bad.get(str(why), 0) + 1
                 continue
             self._pull()
@@ -75,8 +75,8 @@
         while (decision := self.members.decide(now)) is not None:
             match decision:
                 case Send(to, words):
-                    self.send(to, written(words))
-                case Became(member, status):
+                    self.send(to, encode(words))
+                case StatusChanged(member, status):
                     log.info("a member", gateway=self.names[member], status=status)
         if self._timer is not None:
             self.loop.timers.cancel(self._timer)
@@ -88,7 +88,7 @@
 
     def leave(self, back_soon: bool) -> None:
         """Told to others as the process goes."""
-        self.members.leaves(time.monotonic(), not back_soon)
+        self.members.leave(time.monotonic(), not back_soon)
         self._pull()
 
     def close(self) -> None:
@@ -99,7 +99,7 @@
             self.loop.timers.cancel(self._timer)
 
     def told(self) -> dict[str, str]:
-        return {self.names[n]: status for n, status in self.members.told().items()}
+        return {self.names[n]: status for n, status in self.members.statuses().items()}
 
     def there(self, name: str) -> bool:
         """Whether a gateway may be sent viewers."""
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -27,8 +27,8 @@
 from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.words import InvalidMessage, decode, encode
 from ledgehitch.quality.keep import Keep as File
-from ledgehitch.regions.facts import OF_A_REGION, WHOLE, Region, digest_of, region_of, regions_of
-from ledgehitch.regions.shares import begun
+from ledgehitch.regions.facts import REGIONAL_DUTIES, WHOLE, Region, region_of, regions_digest, regions_of
+from ledgehitch.regions.shares import initial_shares
 
 DISK_AGAIN = 1.0  # seconds until a disk that took nothing is tried again
 NO_SHARE = "others may still use the share of its region"
@@ -142,16 +142,16 @@
         if regions and self.region not in [r.name for r in regions]:
             raise BadInput(f"gateway {name}: region {self.region!r} has no gateway that is not declared gone")
         self.regions = {g: r.name for r in regions for g in r.gateways}
-        mine = tuple(d for d in DUTIES if d in OF_A_REGION) if regions else ()
+        mine = tuple(d for d in DUTIES if d in REGIONAL_DUTIES) if regions else ()
         file = File(directory / f"{name}.owners", private=True, synced=True)
         held = self._held(file, "")
         rest = tuple(duty for duty in DUTIES if duty not in mine)
         everywhere = self._scope(site, "", stated(site), rest, file, held, regions, random.Random(seed))
         memory = everywhere.owners.durable
         lent = loan_duration(memory.lists.max_recorded_lease()) + max(p.patience for p in site.packages)
-        waits = bool(memory.lists.former) and memory.lists.regions != digest_of(regions)
+        waits = bool(memory.lists.former) and memory.lists.regions != regions_digest(regions)
         kept = held.get("shares") if memory.intact and held is not None else None
-        shares = begun(self.region, regions, stated(site), kept, waits)
+        shares = initial_shares(self.region, regions, stated(site), kept, waits)
         memory.set_shares(self._boottime(), shares, vote_duration(lent))
         self.scopes = [everywhere]
         if regions:
@@ -194,7 +194,7 @@
             secrets.randbits(32),
             own_part=site.budgets.own_part,
             gone=gone,
-            regions=digest_of(regions),
+            regions=regions_digest(regions),
             scope=region,
         )
         some = set(memory.lists.current) | set(memory.lists.former)
@@ -231,7 +231,7 @@
     def share_to_lend(self) -> int:
         """Of which a lender of this region may go by."""
         shares, lists = self.owners.durable.shares, self.of(BUDGETS).owners.durable.lists
-        return WHOLE if shares is None else shares.to_lend(lists.max_own_part(), bool(lists.former))
+        return WHOLE if shares is None else shares.lendable(lists.max_own_part(), bool(lists.former))
 
     @staticmethod
     def _boottime() -> float:
@@ -245,7 +245,7 @@
                 # Guards against a file whose sum is right and whose fields are not: of another program.
                 DurableState(0.0, self.name, (self.name,), DUTIES, 1.0, held, 0, scope=scope)
                 if held.get("shares") is not None:
-                    begun("", (), (), held["shares"], False)
+                    initial_shares("", (), (), held["shares"], False)
                 return held
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as wrong:
             log.error("the votes that were kept do not read, they count as lost", why=repr(wrong))
@@ -281,9 +281,9 @@
     def look(self, scope: Scope) -> None:
         """What a scope goes by that others know: whether this one should own anything now."""
         members = self.membership.members
-        why = "drains" if not self.serves() else "slow itself" if members.lags() else ""
+        why = "drains" if not self.serves() else "slow itself" if members.is_slow() else ""
         scope.owners.on_membership(members.alive(), not why, why)
-        unused = {} if self.share() else {duty: NO_SHARE for duty in OF_A_REGION}
+        unused = {} if self.share() else {duty: NO_SHARE for duty in REGIONAL_DUTIES}
         scope.owners.withheld = {d: why for d, why in unused.items() if d in scope.owners.duties}
         if scope is not self.scopes[0]:
             behind = bool(scope.owners.durable.lists.former)
@@ -359,7 +359,7 @@
         if shares is not None:
             out["share"] = {
                 "in_force": shares.in_force(),
-                "stated": shares.stated(),
+                "stated": shares.stated_share(),
                 "whole": WHOLE,
                 "go_by_it": sorted(self.owners.durable.on_current),
             }
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -35,7 +35,7 @@
 from ledgehitch.keys.store import Keys
 from ledgehitch.loop import Child, Endpoint, Event, Loop, TimedOut, endpoint
 from ledgehitch.loop.pump import Pump
-from ledgehitch.members.elsewhere import elsewhere
+from ledgehitch.members.elsewhere import pick_gateway
 from ledgehitch.owners.facts import BUDGETS, RESTARTS, VERDICTS
 from ledgehitch.quality.keep import Keep
 
@@ -167,7 +167,7 @@
 
     def _elsewhere(self) -> str:
         there = self.membership.there if self.membership is not None else lambda name: True
-        return elsewhere(self.name, self.site.gateways, there, self.chance)
+        return pick_gateway(self.name, self.site.gateways, there, self.chance)
 
     def _serve_admin(self) -> list[Server]:
         at = Endpoint(endpoint(f"unix:{self.place.admin}").family, str(self.place.admin))
--- a/ledgehitch/members/elsewhere.py
+++ b/ledgehitch/members/elsewhere.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 
-class Place(Protocol):
+class GatewayAddress(Protocol):
     """A gateway as the site names it."""
 
     @property
@@ -16,9 +16,11 @@
     def zone(self) -> str: ...
 
 
-def elsewhere(me: str, gateways: Sequence[Place], there: Callable[[str], bool], chance: random.Random) -> str:
+def pick_gateway(
+    me: str, gateways: Sequence[GatewayAddress], is_present: Callable[[str], bool], rng: random.Random
+) -> str:
     """The address of another gateway that is there, of the same hall where one is; empty without any."""
-    hall = next(g.zone for g in gateways if g.name == me)
-    others = [g for g in gateways if g.name != me and there(g.name)]
-    near = [g for g in others if g.zone == hall] or others
-    return chance.choice(near).at if near else ""
+    zone = next(g.zone for g in gateways if g.name == me)
+    others = [g for g in gateways if g.name != me and is_present(g.name)]
+    same_zone = [g for g in others if g.zone == zone] or others
+    return rng.choice(same_zone).at if same_zone else ""
--- a/ledgehitch/members/roster.py
+++ b/ledgehitch/members/roster.py
@@ -10,11 +10,13 @@
 
 Status = Literal["alive", "suspect", "away", "dead", "left"]
 STATUSES: tuple[Status, ...] = ("alive", "suspect", "away", "dead", "left")  # rising in gravity
-GRAVITY = {status: number for number, status in enumerate(STATUSES)}
-LIFE = 1 << 16  # incarnations of one life: what is above counts starts, what is below refutations
+SEVERITY = {status: number for number, status in enumerate(STATUSES)}
+INCARNATIONS_PER_LIFE = (
+    1 << 16
+)  # incarnations of one life: what is above counts starts, what is below refutations
 
 
-class News(NamedTuple):
+class MemberStatus(NamedTuple):
     member: int
     incarnation: int
     status: Status
@@ -30,28 +32,30 @@
 class Roster:
     def __init__(self, now: float, me: int, members: int, life: int) -> None:
         """`members`: gateways of the site, numbered from 0. `life`: rises with each start."""
-        self.me, self.incarnation = me, life * LIFE
+        self.me, self.incarnation = me, life * INCARNATIONS_PER_LIFE
         self.entries = {n: Entry(since=now) for n in range(members)}
         self.entries[me].incarnation = self.incarnation
-        self.news: list[News] = [News(me, self.incarnation, "alive")]  # to be passed on, taken by the caller
+        self.outgoing: list[MemberStatus] = [
+            MemberStatus(me, self.incarnation, "alive")
+        ]  # to be passed on, taken by the caller
 
     def status(self, member: int) -> Status:
         return self.entries[member].status
 
-    def heard(self, now: float, some: Iterable[News]) -> list[News]:
+    def merge(self, now: float, updates: Iterable[MemberStatus]) -> list[MemberStatus]:
         """What others say; gives what changed here by it."""
         changed = []
-        for member, incarnation, status in some:
+        for member, incarnation, status in updates:
             if member == self.me:
                 self._refute(now, incarnation, status)
                 continue
             entry = self.entries.get(member)
             if entry is None:
                 continue  # of another version of the site
-            if (incarnation, GRAVITY[status]) > (entry.incarnation, GRAVITY[entry.status]):
+            if (incarnation, SEVERITY[status]) > (entry.incarnation, SEVERITY[entry.status]):
                 entry.incarnation, entry.status, entry.since = incarnation, status, now
-                changed.append(News(member, incarnation, status))
-        self.news += changed
+                changed.append(MemberStatus(member, incarnation, status))
+        self.outgoing += changed
         return changed
 
     def _refute(self, now: float, incarnation: int, status: Status) -> None:
@@ -61,17 +65,17 @@
         if incarnation > self.incarnation or (incarnation == self.incarnation and status != own.status):
             self.incarnation = incarnation + 1
             own.incarnation, own.since = self.incarnation, now
-            self.news.append(News(self.me, self.incarnation, own.status))
+            self.outgoing.append(MemberStatus(self.me, self.incarnation, own.status))
 
-    def doubt(self, now: float, member: int, status: Status) -> list[News]:
+    def set_status(self, now: float, member: int, status: Status) -> list[MemberStatus]:
         """What this gateway itself comes to believe of another, at the incarnation that it knows."""
-        return self.heard(now, [News(member, self.entries[member].incarnation, status)])
+        return self.merge(now, [MemberStatus(member, self.entries[member].incarnation, status)])
 
-    def leaves(self, now: float, status: Status) -> None:
+    def leave(self, now: float, status: Status) -> None:
         """This one goes: `left` for good, `away` to be back soon."""
         self.entries[self.me].status, self.entries[self.me].since = status, now
-        self.news.append(News(self.me, self.incarnation, status))
+        self.outgoing.append(MemberStatus(self.me, self.incarnation, status))
 
-    def there(self) -> list[int]:
+    def present(self) -> list[int]:
         """Others that are not known to be gone."""
         return [n for n, e in self.entries.items() if n != self.me and e.status in ("alive", "suspect")]
--- a/ledgehitch/members/words.py
+++ b/ledgehitch/members/words.py
@@ -7,48 +7,50 @@
 import struct
 from typing import Literal, NamedTuple
 
-from ledgehitch.members.roster import STATUSES, News
+from ledgehitch.members.roster import STATUSES, MemberStatus
 
 Kind = Literal["ask", "answer", "ask for"]
 KINDS: tuple[Kind, ...] = ("ask", "answer", "ask for")
-HEAD = struct.Struct(">BIH8xB")
-ITEM = struct.Struct(">HHIB")
-MOST_NEWS = 110  # of one message: about a kilobyte, so that refutations keep up with doubts under loss
+HEADER = struct.Struct(">BIH8xB")
+UPDATE = struct.Struct(">HHIB")
+MAX_UPDATES = 110  # of one message: about a kilobyte, so that refutations keep up with doubts under loss
 
 
-class Words(NamedTuple):
+class MembershipMessage(NamedTuple):
     """`sequence` is the asker's own; `about`: whom a question that was asked for another is about."""
 
     kind: Kind
     sequence: int
     about: int
-    news: tuple[News, ...]
+    news: tuple[MemberStatus, ...]
 
 
-class BadWords(ValueError):
+class InvalidMessage(ValueError):
     """What came is none of these; the text says why."""
 
 
-def written(words: Words) -> bytes:
-    some = words.news[:MOST_NEWS]
-    head = HEAD.pack(KINDS.index(words.kind), words.sequence & 0xFFFFFFFF, words.about, len(some))
-    return head + b"".join(
-        ITEM.pack(n, i >> 32 & 0xFFFF, i & 0xFFFFFFFF, STATUSES.index(s)) for n, i, s in some
+def encode(message: MembershipMessage) -> bytes:
+    updates = message.news[:MAX_UPDATES]
+    header = HEADER.pack(
+        KINDS.index(message.kind), message.sequence & 0xFFFFFFFF, message.about, len(updates)
+    )
+    return header + b"".join(
+        UPDATE.pack(n, i >> 32 & 0xFFFF, i & 0xFFFFFFFF, STATUSES.index(s)) for n, i, s in updates
     )
 
 
-def read(data: bytes) -> Words:
+def decode(data: bytes) -> MembershipMessage:
     """Raises `BadWords`."""
-    if len(data) < HEAD.size:
-        raise BadWords("short")
-    kind, sequence, about, count = HEAD.unpack_from(data)
+    if len(data) < HEADER.size:
+        raise InvalidMessage("short")
+    kind, sequence, about, count = HEADER.unpack_from(data)
     if kind >= len(KINDS):
-        raise BadWords("kind")
-    if count > MOST_NEWS or len(data) != HEAD.size + count * ITEM.size:
-        raise BadWords("length")
+        raise InvalidMessage("kind")
+    if count > MAX_UPDATES or len(data) != HEADER.size + count * UPDATE.size:
+        raise InvalidMessage("length")
     news = []
-    for member, high, low, status in ITEM.iter_unpack(data[HEAD.size :]):
+    for member, high, low, status in UPDATE.iter_unpack(data[HEADER.size :]):
         if status >= len(STATUSES):
-            raise BadWords("status")
-        news.append(News(member, high << 32 | low, STATUSES[status]))
-    return Words(KINDS[kind], sequence, about, tuple(news))
+            raise InvalidMessage("status")
+        news.append(MemberStatus(member, high << 32 | low, STATUSES[status]))
+    return MembershipMessage(KINDS[kind], sequence, about, tuple(news))
--- a/ledgehitch/owners/decide.py
+++ b/ledgehitch/owners/decide.py
@@ -698,7 +698,7 @@
             self.durable.settles_at if not self.durable.region_unsettled else 1e18,
         ]
         if self.durable.shares is not None:
-            times.append(self.durable.shares.free_at)
+            times.append(self.durable.shares.settles_at)
         for state in self.duties.values():
             if state.lease is not None:
                 times += [state.round_at + RENEW_INTERVAL * self.lease, state.retry_at]
--- a/ledgehitch/owners/memory.py
+++ b/ledgehitch/owners/memory.py
@@ -9,7 +9,7 @@
 
 from ledgehitch.owners.facts import MAX_TERM, MAX_TERM_STEP, MemberLists, majority, vote_duration
 from ledgehitch.owners.votes import Fence, Voter
-from ledgehitch.regions.shares import Shares
+from ledgehitch.regions.shares import RegionShares
 
 FORMAT_VERSION = 1
 
@@ -49,7 +49,9 @@
             None  # as they are in a record; None: to be made anew
         )
         self.lists = _initial_lists(stated, lease, own_part, regions, stored if self.intact else {})
-        self.shares: Shares | None = None  # of the regions; where all of them are heard, and there are any
+        self.shares: RegionShares | None = (
+            None  # of the regions; where all of them are heard, and there are any
+        )
         self.max_loan_duration = 0.0  # seconds that what a lease lent may go on after it
         # Whether another scope's list is still unsettled. Guards against gateways that say they go by a
         # version while their region's voters still give their votes by the one before the last.
@@ -174,7 +176,7 @@
         if enough and left < majority(len(former)) and self.settles_at > 1e17:
             self.settles_at = now + self.vote_duration
 
-    def set_shares(self, now: float, shares: Shares | None, max_loan_duration: float) -> None:
+    def set_shares(self, now: float, shares: RegionShares | None, max_loan_duration: float) -> None:
         """`shares` of the regions begin; None where there are none. `longest_lent`: seconds that what a
         lender lent may go on after its lease."""
         self.shares, self.max_loan_duration = shares, max_loan_duration
@@ -183,11 +185,11 @@
     def _update_shares(self, now: float) -> None:
         if self.shares is not None:
             lease = vote_duration(self.lists.max_recorded_lease())
-            self.shares.runs(now, self.on_current, self.gone, lease + self.max_loan_duration)
+            self.shares.on_versions(now, self.on_current, self.gone, lease + self.max_loan_duration)
 
     def unsettled(self) -> bool:
         """Whether it matters still who goes by which list."""
-        return bool(self.lists.former) or self.shares is not None and not self.shares.known
+        return bool(self.lists.former) or self.shares is not None and not self.shares.former_unused
 
     def settle(self, now: float) -> bool:
         """Whether the former list, or the former shares of regions, are let go of by this."""
--- a/ledgehitch/regions/facts.py
+++ b/ledgehitch/regions/facts.py
@@ -10,7 +10,7 @@
 
 WHOLE = 1_000_000_000  # parts of every budget; `budgets/` counts in the same
 # Duties that each region has an owner of; any other is done once for all.
-OF_A_REGION = frozenset({"budgets"})
+REGIONAL_DUTIES = frozenset({"budgets"})
 
 
 class Region(NamedTuple):
@@ -21,14 +21,14 @@
     gateways: tuple[str, ...]
 
 
-def divided(shares: Sequence[Fraction | None], gateways: Sequence[int]) -> tuple[int, ...]:
+def divide_whole(shares: Sequence[Fraction | None], gateways: Sequence[int]) -> tuple[int, ...]:
     """Parts of WHOLE for each, never more than WHOLE together: by stated shares, or without any by the number
     of gateways. What rounding leaves goes to the first, a part each."""
     if any(share is None for share in shares):
         total = sum(gateways)
         parts = [WHOLE * n // total for n in gateways]
-        left = WHOLE - sum(parts)
-        return tuple(part + (i < left) for i, part in enumerate(parts))
+        remainder = WHOLE - sum(parts)
+        return tuple(part + (i < remainder) for i, part in enumerate(parts))
     return tuple(int(share * WHOLE) for share in shares if share is not None)
 
 
@@ -36,18 +36,20 @@
     """Those that have a stated gateway; none for a site without regions. What a region had that is gone goes
     to the others by their shares."""
     names = set(stated(site))
-    of = {zone: r.name for r in site.regions for zone in r.zones}
-    inside = {
-        r.name: tuple(g.name for g in site.gateways if g.name in names and of[g.zone] == r.name)
+    region_of_zone = {zone: r.name for r in site.regions for zone in r.zones}
+    gateways_in = {
+        r.name: tuple(g.name for g in site.gateways if g.name in names and region_of_zone[g.zone] == r.name)
         for r in site.regions
     }
-    left = [r for r in site.regions if inside[r.name]]
-    stating = [Fraction(str(r.share)) if r.share is not None else None for r in left]
-    whole = sum(Fraction(str(r.share)) for r in site.regions if r.share is not None)
-    there = sum((share for share in stating if share is not None), Fraction(0))
-    scaled = [share * whole / there if share is not None else None for share in stating]
-    parts = divided(scaled, [len(inside[r.name]) for r in left])
-    return tuple(Region(r.name, part, inside[r.name]) for r, part in zip(left, parts, strict=True))
+    remaining = [r for r in site.regions if gateways_in[r.name]]
+    stated_shares = [Fraction(str(r.share)) if r.share is not None else None for r in remaining]
+    stated_total = sum(Fraction(str(r.share)) for r in site.regions if r.share is not None)
+    remaining_total = sum((share for share in stated_shares if share is not None), Fraction(0))
+    scaled = [
+        share * stated_total / remaining_total if share is not None else None for share in stated_shares
+    ]
+    parts = divide_whole(scaled, [len(gateways_in[r.name]) for r in remaining])
+    return tuple(Region(r.name, part, gateways_in[r.name]) for r, part in zip(remaining, parts, strict=True))
 
 
 def region_of(site: Site, gateway: str) -> str:
@@ -56,7 +58,7 @@
     return next((r.name for r in site.regions if zone in r.zones), "")
 
 
-def digest_of(regions: Sequence[Region]) -> str:
+def regions_digest(regions: Sequence[Region]) -> str:
     """What two versions share that state the same regions, gateways in them and shares; empty for none."""
-    words = [f"{r.name} {r.share} {' '.join(r.gateways)}" for r in regions]
-    return blake3("\n".join(words).encode()).hexdigest(8) if regions else ""
+    lines = [f"{r.name} {r.share} {' '.join(r.gateways)}" for r in regions]
+    return blake3("\n".join(lines).encode()).hexdigest(8) if regions else ""
--- a/ledgehitch/scale/hollow.py
+++ b/ledgehitch/scale/hollow.py
@@ -188,7 +188,7 @@
             case "/views":
                 return answer({"wrong": self.wrong(told["up"])})
             case "/state":
-                slow = sum(one.membership.members.lags() for one in self.live.values())
+                slow = sum(one.membership.members.is_slow() for one in self.live.values())
                 refused: dict[str, int] = {}
                 for one in self.live.values():
                     for why, n in one.membership.frames.refused.items():
--- a/tests/explore_regions.py
+++ b/tests/explore_regions.py
@@ -17,9 +17,9 @@
 from ledgehitch.owners.facts import MemberLists, vote_duration
 from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.votes import Fence, Lease, Voter
-from ledgehitch.regions.facts import WHOLE, Region, digest_of
-from ledgehitch.regions.shares import Shares
-from ledgehitch.regions.shares import begun as shares_begun
+from ledgehitch.regions.facts import WHOLE, Region, regions_digest
+from ledgehitch.regions.shares import RegionShares
+from ledgehitch.regions.shares import initial_shares as shares_begun
 from tests.interleavings import Exploration
 
 ALL, OWN = "a", "b"  # a duty of all, and one of a region
@@ -180,7 +180,7 @@
                             m.may_vote_from,
                             m.settles_at,
                             tuple(sorted(m.on_current)),
-                            m.shares and (m.shares.known, m.shares.free_at, m.shares.former),
+                            m.shares and (m.shares.former_unused, m.shares.settles_at, m.shares.former),
                         )
                         for m in g.scopes.values()
                         for v in m.voters.values()
@@ -234,23 +234,23 @@
         if not disk:
             self.disks[me] = {}
         promise = LEASE * (FAST if max(c.rates) > 1 and self.spoilt != "no allowance for clocks" else 1.0)
-        scopes = {ALL: self._begins(me, (ALL,), NAMES, disk.get(ALL), digest_of(regions), "", promise)}
+        scopes = {ALL: self._begins(me, (ALL,), NAMES, disk.get(ALL), regions_digest(regions), "", promise)}
         # Without regions the duty of a region is one of all, which is kept with them.
         file = OWN if regions else f"{OWN} of all"
         scopes[OWN] = self._begins(
-            me, (OWN,), region.gateways, disk.get(file), digest_of(regions), region.name, promise
+            me, (OWN,), region.gateways, disk.get(file), regions_digest(regions), region.name, promise
         )
         m = scopes[ALL]
-        waits = bool(m.lists.former) and m.lists.regions != digest_of(regions)
+        waits = bool(m.lists.former) and m.lists.regions != regions_digest(regions)
         held = disk[ALL].get("shares") if disk.get(ALL) else None
         if self.spoilt == "forgotten at a restart" and held is not None:
             held = {**held, "current": [list(r) for r in regions], "known": True}
             held = held if self.lives[me] > 1 else disk[ALL]["shares"]
         shares = shares_begun(region.name, regions, NAMES, held, waits)
         if shares is not None and self.spoilt == "the larger share at once":
-            shares.known = True
+            shares.former_unused = True
         if shares is not None and self.spoilt == "nothing remembered counts as known":
-            shares.known = shares.known or held is None
+            shares.former_unused = shares.former_unused or held is None
         over = (LEASE + LOAN) * promise / LEASE if self.spoilt != "raised before what was lent is over" else 0
         m.set_shares(now, shares, over - vote_duration(LEASE))  # a lease is added there
         self.up[me] = Gateway(scopes, {ALL: None, OWN: None}, region.name)
@@ -348,7 +348,7 @@
         if self.spoilt == "raised before the other region goes by it" and here.shares is not None:
             mine = set(here.shares.current[0].gateways if me < 2 else here.shares.current[1].gateways)
             if here.on_current >= mine:
-                here.shares.known = True
+                here.shares.former_unused = True
         return here.on_current != before
 
 
@@ -372,8 +372,8 @@
     )
     new.on_current = set(m.on_current)
     if m.shares is not None:
-        new.shares = Shares(m.shares.mine, m.shares.current, m.shares.former, m.shares.known)
-        new.shares.free_at = m.shares.free_at
+        new.shares = RegionShares(m.shares.region, m.shares.current, m.shares.former, m.shares.former_unused)
+        new.shares.settles_at = m.shares.settles_at
     return new
 
 
@@ -399,13 +399,22 @@
     scopes = {}
     for duty, names, scope in ((ALL, NAMES, ""), (OWN, region.gateways, region.name)):
         m = DurableState(
-            0.0, str(me), names, (duty,), LEASE, None, 0, promise, regions=digest_of(regions), scope=scope
+            0.0,
+            str(me),
+            names,
+            (duty,),
+            LEASE,
+            None,
+            0,
+            promise,
+            regions=regions_digest(regions),
+            scope=scope,
         )
         m.intact = m.confirmed = True
         m.may_vote_from = 0.0
         scopes[duty] = m
     if regions:
-        scopes[ALL].set_shares(0.0, Shares(region.name, regions, regions, True), 0.0)
+        scopes[ALL].set_shares(0.0, RegionShares(region.name, regions, regions, True), 0.0)
     w.up.append(Gateway(scopes, {ALL: None, OWN: None}, region.name))
     w.lives[me] = 1
     w.keep(me)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1047,9 +1047,9 @@
         fed.plan()
         fed.http()
         fed.certificate()
-    assert fed.receiver.refused["mac"] > 100 and len(fed.members.told()) == 7
+    assert fed.receiver.refused["mac"] > 100 and len(fed.members.statuses()) == 7
     assert len(fed.owners._pending) < 1000 and all(v.term < 2**40 for v in fed.owners.durable.voters.values())
-    assert len(fed.members._out) < 100 and len(fed.members._for) < 400
+    assert len(fed.members._pending) < 100 and len(fed.members._indirect) < 400
 
 
 def test_a_call_that_does_not_read_is_answered_with_the_reason() -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,15 +12,17 @@
 from ledgehitch.config import Site
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.loop import Loop
-from ledgehitch.members.decide import Became
-from ledgehitch.members.elsewhere import elsewhere
-from ledgehitch.members.roster import LIFE, STATUSES, News, Roster
-from ledgehitch.members.words import KINDS, MOST_NEWS, BadWords, Words, read, written
+from ledgehitch.members.decide import StatusChanged
+from ledgehitch.members.elsewhere import pick_gateway
+from ledgehitch.members.roster import INCARNATIONS_PER_LIFE, STATUSES, MemberStatus, Roster
+from ledgehitch.members.words import KINDS, MAX_UPDATES, InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.rehearsal.play import free_ports
 from tests.rig import site
 
 T = 100.0
-NEWS = st.builds(News, st.integers(0, 4), st.integers(0, 3 * LIFE), st.sampled_from(STATUSES))
+NEWS = st.builds(
+    MemberStatus, st.integers(0, 4), st.integers(0, 3 * INCARNATIONS_PER_LIFE), st.sampled_from(STATUSES)
+)
 
 
 # ---- what is believed --------------------------------------------------------------------------------------
@@ -29,11 +31,11 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(NEWS, max_size=30), st.randoms(use_true_random=False))
 def test_news_in_any_order_and_any_number_lead_to_the_same_belief(
-    some: list[News], chance: random.Random
+    some: list[MemberStatus], chance: random.Random
 ) -> None:
-    def believed(order: list[News]) -> Any:
+    def believed(order: list[MemberStatus]) -> Any:
         roster = Roster(T, 0, 5, 1)
-        roster.heard(T, order)
+        roster.merge(T, order)
         return [(e.incarnation, e.status) for n, e in roster.entries.items() if n != 0]
 
     other = some + chance.sample(some, len(some) // 2)
@@ -43,11 +45,11 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(NEWS, max_size=20))
-def test_whatever_is_said_of_a_member_it_refutes_it(some: list[News]) -> None:
+def test_whatever_is_said_of_a_member_it_refutes_it(some: list[MemberStatus]) -> None:
     roster, other = Roster(T, 0, 5, 1), Roster(T, 1, 5, 1)
-    other.heard(T, some)
-    roster.heard(T, [News(n, e.incarnation, e.status) for n, e in other.entries.items()])
-    other.heard(T, roster.news)
+    other.merge(T, some)
+    roster.merge(T, [MemberStatus(n, e.incarnation, e.status) for n, e in other.entries.items()])
+    other.merge(T, roster.outgoing)
     assert other.status(0) == "alive" and other.entries[0].incarnation == roster.incarnation
 
 
@@ -55,18 +57,18 @@
 @given(st.binary(max_size=200))
 def test_bytes_of_any_kind_are_read_or_refused(data: bytes) -> None:
     try:
-        words = read(data)
-    except BadWords:
+        words = decode(data)
+    except InvalidMessage:
         return
-    assert read(written(words)) == words and len(written(words)) == len(data)
+    assert decode(encode(words)) == words and len(encode(words)) == len(data)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.sampled_from(KINDS), st.integers(0, 2**32 - 1), st.lists(NEWS, max_size=140))
-def test_words_come_through_within_their_bound(kind: Any, sequence: int, some: list[News]) -> None:
-    words = Words(kind, sequence, 3, tuple(some))
-    data = written(words)
-    assert len(data) <= 1152 and read(data) == words._replace(news=tuple(some[:MOST_NEWS]))
+def test_words_come_through_within_their_bound(kind: Any, sequence: int, some: list[MemberStatus]) -> None:
+    words = MembershipMessage(kind, sequence, 3, tuple(some))
+    data = encode(words)
+    assert len(data) <= 1152 and decode(data) == words._replace(news=tuple(some[:MAX_UPDATES]))
 
 
 # ---- fleets in virtual time --------------------------------------------------------------------------------
@@ -122,17 +124,17 @@
     before = one.counts["doubts"]
     late = crowd.now + 30.0
     decisions = list(iter(lambda: one.decide(late), None))
-    assert one.counts["doubts"] == before and one.slow > 0
-    assert not any(isinstance(d, Became) for d in decisions)
+    assert one.counts["doubts"] == before and one.slowness > 0
+    assert not any(isinstance(d, StatusChanged) for d in decisions)
 
 
 def test_viewers_are_sent_to_a_gateway_that_is_there_of_their_hall_where_one_is() -> None:
     one = site().gateways[0]
     some = [msgspec.structs.replace(one, name=f"g{n}", at=f"a{n}", zone="xxy"[n]) for n in range(3)]
     chance = random.Random(1)
-    assert {elsewhere("g0", some, lambda name: True, chance) for _ in range(20)} == {"a1"}
-    assert elsewhere("g0", some, lambda name: name != "g1", chance) == "a2"
-    assert elsewhere("g0", some, lambda name: False, chance) == ""
+    assert {pick_gateway("g0", some, lambda name: True, chance) for _ in range(20)} == {"a1"}
+    assert pick_gateway("g0", some, lambda name: name != "g1", chance) == "a2"
+    assert pick_gateway("g0", some, lambda name: False, chance) == ""
 
 
 # ---- datagrams ---------------------------------------------------------------------------------------------
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -28,8 +28,8 @@
 from ledgehitch.proof.owned import judged_owned
 from ledgehitch.proof.tape import Line
 from ledgehitch.regions import facts, shares
-from ledgehitch.regions.facts import OF_A_REGION, WHOLE, Region, digest_of, region_of, regions_of
-from ledgehitch.regions.shares import Shares
+from ledgehitch.regions.facts import REGIONAL_DUTIES, WHOLE, Region, region_of, regions_digest, regions_of
+from ledgehitch.regions.shares import RegionShares
 from tests.explore_regions import CORNERS, PLANTED, explored, walked
 from tests.rig import site as one_gateway
 from tests.test_config import GOOD, messages
@@ -64,26 +64,26 @@
 RAISED = (NORTH._replace(share=WHOLE * 3 // 4), SOUTH._replace(share=WHOLE // 4))
 
 
-def begun(mine: str, regions: tuple[Region, ...], held: Any) -> Shares:
-    found = shares.begun(mine, regions, [g for r in EVEN for g in r.gateways], held, False)
+def begun(mine: str, regions: tuple[Region, ...], held: Any) -> RegionShares:
+    found = shares.initial_shares(mine, regions, [g for r in EVEN for g in r.gateways], held, False)
     assert found is not None
     return found
 
 
 def test_a_share_rises_when_no_majority_of_any_region_can_go_by_the_former_version() -> None:
-    held = Shares("north", EVEN, EVEN, True).record()
+    held = RegionShares("north", EVEN, EVEN, True).record()
     one = begun("north", RAISED, held)
-    assert (one.in_force(), one.stated()) == (WHOLE // 2, WHOLE * 3 // 4)
+    assert (one.in_force(), one.stated_share()) == (WHOLE // 2, WHOLE * 3 // 4)
     on_new = {"g0", "g2", "g4", "g1"}
-    one.runs(T, on_new, set(), 20.0)
-    assert one.free_at > T + 1e9, "two of three of the south may go by the former one"
-    one.runs(T, on_new | {"g3"}, set(), 20.0)
+    one.on_versions(T, on_new, set(), 20.0)
+    assert one.settles_at > T + 1e9, "two of three of the south may go by the former one"
+    one.on_versions(T, on_new | {"g3"}, set(), 20.0)
     assert not one.settle(T + 19.9) and one.in_force() == WHOLE // 2
     again = begun("north", RAISED, msgspec.json.decode(msgspec.json.encode(one.record())))
-    assert again.in_force() == WHOLE // 2 and again.free_at > T + 1e9, "a restart waits anew"
+    assert again.in_force() == WHOLE // 2 and again.settles_at > T + 1e9, "a restart waits anew"
     assert one.settle(T + 20.0) and one.in_force() == WHOLE * 3 // 4
     assert begun("north", RAISED, one.record()).in_force() == WHOLE * 3 // 4
-    lower = begun("south", RAISED, Shares("south", EVEN, EVEN, True).record())
+    lower = begun("south", RAISED, RegionShares("south", EVEN, EVEN, True).record())
     assert lower.in_force() == WHOLE // 4, "a lower one counts at once"
 
 
@@ -91,10 +91,12 @@
 def test_own_parts_by_a_former_larger_share_and_what_is_lent_stay_within_the_share(
     before: int, now: int, own_part: float
 ) -> None:
-    changed = Shares("north", (Region("north", now, ("a", "b")),), (Region("north", before, ("a", "b")),))
+    changed = RegionShares(
+        "north", (Region("north", now, ("a", "b")),), (Region("north", before, ("a", "b")),)
+    )
     mine = changed.in_force()
-    assert changed.to_lend(own_part, False) == mine == min(before, now)
-    to_lend = changed.to_lend(own_part, True)
+    assert changed.lendable(own_part, False) == mine == min(before, now)
+    to_lend = changed.lendable(own_part, True)
     assert 0 <= to_lend <= mine
     own = own_part * max(before, mine)  # at most, of gateways that go by either version
     assert to_lend == 0 or own + (1.0 - own_part) * to_lend <= mine + 1e-3
@@ -104,32 +106,34 @@
 
 def test_who_remembers_no_version_and_who_changes_to_a_third_has_the_least() -> None:
     lost = begun("north", EVEN, None)
-    assert lost.in_force() == 0 and lost.stated() == WHOLE // 2
-    lost.runs(T, {"g0", "g2", "g1", "g3"}, set(), 5.0)
+    assert lost.in_force() == 0 and lost.stated_share() == WHOLE // 2
+    lost.on_versions(T, {"g0", "g2", "g1", "g3"}, set(), 5.0)
     assert lost.settle(T + 5) and lost.in_force() == WHOLE // 2
-    second = begun("south", RAISED, Shares("south", EVEN, EVEN, True).record())
+    second = begun("south", RAISED, RegionShares("south", EVEN, EVEN, True).record())
     third = (NORTH._replace(share=WHOLE // 10), SOUTH._replace(share=WHOLE * 9 // 10))
     assert begun("south", third, second.record()).in_force() == WHOLE // 4
     assert begun("north", third, begun("north", RAISED, None).record()).in_force() == 0
     # Back to no regions: all of it waits for both.
-    none = shares.begun("", (), ["g0", "g1"], Shares("north", EVEN, EVEN, True).record(), False)
-    assert none is not None and none.in_force() == 0 and none.stated() == WHOLE
-    assert shares.begun("", (), ["g0"], None, False) is None
+    none = shares.initial_shares(
+        "", (), ["g0", "g1"], RegionShares("north", EVEN, EVEN, True).record(), False
+    )
+    assert none is not None and none.in_force() == 0 and none.stated_share() == WHOLE
+    assert shares.initial_shares("", (), ["g0"], None, False) is None
 
 
 def test_a_region_that_is_declared_gone_is_not_waited_for() -> None:
     alone = (NORTH._replace(share=WHOLE),)
-    one = begun("north", alone, Shares("north", EVEN, EVEN, True).record())
+    one = begun("north", alone, RegionShares("north", EVEN, EVEN, True).record())
     assert one.in_force() == WHOLE // 2
-    one.runs(T, {"g0", "g2"}, set(), 5.0)
+    one.on_versions(T, {"g0", "g2"}, set(), 5.0)
     assert not one.settle(T + 9)
-    one.runs(T, {"g0", "g2"}, set(SOUTH.gateways), 5.0)
+    one.on_versions(T, {"g0", "g2"}, set(SOUTH.gateways), 5.0)
     assert one.settle(T + 14) and one.in_force() == WHOLE
 
 
 def test_a_whole_is_the_same_for_regions_and_budgets_and_duties_have_their_scopes() -> None:
     assert WHOLE == OF_BUDGETS
-    assert [d for d in DUTIES if d in OF_A_REGION] == [BUDGETS]
+    assert [d for d in DUTIES if d in REGIONAL_DUTIES] == [BUDGETS]
 
 
 # ---- what a site states ------------------------------------------------------------------------------------
@@ -150,8 +154,8 @@
         chance = random.Random(seed)
         cuts = sorted(chance.random() for _ in gateways)
         said = [Fraction(str(b)) - Fraction(str(a)) for a, b in zip([0.0, *cuts], cuts, strict=False)]
-    parts = facts.divided(said, gateways)
-    assert 0 <= sum(parts) <= WHOLE and parts == facts.divided(said, gateways)
+    parts = facts.divide_whole(said, gateways)
+    assert 0 <= sum(parts) <= WHOLE and parts == facts.divide_whole(said, gateways)
     if not stating:
         assert sum(parts) == WHOLE
         assert all(abs(p - WHOLE * n / sum(gateways)) <= 1 for p, n in zip(parts, gateways, strict=True))
@@ -159,7 +163,7 @@
 
 def test_regions_are_read_off_a_site_and_what_is_gone_goes_to_the_others() -> None:
     north, south = RegionRecord(name="north", zones=["z0"]), RegionRecord(name="south", zones=["z1"])
-    assert regions_of(two_regions()) == () and digest_of(()) == ""
+    assert regions_of(two_regions()) == () and regions_digest(()) == ""
     site = two_regions(north, south)
     check(site, "site")
     assert regions_of(site) == (NORTH, SOUTH)
@@ -315,14 +319,14 @@
 def test_words_of_another_region_an_unknown_duty_and_another_version_are_refused_and_counted() -> None:
     names, north = tuple(f"g{n}" for n in range(6)), (0, 2, 4)
     memory = DurableState(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN), scope="north"
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=regions_digest(EVEN), scope="north"
     )
     memory.confirmed, memory.may_vote_from = True, T
     one = Owners(T, 0, names, memory, random.Random(1), north, [2])
     pulled(one, T)
     before = memory.record()
     good = DutyMessage("ask", 2, 9, 1, one.name_digests[2], *memory.lists.digests())
-    other = MemberLists(NORTH.gateways, (), 10.0, 10.0, regions=digest_of(RAISED)).digests()
+    other = MemberLists(NORTH.gateways, (), 10.0, 10.0, regions=regions_digest(RAISED)).digests()
     for sender, words in (
         (1, good._replace(who=one.name_digests[1])),
         (2, good._replace(duty=1)),
@@ -343,17 +347,17 @@
 
 def test_a_file_of_another_region_counts_as_lost_and_regions_are_versions_of_the_list() -> None:
     first = DurableState(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN), scope="north"
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=regions_digest(EVEN), scope="north"
     )
     held = first.record()
     assert DurableState(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN), scope="north"
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=regions_digest(EVEN), scope="north"
     ).intact
     assert not DurableState(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN), scope="south"
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=regions_digest(EVEN), scope="south"
     ).intact
     m = DurableState(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(RAISED), scope="north"
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=regions_digest(RAISED), scope="north"
     )
     assert m.lists.former == NORTH.gateways and first.lists.digests()[0] == m.lists.digests()[1]
     third = DurableState(
@@ -371,7 +375,7 @@
     names = tuple(f"g{n}" for n in range(6))
     whole = DurableState(T, "g0", names, DUTIES, 10.0, None, 1)
     assert whole.voters[BUDGETS].on_vote_request(T, 7, "g3")
-    apart = DurableState(T, "g0", names, DUTIES[:2], 10.0, whole.record(), 2, regions=digest_of(EVEN))
+    apart = DurableState(T, "g0", names, DUTIES[:2], 10.0, whole.record(), 2, regions=regions_digest(EVEN))
     assert sorted(apart.voters) == sorted(DUTIES[:2]) and len(apart.terms()) == 2
     back = DurableState(
         T, "g0", names, DUTIES, 10.0, msgspec.json.decode(msgspec.json.encode(apart.record())), 3
