--- a/ledgehitch/budgets/__init__.py
+++ b/ledgehitch/budgets/__init__.py
@@ -1,5 +1,6 @@
-"""Budgets of the whole fleet, divided among its gateways by use: own parts that need nobody, and loans.
+"""Fleet-wide budgets, divided among the gateways by use: fixed own parts, and loans beside them.
 
-It never spends, opens a socket or reads a clock; `door/` goes by what it says, `daemon/` carries its words.
-Start reading at `ledger.py` (its promise: `tests/explore_budgets.py`), then `lender.py` and `borrower.py`.
+The package spends nothing, opens no socket and reads no clock: `door/` enforces the parts, `daemon/`
+transports the messages. Start reading at `ledger.py`, whose invariant `tests/explore_budgets.py` checks, then
+`lender.py` and `borrower.py`.
 """
--- a/ledgehitch/budgets/borrower.py
+++ b/ledgehitch/budgets/borrower.py
@@ -1,8 +1,9 @@
-"""A gateway's part of the fleet's budgets: its own, and what is lent to it. Free of I/O, clock and chance.
+"""A gateway's part of the fleet's budgets: its own part and its loans. Free of I/O, clocks and random
+numbers.
 
-Asked before each spending (`part`), it goes by the clock of that moment: a loan that ended while the process
-stood still is over. It takes no loan of a term below the highest that it has said, none that it did not ask
-for in this life, and none older than the one it took last.
+`available` is called before each use with the current time, so a loan that ended while the process was
+suspended is over. The borrower takes no loan of a term below the highest that it has used in a request, none
+that it did not request in this life, and none older than the one it took last.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,13 +11,15 @@
 from ledgehitch.budgets.facts import EARLY_REQUEST, REQUESTS_PER_LOAN, WHOLE, Budget
 from ledgehitch.budgets.words import LoanMessage
 
-MAX_PENDING_REQUESTS = 16  # questions remembered: what is answered later than this has ended anyway
-JUMP_FACTOR = 1.25  # times its part, and what it wanted before, from which it asks again soon
-REQUESTS_PER_VERSION = 2  # questions by one version of the site before it asks by the other
-EARLY_REQUESTS_PER_JUMP = 6  # questions that come soon after a jump: others must give back first, and say so
+MAX_PENDING_REQUESTS = 16  # loans answered later than this have ended anyway
+JUMP_FACTOR = 1.25  # a need this many times its part and its last need is a jump
+REQUESTS_PER_VERSION = 2  # unanswered requests by one version of the site before the other is used
+EARLY_REQUESTS_PER_JUMP = 6  # others have to return parts and report that first
 
 
 class Borrower:
+    """Requests loans for one life of a gateway, and holds the last one taken."""
+
     def __init__(
         self,
         budgets: Sequence[Budget],
@@ -25,9 +28,9 @@
         digests: Sequence[bytes],
         loan_duration: float,
     ) -> None:
-        """`own`: parts of each budget that need nobody. `life`: a number of this life, drawn anew. `digests`:
-        of its version of the site, and of the one before while a change is not settled: a lender that goes by
-        that one counts it, too. `loan`: seconds at most."""
+        """`own`: parts of each budget that need no loan. `life`: random, new for each life. `digests`: of its
+        version of the site, and of the former one while a change is not settled, since a lender may still use
+        that one. `loan_duration`: in seconds, at most."""
         self.loan_duration, self.period = loan_duration, loan_duration / REQUESTS_PER_LOAN
         self.budgets, self.own, self.life, self.digests = tuple(budgets), tuple(own), life, tuple(digests)
         self.number_of = {b.name: i for i, b in enumerate(self.budgets)}
@@ -42,27 +45,28 @@
         self._early_requests_left = self._unanswered = 0
 
     def available(self, now: float, budget: str) -> int:
-        """Parts of a budget in force now; looked at before every spending."""
+        """Returns the parts of a budget in force now; called before every use."""
         number = self.number_of[budget]
         return self.own[number] + (self.loans[number] if self.loan_valid(now) else 0)
 
     def loan_valid(self, now: float) -> bool:
-        """Whether what is lent is in force. A clock that jumped back ends it."""
+        """Returns whether the loan is in force. A clock that jumped back ends it."""
         if now < self._latest_read:
             self.loan_until = -1e18
         self._latest_read = max(self._latest_read, now)
         return now < self.loan_until
 
     def on_clock_check(self, good: bool) -> None:
-        """A clock that does not go as it should ends what is lent, and what is on its way."""
+        """Ends the loan and all pending requests if the clock cannot be trusted."""
         if not good:
             self.loan_until, self._requested_at = -1e18, {}
 
     def next_request(
         self, now: float, term: int, used: Mapping[str, int], wanted: Mapping[str, int]
     ) -> LoanMessage | None:
-        """What to say to the lender of this term, where it is time to. `used`, `wanted`: parts of the whole
-        by budget; what is missing counts as none."""
+        """Returns the request to the lender of this term, None if it is not due.
+
+        `used`, `wanted`: parts of the whole by budget, 0 if missing."""
         clamped = tuple(min(WHOLE, max(0, wanted.get(b.name, 0))) for b in self.budgets)
         parts = [
             own + (loan if now < self.loan_until else 0)
@@ -81,7 +85,7 @@
         if self._next_request_at - self.period <= now < self._next_request_at - earlier_by:
             return None
         self._early_requests_left -= is_early
-        # Who gets no answer by its own version asks by the one before.
+        # Without an answer by its own version, it asks by the former one.
         digest = self.digests[self._unanswered // REQUESTS_PER_VERSION % len(self.digests)]
         self._unanswered += 1
         if term < self.term:
@@ -104,7 +108,7 @@
         )
 
     def on_loan(self, now: float, message: LoanMessage) -> bool:
-        """An answer of a lender; whether it is in force from now on."""
+        """Handles a lender's answer; returns whether the loan is in force now."""
         if message.digest not in self.digests or len(message.loans) != len(self.budgets):
             return self._count("a loan of other budgets")
         if message.life != self.life:
@@ -113,19 +117,20 @@
             return self._count("a loan of another term")
         requested_at = self._requested_at.pop(message.sequence, None)
         if requested_at is None or message.number <= self.number:
-            return self._count("a loan that was not asked for, or was overtaken")
+            return self._count("a loan that was not requested, or was overtaken")
         until = requested_at + min(message.seconds, self.loan_duration)
         if not requested_at <= now < until:
             return self._count("a loan that came after its end")
         if any(new < old for new, old in zip(message.loans, self.loans, strict=True)):
             self._next_request_at = min(
                 self._next_request_at, now
-            )  # what it gave back is lent again once it has said so
+            )  # returned parts are lent again once reported
         self._unanswered = self.digests.index(message.digest) * REQUESTS_PER_VERSION
         self.number, self.loans, self.loan_until = message.number, message.loans, until
         return True
 
     def wake_at(self) -> float:
+        """Returns when `next_request` should be called again."""
         return self._next_request_at
 
     def _count(self, event: str) -> bool:
--- a/ledgehitch/budgets/ledger.py
+++ b/ledgehitch/budgets/ledger.py
@@ -1,9 +1,10 @@
-"""What a lender must count as taken, and how it divides what is left. Free of I/O, clock and chance.
+"""The parts that a lender must count as lent, and the division of the rest. Free of I/O, clocks and random
+numbers.
 
-A borrower counts a loan from when it asked, by its own clock; the lender from when it answered, which is
-later, and longer by the bound on how far two clocks' rates may differ. Until it hears that a newer loan was
-taken (a borrower never goes back to an older one) each loan that was answered may be the one in force: the
-largest of them counts. So the parts in force are at no true moment more than the whole.
+A borrower counts a loan from its request on, by its own clock. The lender counts it from its answer on, which
+is later, and longer by the bound on clock drift. Until the lender hears that a newer loan was taken (a
+borrower never returns to an older one), each answered loan may be the one in force, so the largest of them
+counts. So the parts in force never exceed the whole at any moment.
 """
 
 import heapq
@@ -12,12 +13,14 @@
 
 from ledgehitch.budgets.facts import Budget
 
-MAX_OPEN_LOANS = 24  # loans to one life of a member that may still be in force; further ones wait
-MAX_LIVES = 4  # of one member of which loans may still be in force
+MAX_OPEN_LOANS = 24  # to one life of a member that may still be in force; further ones are refused
+MAX_LIVES = 4  # of one member whose loans may still be in force
 
 
 @dataclass(slots=True)
 class Loan:
+    """A loan, or a borrower's report of the parts that it holds."""
+
     number: int
     parts: tuple[int, ...]
     expires_at: float  # by the lender's clock, without the lag of a budget
@@ -25,20 +28,23 @@
 
 @dataclass(slots=True)
 class BorrowerLife:
-    """One life of a member. `said`: what it said last that counts as taken, and up to when that binds."""
+    """One life of a borrower. `reported`: the parts that it last reported as held."""
 
     sequence: int = -1
     loans: list[Loan] = field(default_factory=list)
     reported: Loan | None = None
-    reserved: list[int] = field(default_factory=list)  # of each budget, as counted last
+    reserved: list[int] = field(default_factory=list)  # of each budget, at the last recount
 
     def entries(self) -> list[Loan]:
+        """Returns the loans and the report that may be in force."""
         return [*self.loans, self.reported] if self.reported is not None else self.loans
 
 
 class Ledger:
+    """The loans of one lender. Times are seconds of its clock."""
+
     def __init__(self, budgets: Sequence[Budget], pool: Sequence[int]) -> None:
-        """`pool`: parts of each budget that may be lent."""
+        """`pool`: lendable parts of each budget."""
         self.budgets, self.pool = tuple(budgets), tuple(pool)
         self.borrowers: dict[int, dict[int, BorrowerLife]] = {}  # by member, by life
         self.reserved: dict[int, list[int]] = {}  # by member, of each budget
@@ -56,8 +62,8 @@
         held: tuple[int, ...],
         expires_at: float,
     ) -> bool:
-        """A borrower's word: it goes back to none of its loans below `number`, and `held` is taken in any
-        case, up to `binds`. Whether it counts: one that is doubled or was overtaken does not."""
+        """Handles a borrower's report: it returns to no loan below `number`, and `held` counts until
+        `expires_at`. Returns False for a duplicated or overtaken report, which is ignored."""
         lives = self.borrowers.setdefault(member, {})
         if life not in lives:
             if len(lives) >= MAX_LIVES:
@@ -73,7 +79,7 @@
         return True
 
     def add_loan(self, now: float, member: int, life: int, loan: Loan) -> bool:
-        """Whether it may be answered: it is counted before it is."""
+        """Counts a loan before it is answered; returns whether it may be answered."""
         borrower = self.borrowers[member][life]
         if len(borrower.loans) >= MAX_OPEN_LOANS:
             return False
@@ -82,7 +88,7 @@
         return True
 
     def available(self, now: float, member: int, life: int, budget: int) -> int:
-        """Parts that this life of a member may have, with all that may be in force elsewhere."""
+        """Returns the parts that this life of a member may have beside all other loans in force."""
         self._expire(now)
         if self.budgets[budget].lag:
             borrower = self.borrowers.get(member, {}).get(life)
@@ -107,9 +113,9 @@
                         )
             borrower.loans = [loan for loan in borrower.loans if loan.expires_at + self._max_lag > now]
             if life != newest and not borrower.loans and not any(borrower.reserved):
-                del lives[life]  # nothing of it can be in force
-        # Guards against what a killed life left under way being lent again to its next one: that adds up. A
-        # rate's loan ends with its process.
+                del lives[life]  # none of its loans can be in force
+        # Of a count, use begun by a killed life continues beside its next life, so the lives are added. A
+        # loan of a rate ends with its process.
         parts = [
             sum(reserved_by_life) if budget.lag else max(reserved_by_life, default=0)
             for budget, reserved_by_life in zip(
@@ -133,8 +139,9 @@
 
 
 def water_fill(pool: int, needs: Mapping[int, int]) -> dict[int, int]:
-    """Water-filling: everybody gets what it needs up to one level that uses up the pool; nobody who needs
-    less loses to one who asks for more. Ties fall by number."""
+    """Divides the pool by water-filling: each member gets its need up to a common level.
+
+    No member that needs less loses to one that asks for more. Ties are broken by member number."""
     shares, remaining = {}, pool
     order = sorted(needs, key=lambda m: (needs[m], m))
     for place, member in enumerate(order):
@@ -146,9 +153,10 @@
 def divide(
     pool: int, own: Mapping[int, int], wanted: Mapping[int, int], grain: int = 1, priority: Sequence[int] = ()
 ) -> dict[int, int]:
-    """Loans by what is wanted, own part included. What nobody needs is lent in equal parts, so that a need
-    that jumps has room at once. Of what is counted they are whole things; `first`: who is to have one where
-    not all can."""
+    """Divides the pool into loans by the wanted parts, which include own parts.
+
+    The surplus is lent in equal parts, so that a jump in need has room at once. Of a count, loans are whole
+    units; `priority` orders the members that get one if there are too few."""
     needs = {m: max(0, w - own.get(m, 0)) for m, w in wanted.items()}
     if grain > 1:
         units_needed = {m: -(-need // grain) for m, need in needs.items()}
@@ -160,8 +168,10 @@
 
 
 def water_fill_units(units: int, needs: Mapping[int, int], priority: Sequence[int]) -> dict[int, int]:
-    """As `filled`, in whole things: what one level for all leaves over goes, one to each, to the first who
-    need more; what nobody needs to all alike, and what is left of that to the first."""
+    """Divides as `water_fill` does, in whole units.
+
+    The remainder of the common level goes to the first members by priority that need more, one unit each. The
+    surplus is distributed evenly, its remainder by priority."""
     shares, remaining = dict[int, int](), units
     order = sorted(needs, key=lambda m: (needs[m], m))
     for place, member in enumerate(order):
--- a/ledgehitch/budgets/lender.py
+++ b/ledgehitch/budgets/lender.py
@@ -1,9 +1,9 @@
-"""The lender: the owner of the duty `budgets` under one term. Free of I/O, clock and chance.
+"""The lender: the owner of the duty `budgets` under one term. Free of I/O, clocks and random numbers.
 
-A new one does not know what a former one's loans still hold. Until the longest of them has ended it renews to
-each borrower no more than that borrower says it holds: that was counted by the former one, whose loans were
-within the pool together. Nobody who spoke to this one takes a loan of a former term any more: where all have,
-it knows what is held, and waits for nothing but what lives that are over may have left under way.
+A new lender does not know which loans of the former one are in force. Until the longest of them has ended, it
+renews to each borrower at most what that borrower reports as held: the former lender counted it, and its
+loans were within the pool. A borrower that has sent a request to this lender takes no loan of a former term.
+Once all have, the lender knows what is held, and waits only for use that ended lives may have begun.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -14,12 +14,14 @@
 from ledgehitch.budgets.words import LoanMessage
 from ledgehitch.owners.facts import MAX_CLOCK_DRIFT
 
-DIVISION_INTERVAL = 0.03  # of a loan between two divisions
-MIN_CHANGE = 0.1  # of a loan by which a new division must differ somewhere before any loan is moved
-MIN_CHANGE_DIVISOR = 200  # of an equal share's parts: below this a difference is noise, too
+DIVISION_INTERVAL = 0.03  # of a loan's duration, between two divisions
+MIN_CHANGE = 0.1  # of a loan; a new division with only smaller differences is not applied
+MIN_CHANGE_DIVISOR = 200  # differences below this fraction (1 / n) of an equal share are ignored, too
 
 
 class Lender:
+    """Answers the requests of borrowers under one term."""
+
     def __init__(
         self,
         now: float,
@@ -34,19 +36,17 @@
         clock_drift: float = MAX_CLOCK_DRIFT,
     ) -> None:
         """`now`: when the duty was won. `own`: parts of each budget that a gateway has without a loan, by its
-        number; `pool`: what of each may be lent, to `members`. `digests`: of the versions of the site that
-        borrowers may go by. `loan`: seconds; `former`: of a former lender's loans, where these were longer.
-        `bound`: by which two clocks' rates may differ."""
+        number. `pool`: lendable parts of each budget, for `members`. `digests`: of the versions of the site
+        that borrowers may use. `loan_duration`: in seconds. `former_loan_duration`: of a former lender, if
+        longer. `clock_drift`: maximum relative difference between the rates of two clocks."""
         self.term, self.own, self.digests, self.loan_duration = term, dict(own), tuple(digests), loan_duration
-        self.reserved_duration = loan_duration * (
-            1.0 + clock_drift
-        )  # how long what a borrower calls `loan` lasts here
+        self.reserved_duration = loan_duration * (1.0 + clock_drift)  # a loan's duration by this clock
         self.budgets, self.members = tuple(budgets), frozenset(members)
         self.ledger = Ledger(budgets, pool)
-        # What a former lender answered was asked before its lease ended, so before this one was won.
+        # Loans of a former lender were requested before its lease ended, so before this one was won.
         max_duration = max(loan_duration, former_loan_duration) * (1.0 + clock_drift)
         self.waits_until = [now + max_duration + b.lag for b in self.budgets]
-        self.unheard = set(self.members)  # who has not spoken under this term
+        self.unheard = set(self.members)  # members without a request under this term
         self.wanted: dict[int, tuple[float, tuple[int, ...]]] = {}
         self.targets: list[dict[int, int]] = [{} for _ in self.budgets]
         self.turns = [Turns(term, loan_duration) for _ in self.budgets]
@@ -62,25 +62,29 @@
         members: Iterable[int],
         digests: Sequence[bytes],
     ) -> None:
-        """The same budgets of other wholes, or a change of the list that has settled. What was lent is known,
-        and numbers go on: guards against a book that begins anew within a term, whose loans nobody takes."""
+        """Applies other wholes of the same budgets, or a settled change of the list.
+
+        The ledger and the loan numbers continue: within a term, borrowers take no loan with a lower
+        number."""
         self.budgets = self.ledger.budgets = tuple(budgets)
         self.own, self.ledger.pool, self.digests = dict(own), tuple(pool), tuple(digests)
         self.members = frozenset(members)
 
     def on_request(self, now: float, member: int, message: LoanMessage) -> LoanMessage | None:
-        """A borrower's word; gives what may be answered now, and not later: the caller looks at its lease."""
+        """Handles a borrower's request and returns the answer, None if it is refused.
+
+        The caller must check its lease and send the answer at once."""
         if message.digest not in self.digests or len(message.loans) != len(self.budgets):
             return self._refuse("other budgets, or another version of the site")
         if message.term != self.term:
-            return self._refuse("asked under another term")
+            return self._refuse("request under another term")
         if member not in self.members:
-            return self._refuse("a gateway that is not stated")
+            return self._refuse("a gateway that is not in the list")
         expires_at = now + self.reserved_duration
         if not self.ledger.on_report(
             now, member, message.life, message.sequence, message.number, message.held, expires_at
         ):
-            return self._refuse("doubled or overtaken")
+            return self._refuse("duplicated or overtaken")
         self.unheard.discard(member)
         if not self.unheard:
             self.waits_until = [
@@ -114,7 +118,7 @@
 
     def _divide(self, now: float) -> None:
         self._last_division_at = now
-        # Who has not asked for a loan's length has none, and is not there to be given one.
+        # A member without a request for the duration of a loan has none, and is left out.
         self.wanted = {m: w for m, w in sorted(self.wanted.items()) if now - w[0] < self.loan_duration}
         for i, budget in enumerate(self.budgets):
             wanted = {m: w[i] for m, (_, w) in self.wanted.items()}
@@ -127,14 +131,14 @@
                 self.turns[i].on_division(now, wanted, own, self.targets[i])
 
     def _differs(self, budget: int, old: dict[int, int], new: dict[int, int]) -> bool:
-        """Guards against flutter: loans that chance alone would move stay where they are."""
+        """Returns whether a new division differs enough to be applied, so that noise moves no loans."""
         if old.keys() != new.keys():
             return True
         threshold = self.ledger.pool[budget] // (MIN_CHANGE_DIVISOR * max(1, len(self.members)))
         return any(abs(new[m] - parts) > max(MIN_CHANGE * parts, threshold) for m, parts in old.items())
 
     def status(self, now: float) -> list[dict[str, object]]:
-        """For people: each budget's pool, what counts as lent by member, and what is wanted."""
+        """Returns each budget's pool, lent and wanted parts by member, for operators."""
         rows: list[dict[str, object]] = []
         for i, budget in enumerate(self.budgets):
             self.ledger.available(now, -1, 0, i)
--- a/ledgehitch/budgets/turns.py
+++ b/ledgehitch/budgets/turns.py
@@ -1,25 +1,27 @@
-"""Whose turn it is where fewer whole things may be lent than are asked for. Free of I/O, clock and chance.
+"""Round-robin turns when more units are wanted than may be lent. Free of I/O, clocks and random numbers.
 
-Who was lent one keeps it for a turn while it wants it; then those who have none come first, who has waited
-longest before the others. So each of `n` who go on asking is given one of `k` within n / k turns, rounded up,
-and the time that those before it take to give theirs back. Own things need no turn: who has one comes last.
+A borrower keeps a lent unit for one turn while it wants it. Then borrowers without a unit come first, the
+longest waiting ones before the others. So each of `n` that keep asking gets one of `k` units within n / k
+turns, rounded up, plus the time that those before it take to return theirs. Borrowers with own units come
+last.
 """
 
 from collections.abc import Mapping
 
 
 class Turns:
+    """The turns of one budget's borrowers under one term."""
+
     def __init__(self, term: int, seconds: float) -> None:
-        """`term`: of the lender; equal ones take their turns in another order under another term. `seconds`:
-        that a turn lasts."""
+        """`term`: of the lender; it rotates the order of equal borrowers. `seconds`: of one turn."""
         self.term, self.seconds = term, seconds
-        self._turn_started: dict[int, float] = {}  # when who is to have one was first lent it
-        self._waiting_since: dict[int, float] = {}  # since when who has none wants one
+        self._turn_started: dict[int, float] = {}  # by borrower with a unit
+        self._waiting_since: dict[int, float] = {}  # by borrower without one
 
     def order(
         self, now: float, wanted: Mapping[int, int], own: Mapping[int, int], loans: Mapping[int, int]
     ) -> list[int]:
-        """Who is to have one, first to last. `loans`: as they were divided before."""
+        """Returns the borrowers by priority. `loans`: by the previous division."""
         modulus = max(wanted, default=0) + 1
 
         def sort_key(member: int) -> tuple[bool, bool, float, int, int, int]:
@@ -40,13 +42,13 @@
         return sorted(wanted, key=sort_key)
 
     def on_lent(self, now: float, member: int) -> None:
-        """What is lent is in its hands from about now on."""
+        """Starts a borrower's turn when its unit is first lent."""
         self._turn_started.setdefault(member, now)
 
     def on_division(
         self, now: float, wanted: Mapping[int, int], own: Mapping[int, int], loans: Mapping[int, int]
     ) -> None:
-        """It was divided anew: who is to have one, and who waits."""
+        """Updates turns and waiting times after a new division."""
         self._turn_started = {m: at for m, at in self._turn_started.items() if loans.get(m, 0) > 0}
         self._waiting_since = {
             m: self._waiting_since.get(m, now)
--- a/ledgehitch/budgets/units.py
+++ b/ledgehitch/budgets/units.py
@@ -1,9 +1,10 @@
-"""Own parts of each gateway, and what of a budget may be lent beside them. Free of I/O, clock and chance.
+"""Own parts of each gateway, and the rest of a budget that may be lent. Free of I/O, clocks and random
+numbers.
 
-A rate is divided in fractions. Of what is counted a part under one thing lets nobody in, so that own parts
-are whole things: where they are fewer than gateways, some have one each and the others none. Who has one
-falls by a keyed hash of names: the same at every gateway, and as the number rises nobody has fewer than
-before. So gateways that go by an older and a newer whole are together within the larger one.
+A rate is divided into fractions. Of a count, a part below one unit admits nobody, so own parts are whole
+units: if there are fewer units than gateways, some have one each and the others none. A keyed hash of the
+names selects them: it is the same at every gateway, and as the units rise no gateway has fewer than before.
+So gateways that use an older and a newer whole are together within the larger one.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,32 +15,34 @@
 from ledgehitch.budgets.facts import WHOLE, Budget
 from ledgehitch.owners.facts import MemberLists
 
-ROUNDING_TOLERANCE = 1e-9  # of one thing
+ROUNDING_TOLERANCE = 1e-9  # of one unit
 
 
 @lru_cache(maxsize=64)
 def own_unit_order(budget: str, names: tuple[str, ...]) -> tuple[str, ...]:
-    """Whose the first whole things are. By name alone: zones are no part of what versions of a list share."""
+    """Returns the gateways in the order in which they get own units.
+
+    The order depends on names alone: zones are not part of the digest of a list."""
     key = blake3(budget.encode(), derive_key_context="ledgehitch 2026 rank of own units").digest()
     return tuple(sorted(names, key=lambda name: (blake3(name.encode(), key=key).digest(8), name)))
 
 
 def spread_units(units: int, budget: str, names: Sequence[str]) -> dict[str, int]:
-    """Whole things over all: as many to each, and one more to the first of them."""
+    """Distributes whole units evenly, with one more for the first gateways of the order."""
     each, more = divmod(units, max(1, len(names)))
     return {name: each + (place < more) for place, name in enumerate(own_unit_order(budget, tuple(names)))}
 
 
 def own_units(budget: Budget, own_part: float, share: int = WHOLE) -> int:
-    """Of what is counted, things that are not lent: one at least where anything is, so that they do not fall
-    to none for division alone."""
+    """Returns the units of a count that are not lent: at least one if there is any own part."""
     units = budget.units(share)
     return min(units, max(1, int(own_part * units + ROUNDING_TOLERANCE))) if own_part > 0 else 0
 
 
 def own_parts(budget: Budget, own_part: float, names: Sequence[str], share: int = WHOLE) -> dict[str, int]:
-    """What each of the stated gateways has though it hears nothing. `own_part`: of the whole, 0 to 1.
-    `share`: parts of the whole that the scope has whose gateways these are."""
+    """Returns the parts that each gateway has without a loan.
+
+    `own_part`: fraction of the whole, 0 to 1. `share`: parts of the whole of the scope of these gateways."""
     if budget.grain == 1:
         return dict.fromkeys(names, int(own_part * share) // max(1, len(names)))
     spread_over = spread_units(own_units(budget, own_part, share), budget.name, names)
@@ -47,8 +50,10 @@
 
 
 def lendable(budget: Budget, own_part: float, share: int = WHOLE) -> int:
-    """Parts beside all own parts. Of what is counted never more than as of a rate: guards against a lender by
-    a former whole, of which whole own things were a smaller part."""
+    """Returns the parts of the share that are nobody's own parts.
+
+    Of a count this is never more than of a rate: a lender may still use a former whole, of which the own
+    units were a smaller part."""
     rest = share - int(own_part * share)
     if budget.grain == 1:
         return rest
@@ -57,8 +62,9 @@
 
 
 def versions(lists: MemberLists, conservative: bool = False) -> list[tuple[float, tuple[str, ...]]]:
-    """Own part and gateways of each version of the list that may be in force. `surely`: the own part of the
-    version before too where it is settled, as what was lent by it may be out."""
+    """Returns the own part and the gateways of each version of the list that may be in force.
+
+    `conservative`: include the former own part even if settled, since its loans may still be in force."""
     part = min(lists.own_part, lists.former_own_part) if conservative else lists.own_part
     out = [(part, lists.current)]
     return [*out, (lists.former_own_part, lists.former)] if lists.former else out
@@ -67,8 +73,9 @@
 def smallest_own_parts(
     budgets: Sequence[Budget], lists: MemberLists, conservative: bool = False, share: int = WHOLE
 ) -> Mapping[str, tuple[int, ...]]:
-    """Own parts of each gateway, of each budget the smaller of all versions: none of one that a version does
-    not state, as others may have all by that one."""
+    """Returns the own parts of each gateway, the smallest of all versions for each budget.
+
+    A gateway missing from a version has none, since by that version others may have all."""
     by_budget = [
         [own_parts(b, part, names, share) for part, names in versions(lists, conservative)] for b in budgets
     ]
@@ -82,5 +89,5 @@
 def lendable_in_all_versions(
     budgets: Sequence[Budget], lists: MemberLists, share: int = WHOLE
 ) -> tuple[int, ...]:
-    """Parts of each budget that may be lent, whichever version each gateway goes by."""
+    """Returns the parts of each budget that may be lent, whichever version each gateway uses."""
     return tuple(min(lendable(b, part, share) for part, _ in versions(lists)) for b in budgets)
--- a/ledgehitch/budgets/words.py
+++ b/ledgehitch/budgets/words.py
@@ -1,5 +1,7 @@
-"""What borrowers and the lender say to one another, as bytes of bounded size. Free of I/O; authenticity is
-the frame's, and the first byte tells these from what membership and owners say.
+"""Messages between borrowers and the lender, encoded with bounded size. Free of I/O.
+
+The frame authenticates them, and the first byte distinguishes them from messages of membership and owners.
+Layout:
 
 kind u8, digest 4 bytes, term u64, life u32, sequence u32, number u32, milliseconds u32, count u8, then for
 each budget in turn: of a `want` loan u32, held u32, wanted u32; of a `lent` loan u32.
@@ -10,7 +12,7 @@
 
 from ledgehitch.budgets.facts import MAX_BUDGETS, WHOLE
 
-FIRST_KIND = 64  # the kinds of membership and owners lie below
+FIRST_KIND = 64  # smaller numbers are message kinds of membership and owners
 Kind = Literal["want", "lent"]
 HEADER = struct.Struct(">B4sQIIIIB")
 WANT_ROW = struct.Struct(">III")
@@ -18,9 +20,11 @@
 
 
 class LoanMessage(NamedTuple):
-    """`number`: of the loan; in a `want` of the one that was taken last, 0 for none under this term. `loans`:
-    parts lent, or still held by a loan. `held`: what counts as taken, a loan or what is still in use beyond
-    the own part. `wanted`: with the own part. `seconds`: how long it lasts from the asking."""
+    """One message.
+
+    `number`: of the loan; in a `want`, of the last loan taken, 0 for none under this term. `loans`: parts
+    lent, or still held by a loan. `held`: parts that count as taken: a loan, or use beyond the own part.
+    `wanted`: parts including the own part. `seconds`: duration of the loan from the request on."""
 
     kind: Kind
     digest: bytes
@@ -35,7 +39,7 @@
 
 
 class InvalidMessage(ValueError):
-    """What came is none of these; the text says why."""
+    """The bytes are no valid message; the text names the reason."""
 
 
 def encode(message: LoanMessage) -> bytes:
@@ -56,7 +60,7 @@
 
 
 def decode(data: bytes) -> LoanMessage:
-    """Raises `BadWords`: a part above the whole, too, which no honest gateway says."""
+    """Decodes a message. Raises `InvalidMessage`, also for a part above the whole."""
     if len(data) < HEADER.size:
         raise InvalidMessage("short")
     kind, digest, term, life, sequence, number, millis, count = HEADER.unpack_from(data)
--- a/ledgehitch/members/__init__.py
+++ b/ledgehitch/members/__init__.py
@@ -1,4 +1,5 @@
-"""Which gateways are there, told by gossip; how many share the fleet's limits, with a safe side.
+"""Membership of the fleet by gossip: which gateways are present.
 
-It never opens a socket and never takes anyone's word for a larger part. Start reading at `roster.py`.
+The package opens no socket, and no member's claim enlarges its part of the fleet's limits. Start reading at
+`roster.py`.
 """
--- a/ledgehitch/members/decide.py
+++ b/ledgehitch/members/decide.py
@@ -1,8 +1,9 @@
-"""Who is asked whether it is there, who is doubted, what is passed on. Free of I/O and clock.
+"""Failure detection and dissemination of member status, after SWIM. Free of I/O and clocks.
 
-After SWIM: each period one member is asked, in shuffled turns; where it does not answer, some others are
-asked to ask it; then it is suspected, which it may refute, and counts as dead after a while. News rides on
-these messages. A gateway that finds itself slow doubts others later. Inputs update, `decide` is pulled.
+Each period one member is probed, in shuffled rounds. If it does not answer, others probe it indirectly; then
+it is suspected, which it may refute, and is declared dead after a time-out. Status updates are piggybacked on
+the probes. A gateway that finds itself slow suspects others later. Inputs update the state, and the caller
+pulls decisions from `decide`.
 """
 
 import math
@@ -13,24 +14,22 @@
 from ledgehitch.members.roster import MemberStatus, Roster, Status
 from ledgehitch.members.words import MAX_UPDATES, MembershipMessage
 
-PERIOD_S = 1.0  # seconds between two questions
-RETRY_AFTER = 0.3  # of a period for the answer, before it is asked again and others are asked to ask
-MAX_RETRIES = 2  # after the first
+PERIOD_S = 1.0  # between two probes
+RETRY_AFTER = 0.3  # of a period, before a probe is repeated and indirect probes are sent
+MAX_RETRIES = 2
 INDIRECT_PROBES = 3
-DISSEMINATION_FACTOR = 3  # times log2 of the members that a piece of news is passed on
-SUSPICION_FACTOR = 5.0  # times log10 of the members, in periods: how long a suspect may refute
-AWAY_TIMEOUT_S = 60.0  # seconds in which one that said it is back soon is expected back
-MAX_SLOWNESS = 8  # by how much one that is slow itself may stretch its periods
-DEAD_PROBE_PERIODS = (
-    5  # periods after which one that is held for dead is asked again: a parted fleet grows together
-)
-PENDING_TIMEOUT_S = 60.0  # seconds that a question of our own is
-INDIRECT_TIMEOUT_S = 5.0  # seconds that a question for another is remembered
+DISSEMINATION_FACTOR = 3  # an update is sent this many times log2 of the members
+SUSPICION_FACTOR = 5.0  # a suspect has this many times log10 of the members to refute, in periods
+AWAY_TIMEOUT_S = 60.0  # for a member that announced to be back soon
+MAX_SLOWNESS = 8  # at this slowness, periods are twice as long
+DEAD_PROBE_PERIODS = 5  # one dead member is probed this often, so that a partitioned fleet merges again
+PENDING_TIMEOUT_S = 60.0  # for an own probe
+INDIRECT_TIMEOUT_S = 5.0  # for a probe on behalf of another member
 
 
 @dataclass(frozen=True)
 class Send:
-    """To this member."""
+    """Send this message to a member."""
 
     recipient: int
     message: MembershipMessage
@@ -38,7 +37,7 @@
 
 @dataclass(frozen=True)
 class StatusChanged:
-    """This gateway now believes that of a member."""
+    """A member's status at this gateway has changed."""
 
     member: int
     status: Status
@@ -48,6 +47,8 @@
 
 
 class Members:
+    """The failure detector of one gateway."""
+
     def __init__(
         self,
         now: float,
@@ -56,29 +57,31 @@
         life: int,
         rng: random.Random,
     ) -> None:
-        """`members`: gateways that the site states."""
+        """`members`: the number of gateways of the site. `life`: rises with each start."""
         self.me, self.member_count, self.rng = me, members, rng
         self.roster = Roster(now, me, members, life)
-        self.slowness = 0  # health of our own: each question that nobody answers counts one up
+        self.slowness = 0  # of this gateway: raised by each unanswered probe, lowered by each answered one
         self.counts = {"asked": 0, "answered": 0, "refuted": 0, "doubts": 0, "deaths": 0}
-        self._times_sent: dict[int, int] = {}  # how often the news on a member was passed on
+        self._times_sent: dict[int, int] = {}  # by member: how often its update was sent
         self._probe_order: list[int] = []
         self._sequence = 0
-        self._pending: dict[int, tuple[int, float]] = {}  # questions: whom, when
-        self._probe: tuple[int, int, float, int] | None = None  # sequence, whom, since, tries after the first
-        self._indirect: dict[int, tuple[int, int, float]] = {}  # our sequence: for whom, its sequence, when
+        self._pending: dict[int, tuple[int, float]] = {}  # by sequence: member, sent at
+        self._probe: tuple[int, int, float, int] | None = None  # sequence, member, since, retries
+        self._indirect: dict[
+            int, tuple[int, int, float]
+        ] = {}  # by sequence: requester, its sequence, sent at
         self._next_period_at = now + rng.random() * PERIOD_S
         self._last_update_at = now
         self._period_count = 0
-        self._status_timeouts: dict[int, float] = {}  # suspects and those away: until when
+        self._status_timeouts: dict[int, float] = {}  # of suspects and members that are away
         self._decisions: deque[Decision] = deque()
-        self._alive: set[int] | None = None  # None: to be made anew
+        self._alive: set[int] | None = None  # cached; None: outdated
         self._on_changes(now, [])
 
-    # ---- what happens --------------------------------------------------------------------------------------
+    # ---- inputs --------------------------------------------------------------------------------------------
 
     def on_message(self, now: float, sender: int, message: MembershipMessage) -> None:
-        """Words of a member whose frame was good."""
+        """Handles a message of a member whose frame was authentic."""
         if sender not in self.roster.entries or sender == self.me:
             return
         before = self.roster.incarnation
@@ -108,16 +111,17 @@
             self.slowness = max(0, self.slowness - 1)
 
     def leave(self, now: float, for_good: bool) -> None:
-        """This gateway goes: some others are told at once, so that nobody doubts it."""
+        """Announces that this gateway leaves, so that the others do not suspect it."""
         self.roster.leave(now, "left" if for_good else "away")
         self._on_changes(now, [])
         present = self.roster.present()
         for recipient in self.rng.sample(present, min(len(present), 2 * INDIRECT_PROBES)):
             self._send(recipient, "ask", self._new_request(now, recipient))
 
-    # ---- what is decided -----------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
     def decide(self, now: float) -> Decision | None:
+        """Returns the next decision, or None where there is none now."""
         if not self._decisions:
             self._update(now)
         return self._decisions.popleft() if self._decisions else None
@@ -128,7 +132,7 @@
         if self.roster.status(self.me) in ("left", "away"):
             return
         if was_suspended:
-            # Guards against a gateway that stood still doubting those whose answers wait in its socket.
+            # After a suspension, answers may still wait in the socket: suspect nobody yet.
             self._probe, self.slowness = None, min(MAX_SLOWNESS, self.slowness + 1)
             self._status_timeouts = {n: until + PERIOD_S for n, until in self._status_timeouts.items()}
         for member in sorted(n for n, until in self._status_timeouts.items() if now >= until):
@@ -145,7 +149,7 @@
         return probe[2] + (1 + probe[3]) * RETRY_AFTER * PERIOD_S * (1 + self.slowness / MAX_SLOWNESS)
 
     def _retry(self, now: float, probe: tuple[int, int, float, int]) -> None:
-        """The question or its answer may have been lost: it is asked again, and by others too."""
+        """Repeats a probe whose messages may have been lost, and sends indirect probes the first time."""
         number, member, since, tries = probe
         self._probe = number, member, since, tries + 1
         self._send(member, "ask", number)
@@ -177,7 +181,7 @@
                 self._send_request(now, self.rng.choice(dead))
 
     def _next_target(self) -> int:
-        """Whose turn it is: everybody there, in an order that is shuffled for each round."""
+        """Returns the next member to probe, in an order shuffled for each round; -1 if none is present."""
         present = set(self.roster.present())
         while True:
             while self._probe_order:
@@ -206,7 +210,7 @@
         self._decisions.append(Send(to, MembershipMessage(kind, sequence, about, self._pick_updates(to))))  # type: ignore[arg-type]
 
     def _pick_updates(self, to: int) -> tuple[MemberStatus, ...]:
-        """Own news, what the receiver should know of itself, then what was passed on least."""
+        """Returns this gateway's status, the receiver's if it is not alive, then the least sent updates."""
         entries = self.roster.entries
         own = entries[self.me]
         updates = [MemberStatus(self.me, own.incarnation, own.status)]
@@ -238,22 +242,24 @@
             elif status == "away":
                 self._status_timeouts[member] = now + AWAY_TIMEOUT_S
 
-    # ---- what is known -------------------------------------------------------------------------------------
+    # ---- queries -------------------------------------------------------------------------------------------
 
     def is_slow(self) -> bool:
-        """Whether this gateway finds itself slow: it should take on nothing for others."""
+        """Returns whether this gateway is slow itself and should not own duties."""
         return self.slowness >= MAX_SLOWNESS // 2
 
     def alive(self) -> set[int]:
-        """Others that nobody doubts. Not to be changed: asked before each decision on owners."""
+        """Returns the other members that are alive, from a cache: the caller must not change the set."""
         if self._alive is None:
             self._alive = {n for n, e in self.roster.entries.items() if n != self.me and e.status == "alive"}
         return self._alive
 
     def statuses(self) -> dict[int, Status]:
+        """Returns the status of each other member."""
         return {n: e.status for n, e in sorted(self.roster.entries.items()) if n != self.me}
 
     def wake_at(self) -> float:
+        """Returns when `decide` should be called again."""
         if self._decisions:
             return 0.0
         at = [self._next_period_at, *self._status_timeouts.values()]
--- a/ledgehitch/members/elsewhere.py
+++ b/ledgehitch/members/elsewhere.py
@@ -1,4 +1,4 @@
-"""Where a gateway that takes nothing new sends those who ask. Free of I/O and clock."""
+"""Selects another gateway for viewers when this one accepts no new viewings. Free of I/O and clocks."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -6,7 +6,7 @@
 
 
 class GatewayAddress(Protocol):
-    """A gateway as the site names it."""
+    """The fields of a gateway record that are needed here."""
 
     @property
     def name(self) -> str: ...
@@ -19,7 +19,7 @@
 def pick_gateway(
     me: str, gateways: Sequence[GatewayAddress], is_present: Callable[[str], bool], rng: random.Random
 ) -> str:
-    """The address of another gateway that is there, of the same hall where one is; empty without any."""
+    """Returns the address of another present gateway, of the same zone if possible; empty without one."""
     zone = next(g.zone for g in gateways if g.name == me)
     others = [g for g in gateways if g.name != me and is_present(g.name)]
     same_zone = [g for g in others if g.zone == zone] or others
--- a/ledgehitch/members/words.py
+++ b/ledgehitch/members/words.py
@@ -1,6 +1,6 @@
-"""What members say to one another, as bytes of bounded size. Free of I/O; authenticity is the frame's.
+"""Messages of membership, encoded with bounded size. Free of I/O; the frame authenticates them. Layout:
 
-kind u8, sequence u32, about u16, 8 bytes that former programs went by, count u8, then count times
+kind u8, sequence u32, about u16, 8 bytes reserved (used by older releases), count u8, then count times
 member u16, incarnation u48, status u8
 """
 
@@ -13,11 +13,11 @@
 KINDS: tuple[Kind, ...] = ("ask", "answer", "ask for")
 HEADER = struct.Struct(">BIH8xB")
 UPDATE = struct.Struct(">HHIB")
-MAX_UPDATES = 110  # of one message: about a kilobyte, so that refutations keep up with doubts under loss
+MAX_UPDATES = 110  # per message: about a kilobyte, so that refutations keep up with suspicions under loss
 
 
 class MembershipMessage(NamedTuple):
-    """`sequence` is the asker's own; `about`: whom a question that was asked for another is about."""
+    """One message. `sequence`: of the requester. `about`: the member probed by an indirect probe."""
 
     kind: Kind
     sequence: int
@@ -26,7 +26,7 @@
 
 
 class InvalidMessage(ValueError):
-    """What came is none of these; the text says why."""
+    """The bytes are no valid message; the text names the reason."""
 
 
 def encode(message: MembershipMessage) -> bytes:
@@ -40,7 +40,7 @@
 
 
 def decode(data: bytes) -> MembershipMessage:
-    """Raises `BadWords`."""
+    """Decodes a message. Raises `InvalidMessage`."""
     if len(data) < HEADER.size:
         raise InvalidMessage("short")
     kind, sequence, about, count = HEADER.unpack_from(data)
--- a/ledgehitch/owners/__init__.py
+++ b/ledgehitch/owners/__init__.py
@@ -1,5 +1,5 @@
-"""One owner at a time for work on behalf of the fleet: votes, leases, terms and the fence at who receives.
+"""Leader election for duties done on behalf of the fleet: votes, leases, terms and fencing at receivers.
 
-It never does a duty's work, opens a socket or reads a clock; what it lets through is no promise on viewings.
-Start reading at `votes.py` (the promises that `tests/explore_owners.py` checks), then `decide.py`.
+The package does no duty's work, opens no socket and reads no clock; it makes no promise about viewings.
+Start reading at `votes.py`, whose invariants `tests/explore_owners.py` checks, then `decide.py`.
 """
--- a/ledgehitch/owners/clock.py
+++ b/ledgehitch/owners/clock.py
@@ -1,22 +1,24 @@
-"""Whether a clock goes on as it should, judged beside a second one. Free of I/O.
+"""Compares the clock used for leases with a second one, to detect faults. Free of I/O.
 
-The first goes on while the machine sleeps, the second may not: only the first running *slower* than the
-second, standing still or jumping back is wrong; such a clock would keep a lease longer than it lasts.
+The lease clock continues while the machine is suspended, the second one may not. So the lease clock is at
+fault only when it runs *slower* than the second, stands still or jumps back: it would keep an expired lease.
 """
 
 from ledgehitch.owners.facts import MAX_CLOCK_DRIFT
 
-CHECK_INTERVAL_S = 1.0  # seconds of the second clock between two judgements
-READING_TOLERANCE_S = 0.02  # seconds by which two readings of one moment may lie apart
+CHECK_INTERVAL_S = 1.0  # by the second clock
+READING_TOLERANCE_S = 0.02  # by which two readings of the same moment may differ
 
 
 class ClockCheck:
+    """Judges a clock from pairs of readings."""
+
     def __init__(self, first: float, second: float) -> None:
         self._first, self._second, self._latest = first, second, first
         self.is_good = True
 
     def check(self, first: float, second: float) -> bool:
-        """Whether it may be gone by. One that was wrong is trusted again after it went right for a while."""
+        """Returns whether the first clock can be trusted; after a fault, once a whole interval was right."""
         if first < self._latest:
             self.is_good = False
             self._first, self._second = first, second
--- a/ledgehitch/owners/decide.py
+++ b/ledgehitch/owners/decide.py
@@ -1,7 +1,8 @@
-"""Who owns which duty: when a member stands, asks, renews, gives back. Free of I/O, clock and chance.
+"""Leader election for duties: candidacies, vote requests, renewals and releases. Free of I/O and clocks.
 
-Inputs update, `decide` is pulled. `owns` is asked before every effect. What a vote or a fence rests on comes
-as `Keep` and what may be said once it is on disk comes with it, so that a full disk says nothing.
+Inputs (`on_...`) update the state, and the caller pulls decisions from `decide`. `owned_term` is called
+before every effect. Votes and fences come as a `Store` decision, together with the messages that may be sent
+once it is on disk, so that a full disk sends nothing.
 """
 
 import random
@@ -23,32 +24,39 @@
 from ledgehitch.owners.votes import Lease
 from ledgehitch.owners.words import NO_MEMBER, DutyMessage, Kind
 
-RENEW_INTERVAL = 0.55  # of a lease between two rounds of asking
-RETRY_INTERVAL = 0.05  # of a lease until those who did not answer are asked again
-FIRST_POLL_SIZE = 3  # members that a candidate asks first whether there is an owner
-MAX_BACKOFF_DOUBLINGS = 4  # times that the wait after a poll of all in vain doubles
-POLL_TIMEOUT = 0.04  # of a lease for their answers
-CANDIDACY_TIMEOUT = 0.1  # of a lease, after which a candidate gives its votes back and waits
-RANK_DELAY = 0.03  # of a lease by which each further place in the rank waits longer
-MAX_DELAYED_RANKS = 6  # of the rank that wait differently
+# Intervals and time-outs without a unit in their name are fractions of a lease.
+RENEW_INTERVAL = 0.55  # between two rounds of vote requests
+RETRY_INTERVAL = 0.05  # before members that have not answered are asked again
+FIRST_POLL_SIZE = 3  # members polled before all of them are
+MAX_BACKOFF_DOUBLINGS = 4  # of the wait after failed polls
+POLL_TIMEOUT = 0.04
+CANDIDACY_TIMEOUT = 0.1  # then a candidate releases its votes and waits
+RANK_DELAY = 0.03  # additional wait for each further position in the ranking
+MAX_DELAYED_RANKS = 6  # positions after this one wait no longer
 EXTRA_REQUESTS = 2  # members asked beyond a majority
-LATE_RENEWAL = 0.25  # of a lease left, under which a renewal is told as late
-OWNER_NOTICE_LEASES = 1.5  # leases that one who does not vote goes by what it was told
-MAX_PENDING_REQUESTS = 1 << 16  # questions remembered
-# Seconds that a network and a disk that must sync take, however short leases are.
+LATE_RENEWAL = 0.25  # a renewal with less of its lease left is reported as late
+OWNER_NOTICE_LEASES = 1.5  # leases for which an owner's notice is believed
+MAX_PENDING_REQUESTS = 1 << 16
+# Lower bounds: a network and a disk sync take this long, however short leases are.
 MIN_POLL_TIMEOUT_S, MIN_RETRY_INTERVAL_S, MIN_CANDIDACY_TIMEOUT_S = 0.1, 0.2, 0.5
-GREETING_INTERVAL = 0.05  # of a lease between two greetings to who has not answered, rising to one lease
+GREETING_INTERVAL = 0.05  # initially, rising to one lease
 
 
 @dataclass(frozen=True)
 class Send:
+    """Send this message to a member."""
+
     recipient: int
     message: DutyMessage
 
 
 @dataclass(frozen=True)
 class Store:
-    """On disk first (`kept`), then these may be sent; if that fails (`not_kept`) they are dropped."""
+    """Store this record, then send the messages.
+
+    The caller reports success with `on_stored`, and failure with `on_store_failed`: the messages are dropped
+    then.
+    """
 
     record: dict[str, Any]
     messages: tuple[Send, ...] = ()
@@ -56,13 +64,15 @@
 
 @dataclass(frozen=True)
 class Won:
+    """This member owns the duty under this term."""
+
     duty: str
     term: int
 
 
 @dataclass(frozen=True)
 class Lost:
-    """`late`: seconds that the lease had been over before it was noticed."""
+    """This member no longer owns the duty. `overdue`: seconds from its expiry to its detection."""
 
     duty: str
     term: int
@@ -72,7 +82,7 @@
 
 @dataclass(frozen=True)
 class Renewed:
-    """Late: only `left` seconds of the lease were left when a majority had answered."""
+    """The lease was renewed late: `left` seconds of it remained when a majority had answered."""
 
     duty: str
     term: int
@@ -84,28 +94,30 @@
 
 @dataclass
 class DutyState:
-    """One duty at this member."""
+    """The state of one duty at this member. Times are seconds of its clock."""
 
     name: str
     number: int
-    ranking: list[int]  # members by rank, best first
+    ranking: list[int]  # members, the preferred owner first
     lease: Lease | None = None
     won: bool = False
-    poll_answers: set[str] = field(default_factory=set)  # who said that it is free
-    polled_at: float = -1e18  # not polling where it lies far back
-    polled_all: bool = False  # the poll went to all
-    failed_polls: int = 0  # polls of all in a row that no majority answered
+    poll_answers: set[str] = field(default_factory=set)  # members that know of no owner
+    polled_at: float = -1e18  # negative: no poll is under way
+    polled_all: bool = False  # whether the current poll went to all members
+    failed_polls: int = 0  # consecutive polls of all members without a majority of answers
     candidate_from: float = 0.0
-    candidacy_at: float = 1e18
+    candidacy_at: float = 1e18  # when the next poll starts
     round_at: float = 0.0
     retry_at: float = 1e18
     notified_at: float = -1e18
-    known_owner: tuple[int, int, float] = (NO_MEMBER, 0, -1e18)  # owner, term and until when it is believed
-    highest_seen_term: int = 0  # heard of somewhere, refused or denied by: the next one stands above it
-    refused: dict[str, int] = field(default_factory=dict)
+    known_owner: tuple[int, int, float] = (NO_MEMBER, 0, -1e18)  # member, term, believed until
+    highest_seen_term: int = 0  # in messages, denials and refusals; the next candidacy uses a higher one
+    refused: dict[str, int] = field(default_factory=dict)  # effects refused, by receiver
 
 
 class Owners:
+    """Elects the owners of the duties of one scope, as one member of it."""
+
     def __init__(
         self,
         now: float,
@@ -116,8 +128,9 @@
         members: Sequence[int] | None = None,
         duty_numbers: Sequence[int] | None = None,
     ) -> None:
-        """`names`: of the whole site, whose numbers are its members' on the wire. `members`: those in this
-        scope, left out: all. `numbers`: of the duties on the wire, in turn; left out: from 0."""
+        """`names`: all gateways of the site, whose indices are the member numbers on the wire. `members`: the
+        numbers of those in this scope, all by default. `duty_numbers`: the numbers of the duties on the wire,
+        from 0 by default."""
         self.me, self.names, self.durable, self.rng = me, tuple(names), durable, rng
         self.lease = durable.lists.min_lease()
         self.poll_timeout = max(POLL_TIMEOUT * self.lease, MIN_POLL_TIMEOUT_S)
@@ -134,13 +147,15 @@
         self.reachable: set[int] = set(self.members) - {me}
         self.eligible, self.clock_good = True, True
         self.why_not = ""
-        self.withheld: dict[str, str] = {}  # duties that it does not stand for now, and why
+        self.withheld: dict[str, str] = {}  # duties without a candidacy of this member, with the reason
         self.counts: dict[str, int] = {}
         self._joining = not durable.joined
-        self._unsettled_peers: dict[str, bool] = {}  # by who answered: whether its list is still unsettled
-        self._pending: dict[int, tuple[str, int, int, float]] = {}  # sequence: duty, term, whom, when
+        self._unsettled_peers: dict[
+            str, bool
+        ] = {}  # of members that answered: whether their list is unsettled
+        self._pending: dict[int, tuple[str, int, int, float]] = {}  # by sequence: duty, term, member, sent at
         self._sequence = 0
-        self._own_votes: list[tuple[str, int, float]] = []  # votes for ourselves that are not on disk yet
+        self._own_votes: list[tuple[str, int, float]] = []  # votes for itself that are not on disk yet
         self._stored: dict[str, Any] | None = None
         self._outbox: list[Send] = []
         self._decisions: deque[Decision] = deque()
@@ -148,18 +163,18 @@
         self._greeting_until = now + durable.vote_duration
         self._now = now
 
-    # ---- what happens --------------------------------------------------------------------------------------
+    # ---- inputs --------------------------------------------------------------------------------------------
 
     def on_message(self, now: float, sender: int, message: DutyMessage) -> None:
-        """Words of a member whose frame was good."""
+        """Handles a message of a member whose frame was authentic."""
         if not 0 <= sender < len(self.names) or sender == self.me or message.who != self.name_digests[sender]:
-            self._count("of another numbering of the gateways")
+            self._count("sender of another gateway numbering")
             return
         if sender not in self.members:
-            self._count("of a gateway of another region")
+            self._count("sender in another region")
             return
-        # Guards against a change of the list being settled on the word of one that cannot vote yet: of four,
-        # two and a newcomer that waits for the third were held to be a majority, and nobody was elected.
+        # A member that cannot vote yet must not settle a change of the list. Otherwise, of four, two and a
+        # newcomer that waits for the third count as a majority, and nobody is elected.
         if message.kind not in ("greet", "greeted") or message.intact:
             self.durable.on_member_list(now, self.names[sender], message.list)
         if self.names[sender] in self._unsettled_peers:
@@ -169,10 +184,10 @@
             return
         duty = next((o for o in self.duties.values() if o.number == message.duty), None)
         if duty is None:
-            self._count("a duty that nobody knows")
+            self._count("message about an unknown duty")
             return
         if message.term > MAX_TERM:
-            self._count("a term out of reach")
+            self._count("term out of range")
             return
         match message.kind:
             case "poll" | "ask":
@@ -191,29 +206,29 @@
                     duty.failed_polls = 0
 
     def on_membership(self, reachable: set[int], eligible: bool, why_not: str = "") -> None:
-        """Whom membership holds for there, and whether this one should own anything now."""
+        """Sets which members are reachable, and whether this one may own duties now."""
         self.reachable, self.eligible, self.why_not = reachable.intersection(self.members), eligible, why_not
 
     def on_clock_check(self, now: float, good: bool) -> None:
-        """Whether the clock goes on as it should. One that does not ends every lease here at once."""
+        """Sets whether the clock can be trusted. A bad clock ends every lease of this member at once."""
         if self.clock_good and not good:
             for state in self.duties.values():
                 self._end_lease(now, state, "the clock stood still or jumped back")
         self.clock_good = good
 
     def resign(self, now: float) -> None:
-        """This one goes on its way out: it stands no more, and what it owns is given to the next in rank."""
-        self.eligible, self.why_not = False, "on its way out"
+        """Prepares to shut down: ends all candidacies and hands owned duties to the next member in rank."""
+        self.eligible, self.why_not = False, "shutting down"
         for state in self.duties.values():
             state.polled_at = -1e18
             if state.lease is None:
                 continue
             reachable = [m for m in state.ranking if m in self.reachable]
             self._release(now, state, reachable[0] if state.won and reachable else NO_MEMBER)
-            self._end_lease(now, state, "handed over" if state.won else "gave up standing")
+            self._end_lease(now, state, "handed over" if state.won else "candidacy withdrawn")
 
     def on_effect_refused(self, now: float, duty: str, term: int, known: int, where: str) -> None:
-        """A receiver refused an effect of ours: it knows a higher term."""
+        """Handles a receiver's refusal of an effect: it knows a higher term."""
         state = self.duties[duty]
         state.refused[where] = state.refused.get(where, 0) + 1
         state.highest_seen_term = max(
@@ -224,9 +239,11 @@
             self._end_lease(now, state, f"{where} knows term {known}")
 
     def accepts_effect(self, duty: str, term: int) -> bool:
-        """Whether an effect that arrived here may be carried out, once `Keep` that follows is on disk."""
+        """Returns whether a received effect may be carried out once the `Store` that follows is on disk."""
         if duty not in self.duties or not self.durable.confirmed:
-            self._count("an effect before the terms are known" if duty in self.duties else "unknown duty")
+            self._count(
+                "effect before the terms are known" if duty in self.duties else "effect of an unknown duty"
+            )
             return False
         accepted = self.durable.fence.accepts(duty, term)
         state = self.duties[duty]
@@ -235,6 +252,7 @@
         return accepted
 
     def on_stored(self, record: dict[str, Any]) -> None:
+        """Handles the success of a `Store`: counts the votes for this member that are on disk now."""
         self._stored = record
         for duty, term, asked_at in self._own_votes:
             lease = self.duties[duty].lease
@@ -244,29 +262,29 @@
         self._own_votes = []
 
     def on_store_failed(self, now: float) -> None:
-        """The disk did not take it: no vote, no harm. Who wanted to stand does not."""
-        self._count("votes that the disk did not take")
+        """Handles the failure of a `Store`: no vote is given, and candidacies of this member end."""
+        self._count("votes that could not be stored")
         self._own_votes = []
         for state in self.duties.values():
             if state.lease is not None and not state.won:
-                self._end_lease(now, state, "the disk takes no vote")
+                self._end_lease(now, state, "the vote could not be stored")
 
-    # ---- as a voter ----------------------------------------------------------------------------------------
+    # ---- voter ---------------------------------------------------------------------------------------------
 
     def _on_request(self, now: float, state: DutyState, sender: int, message: DutyMessage) -> None:
         voter, name = self.durable.voters[state.name], self.names[sender]
         if not self.durable.may_vote(now):
-            self._count("asked before it may vote")
+            self._count("request before this member may vote")
             return
         if not self.durable.lists.covered_by(message.list, message.former):
-            self._count("asked by one of another version of the site")
+            self._count("request under another version of the site")
             return
         if message.kind == "poll":
             if voter.is_bound(now) and voter.member != name or self.owned_term(now, state.name):
                 self._deny(now, state, sender, message)
             elif now < state.known_owner[2] and state.known_owner[0] not in (NO_MEMBER, sender):
-                # Guards against a candidate asking all for an owner whom half of them were told of: it had
-                # missed one word of it, and of the three that it asked first some had only been told, too.
+                # A candidate that missed the owner's notice must learn of the owner from members that did not
+                # vote but were notified; otherwise it polls all members when some of the first few are such.
                 self._send_about(
                     sender,
                     "deny",
@@ -283,7 +301,7 @@
             self._deny(now, state, sender, message)
             return
         if state.lease is not None and state.lease.term < message.term:
-            self._end_lease(now, state, f"{name} stands with term {message.term}")
+            self._end_lease(now, state, f"{name} is a candidate with term {message.term}")
         state.known_owner, state.candidacy_at = (sender, message.term, now + self.durable.vote_duration), 1e18
         state.polled_at, state.failed_polls = -1e18, 0
         self._send_about(sender, "grant", state, message.sequence, message.term)
@@ -306,7 +324,7 @@
         elif message.member != NO_MEMBER:
             state.candidacy_at = now + 2 * self.poll_timeout + self._rank_delay(state)
 
-    # ---- as a candidate and an owner -----------------------------------------------------------------------
+    # ---- candidate and owner -------------------------------------------------------------------------------
 
     def _on_response(self, now: float, state: DutyState, sender: int, message: DutyMessage) -> None:
         request = self._pending.pop(message.sequence, None)
@@ -337,7 +355,7 @@
         if state.polled_at < 0:
             return
         if message.kind == "deny" and message.member != NO_MEMBER:
-            # There is an owner, or somebody that stands: how long its promise lasts at that voter.
+            # The voter is bound to an owner or a candidate for this long.
             state.known_owner = message.member, message.term, now + message.left
             state.polled_at, state.candidacy_at, state.failed_polls = -1e18, 1e18, 0
             return
@@ -352,7 +370,7 @@
             self._poll_all(now, state)
 
     def _start_poll(self, now: float, state: DutyState) -> None:
-        """Asks first, without a term, so that those who are cut off do not raise terms for nothing."""
+        """Polls some members without a term first, so that partitioned members do not raise terms in vain."""
         state.poll_answers, state.polled_at, state.candidacy_at, state.polled_all = (
             set(),
             now,
@@ -369,10 +387,10 @@
             self._start_candidacy(now, state)
 
     def _poll_all(self, now: float, state: DutyState) -> None:
-        """Asks all, where a majority of them may answer.
+        """Polls all members if a majority of them is reachable.
 
-        Guards against everybody asking everybody for as long as a cut lasts that leaves no side a majority:
-        datagrams a second that go by the square of the members."""
+        During a partition without a majority on any side, polling regardless would cost datagrams that grow
+        with the square of the number of members."""
         if not self.durable.lists.has_majority(self.names[n] for n in (self.me, *self.reachable)):
             self._back_off(now, state)
             return
@@ -397,14 +415,14 @@
         self._start_round(now, state)
 
     def _start_round(self, now: float, state: DutyState) -> None:
-        """Asks a majority and some; who does not answer in time is asked again, and the others with it."""
+        """Requests votes of a majority and a few more; `_retry_round` asks again and extends it to others."""
         lease = state.lease
         assert lease is not None
         if lease.requested_at:
             self.durable.voters[state.name].on_vote_request(now, lease.term, self.names[self.me])
         self._own_votes.append((state.name, lease.term, now))
         state.round_at, state.retry_at = now, now + self.retry_interval
-        # Those that granted last are asked first, so that others hear nothing of it but who owns.
+        # The members that granted last are asked first, so that the others only receive notices.
         by_last_grant = sorted(
             self._others(), key=lambda m: (-lease.requested_at.get(self.names[m], -1e18), m)
         )
@@ -417,7 +435,7 @@
             self.on_stored(self.durable.record())
 
     def _retry_round(self, now: float, state: DutyState) -> None:
-        """Those of this round that have not granted: it or its answer may have been lost."""
+        """Asks members again that have not granted in this round: messages may have been lost."""
         lease = state.lease
         assert lease is not None
         state.retry_at = now + self.retry_interval
@@ -429,7 +447,7 @@
         ]
         missing = max(0, len(self.members) // 2 - len(answered))
         unanswered = [m for m in self._others() if m not in answered]
-        # Twice as many as are missing: at the worst losses that membership bears every second one answers.
+        # Twice as many as are missing: at the highest loss tolerated by membership, half of them answer.
         for to in (
             unanswered
             if not state.won
@@ -438,7 +456,7 @@
             self._send_request(now, state, to, "ask", lease.term)
 
     def _notify_others(self, now: float, state: DutyState, requested: set[int]) -> None:
-        """Those who are not asked are told once a lease, so that they do not stand."""
+        """Notifies members that were sent no request once per lease, so that they start no candidacy."""
         if not state.won or now - state.notified_at < self.lease * (1 - MAX_CLOCK_DRIFT):
             return
         state.notified_at = now
@@ -457,7 +475,7 @@
             self._decisions.append(Won(state.name, lease.term))
 
     def _release(self, now: float, state: DutyState, successor: int) -> None:
-        """Says to all that this term is not used any more, by whom it is held here first."""
+        """Ends the lease at this member, then tells all others that its term is no longer used."""
         lease = state.lease
         assert lease is not None
         lease.ended = True
@@ -480,23 +498,24 @@
             self._decisions.append(Lost(state.name, lease.term, why, late))
 
     def owned_term(self, now: float, duty: str) -> int:
-        """The term under which an effect may be sent now; 0 for none. Asked before each effect."""
+        """Returns the term under which an effect may be sent now, or 0. Must be called before each effect."""
         state = self.duties[duty]
         if state.lease is None or not state.won or not self.clock_good:
             return 0
         if not state.lease.is_valid(now):
-            self._end_lease(now, state, "the lease is over")
+            self._end_lease(now, state, "the lease expired")
             return 0
         return state.lease.term
 
-    # ---- what is decided -----------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
     def decide(self, now: float) -> Decision | None:
+        """Returns the next decision, or None where there is none now."""
         self._now = now
         if not self._decisions and not self._outbox:
             self._update(now)
         if self._decisions:
-            return self._decisions.popleft()  # rests on nothing that is not on disk yet
+            return self._decisions.popleft()  # does not depend on unsaved votes
         if self.dirty():
             messages, self._outbox = tuple(self._outbox), []
             return Store(self.durable.record(), messages)
@@ -506,7 +525,7 @@
         if now >= self._greeting_at:
             self._send_greetings(now)
         if self._joining and self.joined(now):
-            # Guards against a newcomer that starts anew during the change that adds it, and has a file now.
+            # Stored, since a newcomer may restart during the change that adds it, and has a file then.
             self._joining, self.durable.joined = False, True
         if self.durable.settle(now):
             self.lease = self.durable.lists.min_lease()
@@ -535,7 +554,7 @@
         elif not self.eligible:
             reachable = [m for m in state.ranking if m in self.reachable]
             self._release(now, state, reachable[0] if reachable else NO_MEMBER)
-            self._end_lease(now, state, self.why_not or "not fit")
+            self._end_lease(now, state, self.why_not or "not eligible")
         elif now >= state.round_at + RENEW_INTERVAL * self.lease:
             self._start_round(now, state)
         elif now >= state.retry_at:
@@ -550,7 +569,7 @@
             self._back_off(now, state)
 
     def _back_off(self, now: float, state: DutyState) -> None:
-        """A poll was in vain: the next ones come rarer, up to once a lease."""
+        """Backs off after a failed poll: later polls become rarer, down to one per lease."""
         wait = (
             self.candidacy_timeout
             * (1 + self.rng.random())
@@ -568,14 +587,16 @@
         return self.eligible and self.clock_good and self.durable.may_vote(now) and self.joined(now)
 
     def joined(self, now: float) -> bool:
-        """Whether others count this one: not where it was declared gone, nor while it knows of nobody's
-        terms, nor, where it came without a file, while any that it heard goes by the list before, too."""
+        """Returns whether the others count this member.
+
+        They do not while it is declared gone or knows no terms of others. A member that started without a
+        file also waits until no member that it heard still uses the former list."""
         if self.durable.me not in self.durable.lists.current:
             return False
         return self.durable.may_vote(now) and not (self._joining and any(self._unsettled_peers.values()))
 
     def owner_of(self, now: float, duty: str) -> tuple[int, int]:
-        """Who owns a duty as far as this one knows, and its term; nobody, and the highest term known."""
+        """Returns the known owner of a duty and its term; `NO_MEMBER` and the last known term without one."""
         state = self.duties[duty]
         if owned_term := self.owned_term(now, duty):
             return self.me, owned_term
@@ -587,7 +608,7 @@
         return max(voter.bound_until if voter.member else -1e18, state.known_owner[2])
 
     def _rank_delay(self, state: DutyState) -> float:
-        """How long this one waits before it stands: the better its place among those there, the shorter."""
+        """Returns the seconds to wait before a candidacy: fewer for a better rank among reachable members."""
         reachable = [m for m in state.ranking if m == self.me or m in self.reachable]
         position = min(reachable.index(self.me), MAX_DELAYED_RANKS)
         return RANK_DELAY * self.lease * (position + self.rng.random())
@@ -595,11 +616,11 @@
     # ---- greetings -----------------------------------------------------------------------------------------
 
     def _send_greetings(self, now: float) -> None:
-        """Until all have told what they know, or for a while; while a change of the list is unsettled too."""
+        """Greets members that have not answered, for a while or while the list is unsettled."""
         durable = self.durable
         waiting = [m for m in self._others() if self.names[m] not in durable.greeting_responses]
         if durable.may_vote(now) and now >= self._greeting_until:
-            # Guards against a newcomer that never hears that the change which adds it is over.
+            # A newcomer has to hear that the change which adds it is settled.
             waiting = [
                 m for m in self._others() if self._joining and self._unsettled_peers.get(self.names[m])
             ]
@@ -622,7 +643,7 @@
         name, durable = self.names[sender], self.durable
         if message.kind == "greet":
             known = durable.on_greeting(name, message.life, message.sequence)
-            # One that is not sure of its own file says so: only what it took part in since counts.
+            # A member that lost its file says so until it has taken part in an election again.
             is_sound = durable.intact or (durable.confirmed and not durable.bootstrapped)
             self._send(
                 sender,
@@ -640,12 +661,12 @@
         self._unsettled_peers[name] = message.former != NO_LIST_DIGEST
         durable.on_greeting_response(now, name, message.known_life, message.intact, message.terms)
         if was_intact and not durable.intact:
-            self._count("an old copy of the state directory")
+            self._count("stale copy of the state directory")
             self._joining, durable.joined = True, False
             durable.nonce = self.rng.getrandbits(32)
             self._greeting_at, self._greeting_interval = now, GREETING_INTERVAL * self.lease
             for state in self.duties.values():
-                self._end_lease(now, state, "the state directory is an old copy")
+                self._end_lease(now, state, "the state directory is a stale copy")
 
     def _has_voted(self) -> bool:
         return self.durable.confirmed and any(v.term for v in self.durable.voters.values())
@@ -682,15 +703,16 @@
         self._outbox.append(Send(to, message))
 
     def dirty(self) -> bool:
-        """Whether anything that was voted or taken is not on disk yet."""
+        """Returns whether a vote or an accepted term is not on disk yet."""
         return self._stored != self.durable.record()
 
     def _count(self, event: str) -> None:
         self.counts[event] = self.counts.get(event, 0) + 1
 
-    # ---- what is known -------------------------------------------------------------------------------------
+    # ---- queries -------------------------------------------------------------------------------------------
 
     def wake_at(self, now: float) -> float:
+        """Returns when `decide` should be called again."""
         if self._decisions or self._outbox:
             return now
         times = [
@@ -714,7 +736,7 @@
         return min(times)
 
     def duty_status(self, now: float) -> dict[str, dict[str, Any]]:
-        """For each duty what this member knows of it, for people."""
+        """Returns what this member knows of each duty, for operators."""
         status: dict[str, dict[str, Any]] = {}
         for name, state in self.duties.items():
             voter, owned_term = self.durable.voters[name], self.owned_term(now, name)
@@ -737,14 +759,15 @@
         return status
 
     def state(self, now: float) -> dict[str, Any]:
+        """Returns the state of this scope for operators."""
         durable = self.durable
         why = (
             ""
             if durable.may_vote(now)
             else (
-                "asks the others which terms they know"
+                "asking the other gateways for the terms they know"
                 if not durable.confirmed
-                else "waits until no promise of a former life can hold"
+                else "waiting until votes given before the restart have expired"
             )
         )
         return {
--- a/ledgehitch/owners/facts.py
+++ b/ledgehitch/owners/facts.py
@@ -1,4 +1,4 @@
-"""Duties, and the figures that the promises rest on. Times are seconds of the gateway's own clock."""
+"""Duties, lists of members, and the constants of elections. Times are seconds of the gateway's own clock."""
 
 from collections.abc import Iterable, Sequence
 from functools import lru_cache
@@ -6,23 +6,24 @@
 
 from blake3 import blake3
 
-# Numbered on the wire by their place: a new one comes last, none is taken out.
+# The index is the number on the wire: append new duties, and remove none.
 DUTIES = RESTARTS, VERDICTS, BUDGETS = "restarts", "verdicts", "budgets"
 EFFECT_WITHOUT_OWNER = {
-    RESTARTS: "plans wait where they are; who was told to restart comes back by itself",
-    VERDICTS: "no verdict of the fleet is handed on; each gateway still tells its own",
-    BUDGETS: "each gateway has its own part of the fleet's limits alone, nothing is lent",
+    RESTARTS: "plans are paused; gateways already told to restart come back by themselves",
+    VERDICTS: "no fleet verdict is distributed; each gateway still reports its own",
+    BUDGETS: "nothing is lent; each gateway uses only its own part of the fleet's limits",
 }
-DEFAULT_LEASE_S = 10.0  # from the asking; `docs/owners.md` says why
-MAX_CLOCK_DRIFT = 0.01  # by which the rates of two gateways' clocks may differ at most, one of the other
-MAX_TERM_STEP = 1 << 20  # by which one word may raise a term that is known here: a broken member's is refused
+DEFAULT_LEASE_S = 10.0  # from the vote request; see `docs/owners.md`
+MAX_CLOCK_DRIFT = 0.01  # maximum relative difference between the clock rates of two gateways
+MAX_TERM_STEP = 1 << 20  # by which one message may raise a known term; a faulty member's jump is refused
 MAX_TERM = (1 << 63) - 1
 NO_LIST_DIGEST = b"\0" * 4
 
 
 def vote_duration(lease: float) -> float:
-    """How long a vote binds its voter from the answering on: no slower clock of an owner is still within its
-    lease then."""
+    """Returns the seconds that a vote binds its voter from its answer on.
+
+    After that the lease has expired even by an owner's clock that runs slower within the bound."""
     return lease * (1.0 + MAX_CLOCK_DRIFT)
 
 
@@ -30,11 +31,12 @@
     return members // 2 + 1
 
 
-@lru_cache(maxsize=32)  # it goes with each word, and takes as long as there are gateways
+@lru_cache(maxsize=32)  # sent with each message, and its cost grows with the number of gateways
 def list_digest(names: tuple[str, ...], lease: float, own_part: float = 0.0, regions: str = "") -> bytes:
-    """Four bytes that two versions of a site share where they state the same gateways in the same order,
-    leases of the same length, the same own part of the fleet's budgets, and the same regions. An own part of
-    1 is what programs had that lent nothing: their digest did not name it."""
+    """Returns a four-byte digest of the gateways in order, the lease, the own part of budgets and the
+    regions.
+
+    An own part of 1 is left out: releases without loans had no own part in their digest."""
     lines = [
         *names,
         f"{lease:.3f}",
@@ -49,8 +51,9 @@
 
 
 def rank_members(duty: str, names: Sequence[str], members: Iterable[int] | None = None) -> list[int]:
-    """Who should own a duty, best first: by a keyed hash, so that duties spread over the members. `members`:
-    numbers of those that may; left out, all."""
+    """Returns the members in order of preference as owner of a duty.
+
+    A keyed hash spreads the duties over the members. `members`: numbers of the candidates, all by default."""
     key = blake3(duty.encode(), derive_key_context="ledgehitch 2026 rank of owners").digest()
     candidates = range(len(names)) if members is None else members
     order = {i: blake3(names[i].encode(), key=key).digest(8) for i in candidates}
@@ -58,8 +61,10 @@
 
 
 class MemberLists(NamedTuple):
-    """The gateways that the site states, by name, and its lease; `former`: of the version before, until it is
-    settled that none of its majorities can be had any more. A majority of both is needed until then."""
+    """The gateways and the lease of the current version of the site and of the former one.
+
+    `former` is kept until it is settled that no majority of it can form any more. Until then an election
+    needs a majority of both lists."""
 
     current: tuple[str, ...]
     former: tuple[str, ...] = ()
@@ -67,48 +72,52 @@
     former_lease: float = DEFAULT_LEASE_S
     own_part: float = 0.0  # of the fleet's budgets
     former_own_part: float = 0.0
-    regions: str = ""  # which regions and shares the site states, as a digest; empty: none
+    regions: str = ""  # digest of the regions and their shares; empty without regions
     former_regions: str = ""
 
     def min_lease(self) -> float:
-        """What an owner counts on: voters of either list bind themselves for at least so long."""
+        """Returns the lease that an owner may rely on: voters of either list are bound at least this long."""
         return min(self.lease, self.former_lease) if self.former else self.lease
 
     def max_own_part(self) -> float:
-        """The most that own parts may come to together, whichever version each gateway goes by."""
+        """Returns the largest sum of own parts, whichever version each gateway uses."""
         return max(self.own_part, self.former_own_part) if self.former else self.own_part
 
     def max_recorded_lease(self) -> float:
-        """The longest that anybody may have counted on by this list or the one before, settled or not."""
+        """Returns the longest lease of this list and the one before it, settled or not."""
         return max(self.lease, self.former_lease)
 
     def max_lease(self) -> float:
-        """What a voter binds itself for."""
+        """Returns the lease for which a voter binds itself."""
         return max(self.lease, self.former_lease) if self.former else self.lease
 
     def in_force(self) -> tuple[tuple[str, ...], ...]:
+        """Returns the lists of which a majority is needed."""
         return (self.current, self.former) if self.former else (self.current,)
 
     def digests(self) -> tuple[bytes, bytes]:
+        """Returns the digests of the current and the former list."""
         return (
             list_digest(self.current, self.lease, self.own_part, self.regions),
             list_digest(self.former, self.former_lease, self.former_own_part, self.former_regions),
         )
 
     def own_share(self, conservative: bool = False) -> float:
-        """Of each of the fleet's budgets, what a gateway has though it hears nothing: the least of both
-        versions. `surely`: of the one before too where it is settled, as what was lent by it may be out."""
+        """Returns the fraction of each budget that a gateway has without loans: the smaller of both versions.
+
+        `conservative`: include the former version even if settled, since its loans may still be in force."""
         part = min(self.own_part, self.former_own_part) if conservative else self.own_part
         parts = [part / len(self.current)]
         return min([*parts, self.former_own_part / len(self.former)] if self.former else parts)
 
     def covered_by(self, current: bytes, former: bytes) -> bool:
-        """Whether one who goes by these needs a majority of each list that counts here: else it gets no vote,
-        since its majority and one of ours may have nobody in common."""
+        """Returns whether a candidate with these digests needs a majority of each list in force here.
+
+        If not, it gets no vote: its majority and one of this member's lists might not intersect."""
         mine = {digest for digest in self.digests() if digest != NO_LIST_DIGEST}
         return mine <= {current, former}
 
     def has_majority(self, members: Iterable[str]) -> bool:
-        """Whether these are a majority of each list."""
+        """Returns whether these members are a majority of each list in force."""
         present = set(members)
         return all(len(present.intersection(names)) >= majority(len(names)) for names in self.in_force())
--- a/ledgehitch/owners/memory.py
+++ b/ledgehitch/owners/memory.py
@@ -1,8 +1,8 @@
-"""What a member must not forget, and what it knows when it cannot be sure that it did not. Free of I/O.
+"""The state that a member stores for elections, and its recovery after that state is lost. Free of I/O.
 
-A file that is torn, missing, a copy that was put back or older than the gateway's last life does not count:
-its gateway neither votes nor takes effects until others have told it the terms they know, and it votes only
-after the longest promise of a former life has ended.
+A file that is torn, missing, restored from a copy or older than the gateway's last life counts as lost. Its
+gateway neither votes nor accepts effects until others have reported the terms they know, and it votes only
+after the longest vote of a former life has expired.
 """
 
 from typing import Any
@@ -15,6 +15,8 @@
 
 
 class DurableState:
+    """Votes, fences, lives and member lists of one scope at one member. Times are seconds of its clock."""
+
     def __init__(
         self,
         now: float,
@@ -30,12 +32,12 @@
         regions: str = "",
         scope: str = "",
     ) -> None:
-        """`held`: what the file gave, None where it is not whole. `nonce`: of this life, drawn anew.
-        `promise`: seconds that a vote binds; left out, what the bound on clocks asks for. `own_part`: of the
-        fleet's budgets; a change of it goes as a change of the list does. `gone`: who does not run, as an
-        operator vouches: nobody waits for their votes by a former list. `regions`: a digest of those that the
-        site states. `scope`: the region whose duties these are, empty for those of all; a file of another
-        counts as lost."""
+        """`stored`: the record read from the file, None if it is not intact. `nonce`: random, new for each
+        life. `vote_duration_override`: seconds that a vote binds; derived from the bound on clock drift by
+        default. `own_part`: of the fleet's budgets; changing it is handled like a change of the list. `gone`:
+        gateways that an operator has declared gone: their votes by a former list are not waited for.
+        `regions`: digest of the site's regions. `scope`: the region whose duties these are, empty for the
+        fleet's; a file of another scope counts as lost."""
         self.me, self.nonce, self.gone, self.scope = me, nonce, gone, scope
         self.intact = isinstance(stored, dict) and stored.get("version") == FORMAT_VERSION
         self.intact = self.intact and stored.get("scope", "") == scope
@@ -45,18 +47,14 @@
         self.lives: dict[str, tuple[int, int]] = {}
         if self.intact:
             self.lives = {n: (int(a), int(b)) for n, (a, b) in stored["lives"].items() if n in stated}
-        self._lives_record: dict[str, list[int]] | None = (
-            None  # as they are in a record; None: to be made anew
-        )
+        self._lives_record: dict[str, list[int]] | None = None  # cached for `record`; None: outdated
         self.lists = _initial_lists(stated, lease, own_part, regions, stored if self.intact else {})
-        self.shares: RegionShares | None = (
-            None  # of the regions; where all of them are heard, and there are any
-        )
-        self.max_loan_duration = 0.0  # seconds that what a lease lent may go on after it
-        # Whether another scope's list is still unsettled. Guards against gateways that say they go by a
-        # version while their region's voters still give their votes by the one before the last.
+        self.shares: RegionShares | None = None  # only in the fleet's scope, if there are regions
+        self.max_loan_duration = 0.0  # seconds for which a loan may outlast its lender's lease
+        # Whether the region's list is still unsettled. If so, the fleet's list must not settle: the region's
+        # voters still vote by the version before the last.
         self.region_unsettled = False
-        # A promise of the last life may have been longer than those of now.
+        # Votes of the last life may have been for longer than those of now.
         former_lease = float(stored["lease"]) if self.intact else 0.0
         self.vote_duration = vote_duration_override or vote_duration(
             max(self.lists.max_lease(), former_lease)
@@ -64,21 +62,20 @@
         self.voters = {d: Voter(self.vote_duration, *votes.get(d, (0, ""))) for d in duties}
         for voter in self.voters.values():
             voter.on_start(now)
-        # Guards against terms that begin anew where a duty goes to regions and comes back to all.
+        # Kept so that the terms of a duty do not restart when it moves to regions and back to the fleet.
         self.inactive_votes = {d: vote for d, vote in votes.items() if d not in duties}
         self.fence = Fence(fence)
         self.may_vote_from = now if self.intact else now + self.vote_duration
-        self.greeting_responses: dict[
-            str, tuple[bool, tuple[int, ...]]
-        ] = {}  # to our greeting: intact, terms
+        self.greeting_responses: dict[str, tuple[bool, tuple[int, ...]]] = {}  # by member: intact, terms
         self.confirmed = self.intact or len(stated) == 1
-        # Whether others counted this one before, so that it had a part of what is the fleet's.
+        # Whether others have counted this member before, so that it had a part of the fleet's budgets.
         self.joined = self.intact and bool(stored.get("joined", True))
-        self.bootstrapped = False  # terms begin here: nobody that was heard knew of any
-        self.on_current: set[str] = {me}  # who goes by the current list, of those that are in the former one
+        self.bootstrapped = False  # terms start from zero: no member that answered knew any
+        self.on_current: set[str] = {me}  # members known to use the current list
         self.settles_at = 1e18
 
     def record(self) -> dict[str, Any]:
+        """Returns what must be on disk, as a new dictionary."""
         optional: dict[str, Any] = {}
         if self.lists.regions or self.lists.former_regions:
             optional |= {"regions": self.lists.regions, "former_regions": self.lists.former_regions}
@@ -86,7 +83,7 @@
             optional["scope"] = self.scope
         if self.shares is not None:
             optional["shares"] = self.shares.record()
-        # Guards against a cost of each word that rises with the members: records are held against each other.
+        # Cached, since records are compared for each message: the cost must not grow with the members.
         if self._lives_record is None:
             self._lives_record = {n: list(pair) for n, pair in self.lives.items()}
         return optional | {
@@ -105,14 +102,17 @@
         }
 
     def terms(self) -> tuple[int, ...]:
+        """Returns the highest known term of each duty."""
         return tuple(max(v.term, self.fence.highest_term(d)) for d, v in self.voters.items())
 
     def may_vote(self, now: float) -> bool:
+        """Returns whether no vote of a former life can still be in force."""
         return self.confirmed and now >= self.may_vote_from
 
     def on_greeting(self, member: str, life: int, nonce: int) -> int:
-        """A member's life has begun; gives the life that was known of it before, 0 for none. Must be on disk
-        before it is answered."""
+        """Records a member's new life and returns the life known before, 0 for none.
+
+        The change must be on disk before the greeting is answered."""
         known = self.lives.get(member, (0, 0))
         if known[1] == nonce and known[0] == life:
             return 0
@@ -123,8 +123,9 @@
     def on_greeting_response(
         self, now: float, member: str, known_life: int, intact: bool, terms: tuple[int, ...]
     ) -> None:
-        """An answer to our greeting. One that knows a life of ours that we do not remember says that our
-        file is an old copy: it counts as lost."""
+        """Handles the answer to a greeting.
+
+        If the answer knows a later life of this member, its file is a stale copy and counts as lost."""
         if known_life >= self.life:
             self.life = min(known_life + 1, 0xFFFFFFFF)
             self.intact, self.confirmed, self.greeting_responses = False, False, {}
@@ -142,16 +143,18 @@
             self._adopt_terms()
 
     def _responses_needed(self) -> int:
-        """Answers after a loss: any majority that may have voted with us has one of these in it."""
+        """Returns how many answers are needed after a loss.
+
+        Any majority that may have included this member's vote then contains one of those that answered."""
         n = len(self.lists.current)
         return min(majority(n), n - 1)
 
     def _adopt_terms(self) -> None:
         for number, (duty, voter) in enumerate(self.voters.items()):
             reported = [terms[number] for _, terms in self.greeting_responses.values() if number < len(terms)]
-            reported.append(voter.term)  # where one alone has answered it does not decide
-            # Guards against one broken member's term near the top: what most do not reach is not believed at
-            # once, it is come closer to by a step.
+            reported.append(voter.term)  # so that a single answer does not decide
+            # A faulty member may report a term near the maximum: a term above the median is approached by at
+            # most one step.
             highest, middle = max(reported), sorted(reported)[(len(reported) - 1) // 2]
             term = min(highest, max(middle, voter.term) + MAX_TERM_STEP, MAX_TERM)
             if term > voter.term:
@@ -159,10 +162,11 @@
             self.fence.highest[duty] = max(self.fence.highest_term(duty), term)
 
     def on_member_list(self, now: float, member: str, current: bytes) -> None:
-        """Which list a member goes by, in words of its own that say that it votes or will. When too few go by
-        the former one alone for a majority of it, no lease can be won or renewed by it any more; the longest
-        that may still run is waited for. Not before a majority of the current one is there: else neither
-        list had an owner until it is."""
+        """Handles the list that a member uses, from a message showing that it votes or will vote.
+
+        Once too few members are left on the former list for a majority of it, no lease can be won or renewed
+        by that list. The list then settles after the longest lease that may still run. That needs a majority
+        of the current list, too: otherwise neither list could have an owner meanwhile."""
         former = self.lists.former
         if not self.unsettled() or member in self.on_current or current != self.lists.digests()[0]:
             return
@@ -177,8 +181,9 @@
             self.settles_at = now + self.vote_duration
 
     def set_shares(self, now: float, shares: RegionShares | None, max_loan_duration: float) -> None:
-        """`shares` of the regions begin; None where there are none. `longest_lent`: seconds that what a
-        lender lent may go on after its lease."""
+        """Sets the shares of the regions, None without regions.
+
+        `max_loan_duration`: seconds for which a loan may outlast its lender's lease."""
         self.shares, self.max_loan_duration = shares, max_loan_duration
         self._update_shares(now)
 
@@ -188,16 +193,16 @@
             self.shares.on_versions(now, self.on_current, self.gone, lease + self.max_loan_duration)
 
     def unsettled(self) -> bool:
-        """Whether it matters still who goes by which list."""
+        """Returns whether a change of the list or of regional shares is still in progress."""
         return bool(self.lists.former) or self.shares is not None and not self.shares.former_unused
 
     def settle(self, now: float) -> bool:
-        """Whether the former list, or the former shares of regions, are let go of by this."""
+        """Drops the former list or the former shares if they have expired; returns whether it dropped any."""
         shared = self.shares is not None and self.shares.settle(now)
         if now < self.settles_at or self.region_unsettled:
             return shared
         lists = self.lists
-        # How long leases were before, and how large own parts, is kept: loans may outlast the change.
+        # The former lease and own part are kept, since loans may outlast the change.
         self.lists = lists._replace(former=())
         self.settles_at = 1e18
         return True
@@ -206,11 +211,11 @@
 def _initial_lists(
     stated: tuple[str, ...], lease: float, own_part: float, regions: str, stored: dict[str, Any]
 ) -> MemberLists:
-    """One change of the list at a time: a third version waits behind one that is not settled."""
+    """Returns the lists at a start. A third version waits until the change in progress has settled."""
     new = MemberLists(stated, (), lease, lease, own_part, own_part, regions, regions)
     if not stored.get("current"):
         return new
-    # A file of a program that knew no own part: the part that it went by is not known, so it changes.
+    # A file of an older release has no own part: the default makes this count as a change.
     own, former_own = stored.get("own_part", 1.0), stored.get("former_own_part", 1.0)
     old = MemberLists(
         tuple(stored["current"]),
--- a/ledgehitch/owners/votes.py
+++ b/ledgehitch/owners/votes.py
@@ -1,10 +1,11 @@
-"""The three things that a promise rests on: a voter, an owner's lease, a receiver's fence. Free of I/O, clock
-and chance; `tests/explore_owners.py` goes through their interleavings.
+"""The parts of a safe election: the voter, the owner's lease and the receiver's fence.
 
-A voter binds itself from when it answers, an owner counts from when it asked, each by its own clock, and the
-voter's time is longer by the bound on how far the clocks' rates may differ: so two leases of one duty never
-run at one moment. Who stands still between its check and its effect is not held by any lease: the fence at
-the receiver refuses every term below the highest that it has seen.
+Free of I/O, clocks and random numbers. `tests/explore_owners.py` explores their interleavings.
+
+A voter is bound from its answer on, an owner counts its lease from its request on, each by its own clock, and
+the voter's time is longer by the bound on clock drift. So two leases of one duty never overlap. A lease does
+not help when an owner is suspended between its check and its effect: the fence at the receiver therefore
+refuses every term below the highest that it has seen.
 """
 
 from dataclasses import dataclass
@@ -14,24 +15,27 @@
 
 @dataclass(slots=True)
 class Voter:
-    """One duty at one voter. `term` and `member` must be on disk before a grant is answered; `until` is never
-    there: a voter that starts anew binds itself for a whole `promise` (seconds of its own clock)."""
+    """The vote of one member for one duty.
+
+    `term` and `member` must be on disk before a grant is sent. `bound_until` is not stored: after a restart
+    the voter is bound for a whole `vote_duration` (seconds of its own clock)."""
 
     vote_duration: float
     term: int = 0
-    member: str = ""  # whom this term was given to; empty: to nobody, or it was given back
+    member: str = ""  # the member that got this term; empty: none, or it was released
     bound_until: float = -1e18
 
     def is_bound(self, now: float) -> bool:
+        """Returns whether the vote still binds this voter."""
         return bool(self.member) and now < self.bound_until
 
     def on_start(self, now: float) -> None:
-        """After a start: what was promised may still run, and for how long is not known."""
+        """Binds the voter anew after a start: a stored vote may still be in force, for an unknown time."""
         if self.member:
             self.bound_until = now + self.vote_duration
 
     def on_vote_request(self, now: float, term: int, member: str) -> bool:
-        """Whether this member may be owner under this term; asked again, the promise lengthens."""
+        """Returns whether the vote for this member and term is granted. A repeated request extends it."""
         if term < self.term or term > min(self.term + MAX_TERM_STEP, MAX_TERM):
             return False
         if term == self.term:
@@ -44,7 +48,9 @@
         return True
 
     def on_release(self, term: int, member: str) -> bool:
-        """Its owner is owner no longer, in words of its own; this term is never given again."""
+        """Releases the vote at its owner's request; the term is never granted again.
+
+        Returns whether the vote was this owner's."""
         if (term, member) != (self.term, self.member):
             return False
         self.member, self.bound_until = "", -1e18
@@ -52,19 +58,19 @@
 
 
 class Lease:
-    """One term as its owner sees it. It ends by itself, and for good."""
+    """The lease of one term at its owner. Once expired it stays expired."""
 
     def __init__(self, term: int, lists: MemberLists, duration: float) -> None:
         self.term, self.lists, self.duration = term, lists, duration
-        self.requested_at: dict[str, float] = {}  # by who granted: when it was asked for what it granted
+        self.requested_at: dict[str, float] = {}  # by voter: when the vote that it granted was requested
         self.ended = False
-        self._latest_read = -1e18  # the latest time that was read
+        self._latest_read = -1e18  # the latest time passed in
 
     def on_grant(self, member: str, requested_at: float) -> None:
         self.requested_at[member] = max(requested_at, self.requested_at.get(member, -1e18))
 
     def expires_at(self) -> float:
-        """Up to when it holds: a majority of each list was asked at the earliest a lease before."""
+        """Returns when the lease expires: its duration after a majority of each list had been asked."""
         ends = []
         for names in self.lists.in_force():
             requested = sorted((self.requested_at[n] for n in names if n in self.requested_at), reverse=True)
@@ -73,18 +79,17 @@
         return min(ends)
 
     def is_valid(self, now: float) -> bool:
-        """Looked at before every effect. A clock that jumped back cannot keep it: it ends it."""
+        """Returns whether the lease holds; called before every effect. A clock that jumped back ends it."""
         if now < self._latest_read:
             self.ended = True
         self._latest_read = max(self._latest_read, now)
         if not self.ended and self.requested_at and now >= self.expires_at() > -1e18:
-            self.ended = True  # no late answer wakes it up again: who asked may have stood still
+            self.ended = True  # a late grant must not revive it: the owner may have been suspended
         return not self.ended and now < self.expires_at()
 
 
 class Fence:
-    """The highest term of each duty that a receiver has taken an effect or a warning of. What was raised must
-    be on disk before it is acted on."""
+    """The highest term of each duty that a receiver has seen. A raised term must be on disk before use."""
 
     def __init__(self, highest: dict[str, int] | None = None) -> None:
         self.highest: dict[str, int] = dict(highest or {})
@@ -94,8 +99,10 @@
         return self.highest.get(duty, 0)
 
     def accepts(self, duty: str, term: int) -> bool:
-        """Whether an effect of this term may be carried out; one that is lower, none, or out of reach may
-        not, and changes nothing."""
+        """Returns whether an effect of this term may be carried out.
+
+        A term that is zero, lower than the highest or beyond the allowed step is refused and changes
+        nothing."""
         known = self.highest_term(duty)
         if not 0 < term <= MAX_TERM or not known <= term <= known + MAX_TERM_STEP:
             self.refused[duty] = self.refused.get(duty, 0) + 1
--- a/ledgehitch/owners/words.py
+++ b/ledgehitch/owners/words.py
@@ -1,15 +1,16 @@
-"""What members say to one another on duties, as bytes of bounded size. Free of I/O; authenticity is the
-frame's, and the first byte tells these from membership's own words.
+"""Messages between members about duties, encoded with bounded size. Free of I/O.
 
-kind u8, duty u8, sequence u32, term u64, who said it 4 bytes, its list 4 bytes, its former list 4 bytes, then
-by kind: nothing, or member u16 and milliseconds u32, or for `greet` and `greeted` life u32, known life u32,
-flags u8, count u8 and count times a term u64 of each duty in turn.
+The frame authenticates them, and the first byte distinguishes them from messages of membership. Layout:
+
+kind u8, duty u8, sequence u32, term u64, digest of the sender's name 4 bytes, of its list 4 bytes, of its
+former list 4 bytes, then by kind: nothing, or member u16 and milliseconds u32, or for `greet` and `greeted`
+life u32, known life u32, flags u8, count u8 and a term u64 for each of count duties.
 """
 
 import struct
 from typing import Literal, NamedTuple
 
-FIRST_KIND = 32  # the kinds of membership lie below
+FIRST_KIND = 32  # smaller numbers are message kinds of membership
 Kind = Literal["poll", "free", "ask", "grant", "deny", "yield", "told", "greet", "greeted"]
 KINDS: tuple[Kind, ...] = ("poll", "free", "ask", "grant", "deny", "yield", "told", "greet", "greeted")
 HEADER = struct.Struct(">BBIQ4s4s4s")
@@ -21,8 +22,10 @@
 
 
 class DutyMessage(NamedTuple):
-    """`member`, `left`: whom a `deny` or `told` names as owner and for how long (seconds), or whom a `yield`
-    names as successor. `terms` by the duties' numbers, in greetings alone."""
+    """One message. `who`: digest of the sender's name; `list`, `former`: digests of its member lists.
+
+    `member` is the owner named by a `deny` or `told`, for `left` seconds, or the successor named by a
+    `yield`. Only greetings have `terms`, in the order of the duties' numbers."""
 
     kind: Kind
     duty: int
@@ -40,7 +43,7 @@
 
 
 class InvalidMessage(ValueError):
-    """What came is none of these; the text says why."""
+    """The bytes are no valid message; the text names the reason."""
 
 
 def encode(message: DutyMessage) -> bytes:
@@ -63,7 +66,7 @@
 
 
 def decode(data: bytes) -> DutyMessage:
-    """Raises `BadWords`."""
+    """Decodes a message. Raises `InvalidMessage`."""
     if len(data) < HEADER.size:
         raise InvalidMessage("short")
     number, duty, sequence, term, who, here, former = HEADER.unpack_from(data)
--- a/ledgehitch/regions/__init__.py
+++ b/ledgehitch/regions/__init__.py
@@ -1,5 +1,5 @@
-"""Regions: which duty has which scope, who is in it, and what share of the whole a region may use now.
+"""Regions: the scope of each duty, its gateways, and the share of each budget that a region may use now.
 
-It elects nobody, lends nothing, opens no socket and reads no clock. Start reading at `facts.py`, then
-`shares.py` (the promise that `tests/explore_regions.py` checks).
+The package elects no owner, lends nothing, opens no socket and reads no clock. Start reading at `facts.py`,
+then `shares.py`, whose invariant `tests/explore_regions.py` checks.
 """
--- a/ledgehitch/regions/facts.py
+++ b/ledgehitch/regions/facts.py
@@ -1,4 +1,4 @@
-"""Regions of a site, the scope of each duty, and fixed shares as whole numbers, so that sums are exact."""
+"""Regions of a site, the scope of each duty, and fixed shares as integers, so that sums are exact."""
 
 from collections.abc import Sequence
 from fractions import Fraction
@@ -8,13 +8,13 @@
 
 from ledgehitch.config.site import Site, stated
 
-WHOLE = 1_000_000_000  # parts of every budget; `budgets/` counts in the same
-# Duties that each region has an owner of; any other is done once for all.
+WHOLE = 1_000_000_000  # parts of every budget, as in `budgets/`
+# Duties with an owner in each region; all others have one owner for the fleet.
 REGIONAL_DUTIES = frozenset({"budgets"})
 
 
 class Region(NamedTuple):
-    """`gateways`: the stated ones, in the site's order. `share`: parts of WHOLE."""
+    """A region. `gateways`: those not declared gone, in the site's order. `share`: parts of WHOLE."""
 
     name: str
     share: int
@@ -22,8 +22,10 @@
 
 
 def divide_whole(shares: Sequence[Fraction | None], gateways: Sequence[int]) -> tuple[int, ...]:
-    """Parts of WHOLE for each, never more than WHOLE together: by stated shares, or without any by the number
-    of gateways. What rounding leaves goes to the first, a part each."""
+    """Returns parts of WHOLE for each region, at most WHOLE in total.
+
+    Uses the stated shares, or without them the numbers of gateways; then the rounding remainder goes to the
+    first regions, one part each."""
     if any(share is None for share in shares):
         total = sum(gateways)
         parts = [WHOLE * n // total for n in gateways]
@@ -33,8 +35,9 @@
 
 
 def regions_of(site: Site) -> tuple[Region, ...]:
-    """Those that have a stated gateway; none for a site without regions. What a region had that is gone goes
-    to the others by their shares."""
+    """Returns the site's regions that have a gateway, in the site's order.
+
+    The share of a region that is gone is distributed to the others in proportion to their shares."""
     names = set(stated(site))
     region_of_zone = {zone: r.name for r in site.regions for zone in r.zones}
     gateways_in = {
@@ -53,12 +56,12 @@
 
 
 def region_of(site: Site, gateway: str) -> str:
-    """The region that a gateway is in, declared gone or not; empty for a site without regions."""
+    """Returns the region of a gateway, declared gone or not; empty for a site without regions."""
     zone = next(g.zone for g in site.gateways if g.name == gateway)
     return next((r.name for r in site.regions if zone in r.zones), "")
 
 
 def regions_digest(regions: Sequence[Region]) -> str:
-    """What two versions share that state the same regions, gateways in them and shares; empty for none."""
+    """Returns a digest of the regions, their gateways and shares; empty without regions."""
     lines = [f"{r.name} {r.share} {' '.join(r.gateways)}" for r in regions]
     return blake3("\n".join(lines).encode()).hexdigest(8) if regions else ""
--- a/ledgehitch/regions/shares.py
+++ b/ledgehitch/regions/shares.py
@@ -1,11 +1,12 @@
-"""Which share of the whole a region may use now, while the site's regions or shares change. Free of I/O and
-clock; `tests/explore_regions.py` goes through it.
-
-The shares of one version never sum to more than the whole. Those of two versions may: so a region goes by the
-smaller of its former and its current one until nobody can use the former version any more. That is known
-when, of every region of either version, so many gateways have said that they go by the current one that the
-others are no majority of it, and what was lent under the last lease that such a majority gave is over. Who
-remembers no former version has no share until then.
+"""The share of the budgets that a region may use while the site's regions or shares change.
+
+Free of I/O and clocks; `tests/explore_regions.py` explores it.
+
+The shares of one version never sum to more than the whole, but those of two versions may. So a region uses
+the smaller of its former and its current share until no gateway can use the former version any more. That is
+so once, in every region of either version, the gateways not known to use the current version are no majority,
+and the loans under the last lease that such a majority granted have expired. A gateway that remembers no
+former version has no share until then.
 """
 
 import math
@@ -18,6 +19,8 @@
 
 
 class RegionShares:
+    """The current and former shares of all regions, as seen by a gateway of one of them."""
+
     def __init__(
         self,
         region: str,
@@ -25,15 +28,16 @@
         former: tuple[Region, ...] | None,
         former_unused: bool = False,
     ) -> None:
-        """`mine`: the region of this gateway. `former`: the version before, None where none is remembered.
-        `known`: that nobody uses the former one any more, as was known before."""
+        """`region`: the region of this gateway. `former`: the former version, None if none is remembered.
+        `former_unused`: whether it is already known that no gateway uses the former version."""
         self.region, self.current, self.former, self.former_unused = region, current, former, former_unused
         self.settles_at = NEVER
 
     def on_versions(self, now: float, on_current: Set[str], gone: Set[str], max_lent_duration: float) -> None:
-        """`on_current`: who was heard to go by the current version, this one with them. `gone`: who does not
-        run, as an operator vouches. `longest`: seconds of this clock that what was lent under a former lease
-        may go on, that lease with it."""
+        """Starts the wait for former loans once no region can have a majority on the former version.
+
+        `on_current`: gateways known to use the current version, including this one. `gone`: gateways declared
+        gone by an operator. `max_lent_duration`: seconds for which a former lease and its loans may last."""
         if self.former_unused or self.settles_at < NEVER:
             return
         done = on_current | gone
@@ -41,23 +45,23 @@
             self.settles_at = now + max_lent_duration
 
     def settle(self, now: float) -> bool:
-        """Whether the current share counts from now on."""
+        """Returns whether the current share has just come into force."""
         if self.former_unused or now < self.settles_at:
             return False
         self.former_unused, self.settles_at = True, NEVER
         return True
 
     def in_force(self) -> int:
-        """Parts of WHOLE that this gateway's region may use."""
+        """Returns the parts of WHOLE that this gateway's region may use."""
         share = self._share(self.current)
         return share if self.former_unused else min(share, self.former_share())
 
     def lendable(self, own_part: float, changing: bool) -> int:
-        """Parts of WHOLE that a lender of this region may go by. `own_part`: of each budget, the larger of
-        both versions; `changing`: whether a change of the region's list is not settled.
+        """Returns the parts of WHOLE that a lender of this region may divide.
 
-        Guards against the own parts of gateways that still go by a former, larger share: they are no part of
-        what is lent."""
+        `own_part`: of each budget, the larger of both versions. `changing`: whether a change of the region's
+        list is not settled. Gateways may then still use own parts of a former, larger share, so the excess is
+        not lent."""
         in_force = self.in_force()
         excess = max(0, self.former_share() - in_force) if changing else 0
         if not excess:
@@ -65,10 +69,11 @@
         return max(0, in_force - math.ceil(excess * own_part / (1.0 - own_part))) if own_part < 1.0 else 0
 
     def stated_share(self) -> int:
+        """Returns the region's share by the current version."""
         return self._share(self.current)
 
     def former_share(self) -> int:
-        """By the version before."""
+        """Returns the region's share by the former version."""
         return self._share(self.former or ())
 
     def _share(self, regions: Sequence[Region]) -> int:
@@ -82,12 +87,12 @@
 
 
 def _is_minority(region: Region, on_current: Set[str]) -> bool:
-    """Whether those who may still go by another version are no majority of this region."""
+    """Returns whether the gateways that may use another version are no majority of this region."""
     return len(set(region.gateways) - on_current) <= len(region.gateways) // 2
 
 
 def read_regions(stored: Any) -> tuple[Region, ...] | None:
-    """Raises TypeError or ValueError where it does not read."""
+    """Decodes stored regions. Raises TypeError or ValueError if they are malformed."""
     if stored is None:
         return None
     return tuple(Region(str(name), int(share), tuple(str(g) for g in gws)) for name, share, gws in stored)
@@ -100,9 +105,10 @@
     stored: Mapping[str, Any] | None,
     waits: bool,
 ) -> RegionShares | None:
-    """The shares that a life begins with; None where no region is stated or remembered. `names`: the stated
-    gateways. `held`: what `record` gave the last life. `waits`: a version before is not settled, and the
-    stated one waits behind it."""
+    """Returns the shares at a start; None if no region is stated or remembered.
+
+    `names`: the gateways of the site. `stored`: the `record` of the last life. `waits`: whether the stated
+    version has to wait until an earlier change has settled."""
     if not stated and stored is None:
         return None
     target = stated or (Region("", WHOLE, tuple(names)),)
@@ -112,7 +118,7 @@
     if waits or current == target:
         return RegionShares(region, current, former, bool(stored["known"]))
     if not stored["known"]:
-        # Guards against a third version: what the first allowed may still be used somewhere.
+        # A third version: the shares of the first may still be in use.
         return RegionShares(region, target, _merge_versions(current, former))
     return RegionShares(region, target, current)
 
@@ -120,8 +126,9 @@
 def _merge_versions(
     current: tuple[Region, ...], former: tuple[Region, ...] | None
 ) -> tuple[Region, ...] | None:
-    """Regions of two versions as one: of each the smaller share, and all its gateways. Where the first
-    version was not remembered none is."""
+    """Merges two versions of the regions: the smaller share of each, and all its gateways.
+
+    Returns None if the first version is not remembered."""
     if former is None:
         return None
     former_by_name = {r.name: r for r in former}
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -287,7 +287,7 @@
     full = lone()
     for tick in range(300):
         assert not any(isinstance(d, Won | Send) for d in pulled(full, T + tick * 0.1, disk=False))
-    assert not full.owned_term(T + 30, "restarts") and full.counts["votes that the disk did not take"] > 0
+    assert not full.owned_term(T + 30, "restarts") and full.counts["votes that could not be stored"] > 0
 
 
 def test_what_a_lease_ends_by() -> None:
@@ -459,7 +459,7 @@
     assert (
         not owners.durable.intact and not owners.durable.confirmed and owners.durable.life > held["life"] + 3
     )
-    assert owners.counts["an old copy of the state directory"] == 1
+    assert owners.counts["stale copy of the state directory"] == 1
 
 
 # ---- what comes spoilt -------------------------------------------------------------------------------------
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -335,10 +335,10 @@
     ):
         one.on_message(T, sender, read_words(encode(words)))
     assert sorted(one.counts.items()) == [
-        ("a duty that nobody knows", 1),
-        ("a term out of reach", 1),
-        ("asked by one of another version of the site", 1),
-        ("of a gateway of another region", 1),
+        ("message about an unknown duty", 1),
+        ("request under another version of the site", 1),
+        ("sender in another region", 1),
+        ("term out of range", 1),
     ]
     assert memory.record() == before
     one.on_message(T, 2, good)
