--- a/ledgehitch/budgets/facts.py
+++ b/ledgehitch/budgets/facts.py
@@ -7,8 +7,8 @@
 from blake3 import blake3
 
 from ledgehitch.door.part import WHOLE as WHOLE
-from ledgehitch.door.part import grain_of
-from ledgehitch.door.rates import SET_UPS, budget_of
+from ledgehitch.door.part import parts_per_unit
+from ledgehitch.door.rates import SET_UPS, offers_budget
 
 DEFAULT_OWN_PART = 0.1  # of the whole, not lent; see the table in `docs/budgets.md`
 LOAN_PER_LEASE = 1.25  # duration of a loan from the borrower's request on, in leases
@@ -41,9 +41,12 @@
     """Returns the budgets of a site's limits, in an order that all gateways share.
 
     `patience`: the longest duration of a set-up, in seconds."""
-    budgets = [Budget(budget_of(package), "rate") for package in sorted(package_rates)]
+    budgets = [Budget(offers_budget(package), "rate") for package in sorted(package_rates)]
     if set_ups >= 1:  # last, and never the one dropped
-        budgets = [*budgets[: MAX_BUDGETS - 1], Budget(SET_UPS, "count", patience, grain_of(int(set_ups)))]
+        budgets = [
+            *budgets[: MAX_BUDGETS - 1],
+            Budget(SET_UPS, "count", patience, parts_per_unit(int(set_ups))),
+        ]
     return tuple(budgets[:MAX_BUDGETS])
 
 
--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -13,7 +13,7 @@
 from ledgehitch.budgets.units import own_parts
 from ledgehitch.config import Day, Site
 from ledgehitch.config.site import facts_of
-from ledgehitch.door.decide import Door
+from ledgehitch.door.decide import AdmissionController
 from ledgehitch.gateway.roll import AGAIN
 from ledgehitch.gateway.watch import FIRST, LOST
 from ledgehitch.interface import Fleet, Ladder, Package, Row, Terms
@@ -204,7 +204,7 @@
         at = self._ordinals[name]
         return ladder, packages, fleet, replace(terms, zone=self.site.gateways[at].zone, ordinal=at)
 
-    def door_of(self, name: str, seed: int) -> Door | None:
+    def door_of(self, name: str, seed: int) -> AdmissionController | None:
         """A gateway's door where the site has one; it goes on from what its last life kept."""
         d = self.site.door
         if not d.on:
@@ -212,7 +212,7 @@
         _, packages, _, terms = self.facts_of(name)
         values = {p.name: p.value for p in packages}
         targets = {p.name: p.join_target for p in packages}
-        door = Door(
+        door = AdmissionController(
             self.agenda.now,
             random.Random(f"{seed}/door"),
             values,
@@ -221,12 +221,12 @@
             terms.longest_advice,
             gateways=terms.gateways,
         )
-        door.limited(d.client_rate, d.client_burst, d.package_rates, d.set_ups)
+        door.set_limits(d.client_rate, d.client_burst, d.package_rates, d.set_ups)
         budgets = budgets_of(d.package_rates, d.set_ups, max(p.patience for p in packages))
         own = {b.name: own_parts(b, 1.0, tuple(self._ordinals))[name] / WHOLE for b in budgets}
-        door.shared(self.agenda.now, 1.0 / terms.gateways, {}, 0.0, own)
+        door.set_share(self.agenda.now, 1.0 / terms.gateways, {}, 0.0, own)
         if name in self.kept_doors:
-            door.thawed(self.agenda.now, self.kept_doors[name])
+            door.restore(self.agenda.now, self.kept_doors[name])
         return door
 
     def tune_in(
@@ -350,7 +350,7 @@
         if step.do == "kill":
             self.write("gateway", gateway=step.gateway, how="killed")
             if front.door is not None:
-                self.kept_doors[step.gateway] = front.door.frozen()
+                self.kept_doors[step.gateway] = front.door.snapshot()
             self.kept[step.gateway] = list(self.lists.lines.values())
             front.die()
             self.stopped_at_gate += front.stopped_at_gate
