--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -23,7 +23,7 @@
 from ledgehitch.http.events import event
 from ledgehitch.interface import Package
 from ledgehitch.loop import Loop, TimedOut
-from ledgehitch.signalling import BadSdp, Offer, read_fragment, read_sdp
+from ledgehitch.signalling import BadSdp, Offer, parse_fragment, parse_sdp
 
 SDP = "application/sdp"
 FRAGMENT = "application/trickle-ice-sdpfrag"
@@ -154,7 +154,7 @@
 
     def _offer(self, request: Request, method: str) -> Offer:
         try:
-            offer = read_sdp(request.body.decode("utf-8"))
+            offer = parse_sdp(request.body.decode("utf-8"))
         except UnicodeDecodeError as wrong:
             raise Refused(400, f"the offer is not UTF-8 at byte {wrong.start}") from None
         except BadSdp as wrong:
@@ -172,17 +172,17 @@
             if not asked.isdigit():
                 raise Refused(400, f"top is the number of a rung, 0 to {len(self.rates) - 1}, not {asked!r}")
             return min(int(asked), len(self.rates) - 1)
-        kb = offer.most_kb()
+        kb = offer.max_kb()
         if kb is None:
             return len(self.rates) - 1
         return max((i for i, rate in enumerate(self.rates) if rate <= kb), default=0)
 
     def _settled(self, conn: int, viewing_id: int) -> Response:
         entry = self.carrier.desk.entries.get(viewing_id)
-        settled = entry.settled if entry is not None else None
+        settled = entry.result if entry is not None else None
         if entry is None or settled is None:
             # It ended between its answer and this connection's: for this one it never came about.
-            self.carrier.desk.delivered(self.loop.now, conn)
+            self.carrier.desk.on_answer_sent(self.loop.now, conn)
             return problem(502, "the viewing ended as it was set up", kind=ABORTED, answer="aborted")
         if settled.kind == "plays":
             at = f"/viewings/{entry.resource}"
@@ -224,15 +224,15 @@
     def _written(self, conn: int, whole: bool) -> None:
         desk = self.carrier.desk
         if whole:
-            desk.delivered(self.loop.now, conn)
+            desk.on_answer_sent(self.loop.now, conn)
         else:
-            desk.undelivered(self.loop.now, conn)
+            desk.on_answer_failed(self.loop.now, conn)
             self.carrier.stir()
 
     # ---- resources -----------------------------------------------------------------------------------------
 
     def _viewing(self, resource: str) -> Viewing:
-        entry = self.carrier.desk.of(resource)
+        entry = self.carrier.desk.by_resource(resource)
         viewing = self.carrier.viewings.get(entry.viewing_id) if entry is not None and entry.playing else None
         if viewing is None:
             raise Refused(404, "no such viewing, or it has ended")
@@ -243,7 +243,7 @@
             return Response(204, [("Accept-Patch", FRAGMENT), ("Allow", "PATCH, DELETE, OPTIONS"), *_cors()])
         self._only(request, "PATCH", "DELETE", "OPTIONS")
         if request.method == "DELETE":
-            if not self.carrier.desk.deleted(self.loop.now, resource):
+            if not self.carrier.desk.on_delete(self.loop.now, resource):
                 raise Refused(404, "no such viewing, or it has ended")
             self.carrier.stir()
             return Response(200)
@@ -251,11 +251,11 @@
             raise Refused(415, f"a PATCH is {FRAGMENT}", [("Accept-Patch", FRAGMENT)])
         viewing = self._viewing(resource)
         try:
-            fragment = read_fragment(request.body.decode("utf-8"))
+            fragment = parse_fragment(request.body.decode("utf-8"))
         except (UnicodeDecodeError, BadSdp) as wrong:
             raise Refused(400, f"the fragment does not parse: {wrong}") from None
         desk = self.carrier.desk
-        status = desk.patched(resource, request.headers.get("if-match"), fragment.ufrag)
+        status = desk.on_patch(resource, request.headers.get("if-match"), fragment.ufrag)
         if status in (404, 412, 428):
             raise Refused(status, UNMET[status])
         headers = [("Content-Type", FRAGMENT), ("If-Match", request.headers["if-match"])]
@@ -264,7 +264,7 @@
             raise Refused(502, "the media host did not take it")
         if status == 204:
             return Response(204, _cors())
-        entry = desk.of(resource)
+        entry = desk.by_resource(resource)
         tag = [("ETag", desk.etag(entry))] if entry is not None else []
         return Response(200, [("Content-Type", FRAGMENT), *tag, *_cors()], passed.body)
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,8 +16,16 @@
 from ledgehitch.gateway.replay import replayed
 from ledgehitch.gateway.roll import Line, News, Roll
 from ledgehitch.gateway.watch import LOST, SILENT, Follow, Lost, Unfollow, Watch
-from ledgehitch.signalling import Answer, BadSdp, Desk, End, Leave, read_fragment, read_sdp
-from ledgehitch.signalling.decide import AGAIN, ORPHAN
+from ledgehitch.signalling import (
+    AbandonViewing,
+    Answer,
+    BadSdp,
+    EndViewing,
+    ViewingRegistry,
+    parse_fragment,
+    parse_sdp,
+)
+from ledgehitch.signalling.decide import ORPHAN_GRACE_S, REPEAT_WINDOW_S
 from ledgehitch.standins.viewers import offer_of
 from tests.helpers import gateway, rows
 from tests.rig import site
@@ -25,7 +33,7 @@
 # ---- signalling --------------------------------------------------------------------------------------------
 
 
-def pulled(desk: Desk, now: float) -> list[Any]:
+def pulled(desk: ViewingRegistry, now: float) -> list[Any]:
     out = []
     while (decision := desk.decide(now)) is not None:
         out.append(decision)
@@ -36,7 +44,7 @@
 @given(st.integers(0, 2**32))
 def test_each_connection_is_answered_once_or_hung_up_whatever_happens(seed: int) -> None:
     """Rule 1 at the desk, and rule 2: one offer is one viewing while it is unanswered or just answered."""
-    chance, desk, now = random.Random(seed), Desk(bytes(32)), 0.0
+    chance, desk, now = random.Random(seed), ViewingRegistry(bytes(32)), 0.0
     owed: dict[int, int] = {}  # connection, viewing
     asked: set[int] = set()  # viewings without an answer
     playing: set[int] = set()
@@ -49,7 +57,7 @@
         if event < 3:
             conn, viewing_id = conn + 1, viewing_id + 1
             key = bytes([chance.randrange(4)])
-            if desk.offered(now, conn, key, viewing_id):
+            if desk.on_offer(now, conn, key, viewing_id):
                 asked.add(viewing_id)
                 owed[conn] = viewing_id
             else:
@@ -58,24 +66,24 @@
             done = chance.choice(sorted(asked))
             asked.discard(done)
             kind = chance.choice(["plays", "blocked", "aborted"])
-            desk.settled(now, done, kind, "answer", chance.choice([0.0, 1.0]))  # type: ignore[arg-type]
-            desk.settled(now, done, "aborted", "a second answer")
+            desk.on_result(now, done, kind, "answer", chance.choice([0.0, 1.0]))  # type: ignore[arg-type]
+            desk.on_result(now, done, "aborted", "a second answer")
             if kind == "plays":
                 playing.add(done)
         elif event == 4 and owed:
             gone = chance.choice(sorted(owed))
             del owed[gone]
-            desk.hung_up(now, gone)
+            desk.on_disconnect(now, gone)
         elif event == 5 and on_way:
             one = on_way.pop()
-            (desk.delivered if chance.random() < 0.7 else desk.undelivered)(now, one)
+            (desk.on_answer_sent if chance.random() < 0.7 else desk.on_answer_failed)(now, one)
         elif event == 6 and playing:
             one = chance.choice(sorted(playing))
             entry = desk.entries[one]
             if chance.random() < 0.5:
-                assert desk.deleted(now, entry.resource) and not desk.deleted(now, entry.resource)
+                assert desk.on_delete(now, entry.resource) and not desk.on_delete(now, entry.resource)
             else:
-                desk.ended(now, one)
+                desk.on_viewing_end(now, one)
                 playing.discard(one)
         for decision in pulled(desk, now):
             match decision:
@@ -84,73 +92,73 @@
                     if owed.pop(to):
                         assert of in desk.entries or of not in asked
                     on_way.append(to)
-                case Leave(of):
+                case AbandonViewing(of):
                     assert of in asked
                     asked.discard(of)
                     given_up.add(of)
-                case End(of):
+                case EndViewing(of):
                     assert of in playing and of not in given_up
                     playing.discard(of)
     assert all(of in desk.entries for of in asked | playing)
 
 
 def test_the_same_offer_gets_the_same_answer_for_a_while_and_then_is_a_new_viewing() -> None:
-    desk = Desk(bytes(32))
-    assert desk.offered(0.0, 1, b"k", 1)
-    assert not desk.offered(0.1, 2, b"k", 2)
-    desk.settled(0.2, 1, "plays", "sdp")
+    desk = ViewingRegistry(bytes(32))
+    assert desk.on_offer(0.0, 1, b"k", 1)
+    assert not desk.on_offer(0.1, 2, b"k", 2)
+    desk.on_result(0.2, 1, "plays", "sdp")
     assert pulled(desk, 0.2) == [Answer(1, 1), Answer(2, 1)]
-    assert not desk.offered(AGAIN, 3, b"k", 3) and pulled(desk, AGAIN) == [Answer(3, 1)]
-    assert pulled(desk, AGAIN + 1) == [] and desk.entries[1].settled is not None
-    assert desk.entries[1].settled.answer == "", "the text is let go"
-    assert desk.offered(AGAIN + 1, 4, b"k", 4)
+    assert not desk.on_offer(REPEAT_WINDOW_S, 3, b"k", 3) and pulled(desk, REPEAT_WINDOW_S) == [Answer(3, 1)]
+    assert pulled(desk, REPEAT_WINDOW_S + 1) == [] and desk.entries[1].result is not None
+    assert desk.entries[1].result.answer == "", "the text is let go"
+    assert desk.on_offer(REPEAT_WINDOW_S + 1, 4, b"k", 4)
 
 
 def test_a_block_stands_for_as_long_as_its_advice() -> None:
-    desk = Desk(bytes(32))
-    desk.offered(0.0, 1, b"k", 1)
-    desk.settled(0.0, 1, "blocked", advice=2.0)
-    assert not desk.offered(1.9, 2, b"k", 2)
+    desk = ViewingRegistry(bytes(32))
+    desk.on_offer(0.0, 1, b"k", 1)
+    desk.on_result(0.0, 1, "blocked", advice=2.0)
+    assert not desk.on_offer(1.9, 2, b"k", 2)
     pulled(desk, 2.1)
-    assert desk.offered(2.1, 3, b"k", 3) and 1 not in desk.entries
+    assert desk.on_offer(2.1, 3, b"k", 3) and 1 not in desk.entries
 
 
 def test_what_nobody_heard_of_is_ended_unless_it_is_asked_for_again() -> None:
     for again in (False, True):
-        desk = Desk(bytes(32))
-        desk.offered(0.0, 1, b"k", 1)
-        desk.settled(0.0, 1, "plays", "sdp")
+        desk = ViewingRegistry(bytes(32))
+        desk.on_offer(0.0, 1, b"k", 1)
+        desk.on_result(0.0, 1, "plays", "sdp")
         pulled(desk, 0.0)
-        desk.undelivered(0.0, 1)
+        desk.on_answer_failed(0.0, 1)
         if again:
-            desk.offered(1.0, 2, b"k", 2)
+            desk.on_offer(1.0, 2, b"k", 2)
             pulled(desk, 1.0)
-            desk.delivered(1.0, 2)
-        assert pulled(desk, ORPHAN + 0.1) == ([] if again else [End(1)])
+            desk.on_answer_sent(1.0, 2)
+        assert pulled(desk, ORPHAN_GRACE_S + 0.1) == ([] if again else [EndViewing(1)])
 
 
 def test_descriptions_are_read_and_what_is_wrong_is_named_by_line() -> None:
     text = offer_of(1).decode()
-    offer = read_sdp(text)
+    offer = parse_sdp(text)
     assert [m.kind for m in offer.media] == ["audio", "video"] and offer.ufrag == "v1"
-    assert read_sdp(text.replace("\r\n", "\n")).ufrag == "v1"
-    assert read_sdp(text.replace("t=0 0\r\n", "t=0 0\r\nb=TIAS:8000000\r\n")).most_kb() == 1000
+    assert parse_sdp(text.replace("\r\n", "\n")).ufrag == "v1"
+    assert parse_sdp(text.replace("t=0 0\r\n", "t=0 0\r\nb=TIAS:8000000\r\n")).max_kb() == 1000
     for spoilt, reason in (
-        ("", "line 1: a description starts"),
-        (text.replace("s=-", "nonsense"), "line 3: 'nonsense'"),
-        (text.replace("s=-\r\n", "\r\n"), "line 3: an empty line"),
-        (text.replace("m=audio 9", "m=audio x"), "line 6: a media line"),
+        ("", "line 1: expected v=0 as the first line"),
+        (text.replace("s=-", "nonsense"), "line 3: expected a line of the form x=value, got 'nonsense'"),
+        (text.replace("s=-\r\n", "\r\n"), "line 3: empty line"),
+        (text.replace("m=audio 9", "m=audio x"), "line 6: expected 'm=kind port protocol formats'"),
         (text.replace("t=0 0\r\n", ""), "time line"),
         (text.replace("a=fingerprint", "a=finger"), "fingerprint"),
-        (text.replace("t=0 0\r\n", "t=0 0\r\nb=AS:fast\r\n"), "line 5: a bandwidth"),
+        (text.replace("t=0 0\r\n", "t=0 0\r\nb=AS:fast\r\n"), "line 5: expected a whole number as bandwidth"),
         (text.partition("m=")[0], "no media line"),
         ("v=0\n" + "a=x\n" * 3000, "more than 2000 lines"),
     ):
         with pytest.raises(BadSdp) as wrong:
-            read_sdp(spoilt)
+            parse_sdp(spoilt)
         assert reason in str(wrong.value)
     with pytest.raises(BadSdp, match="line 2"):
-        read_fragment("a=ice-ufrag:x\nv=0\n")
+        parse_fragment("a=ice-ufrag:x\nv=0\n")
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -158,7 +166,7 @@
 def test_any_text_is_read_or_refused_with_a_line(text: str) -> None:
     for spoilt in (text, offer_of(1).decode() + text, "v=0\r\n" + text):
         try:
-            read_sdp(spoilt)
+            parse_sdp(spoilt)
         except BadSdp as wrong:
             assert 1 <= wrong.line <= spoilt.count("\n") + 1
 
