--- a/ledgehitch/__main__.py
+++ b/ledgehitch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ledgehitch`: the command line."""
+"""`python -m ledgehitch`: runs the command line."""
 
 from ledgehitch.cli.main import main
 
--- a/ledgehitch/simhost/__init__.py
+++ b/ledgehitch/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: reads and writes the simulator's wire, decides nothing."""
+"""Runs the decisions on the simulator's protocol; makes no decision itself."""
--- a/ledgehitch/simhost/__main__.py
+++ b/ledgehitch/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ledgehitch.simhost`: the decisions on the simulator's wire."""
+"""`python -m ledgehitch.simhost`: runs the decisions on the simulator's protocol."""
 
 import sys
 
--- a/ledgehitch/simhost/wire.py
+++ b/ledgehitch/simhost/wire.py
@@ -1,8 +1,8 @@
-"""Frames and units of the simulator's wire; one `Gateway` for each instance, nothing shared between them.
+"""The simulator's protocol: reads batches of messages, passes them to gateways and writes their decisions.
 
-Values are parsed where they are read and handed straight to the gateway: milliseconds become seconds, `-`
-becomes nothing, ids go through as they came. What is malformed ends the program with one
-line on standard error.
+Each instance has a `Gateway` of its own and shares nothing with others. Milliseconds become seconds, `-`
+becomes 0 or an empty value, and ids are passed on unchanged. A malformed line ends the program with one line
+on standard error.
 """
 
 from collections.abc import Callable, Sequence
@@ -25,18 +25,18 @@
 
 
 class WireError(Exception):
-    """A line that is not what the wire's description says."""
+    """A line that the protocol does not allow; the text names its number."""
 
 
-def written(decision: Decision) -> str:
-    """The line that carries a decision out."""
+def encode_decision(decision: Decision) -> str:
+    """Returns the line that carries out a decision."""
     match decision:
         case TuneIn(viewing_id, host, within):
             return f"forward\t{viewing_id}\t{host}\t{within * 1000:.3f}"
         case SetRung(viewing_id, rung):
             return f"step_to\t{viewing_id}\t{rung}"
-        case Block(viewing_id, stay_away):
-            return f"busy\t{viewing_id}\t{stay_away * 1000:.3f}"
+        case Block(viewing_id, retry_after):
+            return f"busy\t{viewing_id}\t{retry_after * 1000:.3f}"
         case Abort(viewing_id):
             return f"give_up\t{viewing_id}"
         case Probe(host):
@@ -48,17 +48,18 @@
 
 
 class Instance:
-    """One gateway and its pending timer."""
+    """One gateway and its pending timers, by cookie."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self.timers: dict[int, float] = {}
         self.next_cookie = 1
 
-    def replies(self, now: float) -> list[str]:
+    def encode_decisions(self, now: float) -> list[str]:
+        """Returns the lines of all decisions due now, and of a timer where a new one is needed."""
         lines = []
         while (decision := self.gateway.decide(now)) is not None:
-            lines.append(written(decision))
+            lines.append(encode_decision(decision))
         due = self.gateway.wake_at()
         if due is not None and not any(at <= due for at in self.timers.values()):
             self.timers[self.next_cookie] = due
@@ -67,20 +68,21 @@
         return lines
 
 
-def _num(text: str) -> float:
+def _number(text: str) -> float:
     return 0.0 if text == "-" else float(text)
 
 
-def _ms(text: str) -> float:
-    return _num(text) / 1000
+def _seconds(text: str) -> float:
+    """Returns seconds for a number of milliseconds."""
+    return _number(text) / 1000
 
 
 def _loads(text: str) -> list[float]:
-    return [] if text == "-" else [_num(part) for part in text.split(",")]
+    return [] if text == "-" else [_number(part) for part in text.split(",")]
 
 
-# How many parts each message has after its name; None: any number.
-PARTS: dict[str, int | None] = {
+# Number of values of each message after its name; None: any number.
+VALUE_COUNTS: dict[str, int | None] = {
     "at": 1,
     "create": None,
     "down": 0,
@@ -99,152 +101,175 @@
 }
 
 
-class Host:
-    """All the instances of one process, and the lists they share by number."""
+class InstanceHost:
+    """All instances of one process, and the numbered lists of media hosts that messages refer to."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.lists: dict[int, list[Row]] = {}
 
-    def batch(self, lines: Sequence[list[str]], now: float, number: int = 0) -> list[str]:
-        """Passes a batch's events on, then pulls the decisions of each instance that had one."""
-        at = -1
-        broken: dict[int, str] = {}
+    def process_batch(self, lines: Sequence[list[str]], now: float, first_line: int = 0) -> list[str]:
+        """Passes on the events of a batch, then returns the decisions of each instance that had an event.
+
+        `first_line` is the number of the batch's first line in the input. Raises `WireError`.
+        """
+        instance_id = -1  # the instance that following messages are for
+        broken: dict[int, str] = {}  # errors of instances whose gateway raised one
         touched: dict[int, None] = {}
         rows: list[Row] = []
-        wanted = 0
+        rows_due = 0
         for i, line in enumerate(lines):
-            name, parts = line[0], line[1:]
+            name, values = line[0], line[1:]
             try:
-                if name not in PARTS:
-                    raise ValueError("no such message")
-                if PARTS[name] is not None and len(parts) != PARTS[name]:
-                    raise ValueError(f"{len(parts)} values, not {PARTS[name]}")
-                if wanted and name != "row":
-                    raise ValueError(f"{wanted} more row lines were due")
+                if name not in VALUE_COUNTS:
+                    raise ValueError("unknown message")
+                if VALUE_COUNTS[name] is not None and len(values) != VALUE_COUNTS[name]:
+                    raise ValueError(f"{len(values)} values, expected {VALUE_COUNTS[name]}")
+                if rows_due and name != "row":
+                    raise ValueError(f"{rows_due} more row lines expected")
                 if name == "at":
-                    at = int(parts[0])
+                    instance_id = int(values[0])
                 elif name == "snapshot_rows":
-                    rows = self.lists[int(parts[0])] = []
-                    wanted = int(parts[1])
+                    rows = self.lists[int(values[0])] = []
+                    rows_due = int(values[1])
                 elif name == "row":
-                    if not wanted:
-                        raise ValueError("row outside a list")
-                    wanted -= 1
-                    cell, weight, kind, host, zone, state, started = parts
-                    # Guards against one row without a place ending all instances.
-                    place = UNPLACED if cell == "-" else int(cell)
-                    rows.append(Row(host, place, _num(weight), kind, zone, state, _ms(started)))
+                    if not rows_due:
+                        raise ValueError("row without a list")
+                    rows_due -= 1
+                    cell, weight, kind, host, zone, state, started = values
+                    # A single row without a cell must not end all instances.
+                    cell_number = UNPLACED if cell == "-" else int(cell)
+                    rows.append(Row(host, cell_number, _number(weight), kind, zone, state, _seconds(started)))
                 elif name == "create":
-                    facts = read_settings(nest_pairs(part.partition("=")[::2] for part in parts[1:]))
-                    self.instances[at] = Instance(Gateway(int(parts[0]), now, *facts))
-                    broken.pop(at, None)
-                    touched[at] = None
+                    settings = read_settings(nest_pairs(pair.partition("=")[::2] for pair in values[1:]))
+                    self.instances[instance_id] = Instance(Gateway(int(values[0]), now, *settings))
+                    broken.pop(instance_id, None)
+                    touched[instance_id] = None
                 elif name == "down":
-                    self.instances.pop(at, None)
-                    touched.pop(at, None)
-                elif at in self.instances:
-                    touched[at] = None
-                    call = self.event(self.instances[at], now, name, parts)
-                    if call is not None and at not in broken:
+                    self.instances.pop(instance_id, None)
+                    touched.pop(instance_id, None)
+                elif instance_id in self.instances:
+                    touched[instance_id] = None
+                    call = self.parse_event(self.instances[instance_id], now, name, values)
+                    if call is not None and instance_id not in broken:
                         try:
                             call()
-                        except Exception as problem:  # a fault of the module is that instance's alone
-                            broken[at] = f"{type(problem).__name__}: {problem}"
-            except (ValueError, KeyError, IndexError) as problem:
-                raise WireError(f"line {number + i}: {name}: {problem}") from None
-        if wanted:
-            raise WireError(f"line {number + len(lines)}: end: {wanted} more row lines were due")
-        out = []
-        for at in touched:
-            out.append(f"source\t{at}")
-            if at not in broken:
+                        except Exception as error:  # an error of one gateway ends that instance only
+                            broken[instance_id] = f"{type(error).__name__}: {error}"
+            except (ValueError, KeyError, IndexError) as error:
+                raise WireError(f"line {first_line + i}: {name}: {error}") from None
+        if rows_due:
+            raise WireError(f"line {first_line + len(lines)}: end: {rows_due} more row lines expected")
+        lines_out = []
+        for instance_id in touched:
+            lines_out.append(f"source\t{instance_id}")
+            if instance_id not in broken:
                 try:
-                    out += self.instances[at].replies(now)
+                    lines_out += self.instances[instance_id].encode_decisions(now)
                     continue
-                except Exception as problem:
-                    broken[at] = f"{type(problem).__name__}: {problem}"
-            out.append("internal_error\t" + broken[at].replace("\n", " ").replace("\t", " "))
-        return out
-
-    def event(self, instance: Instance, now: float, name: str, p: list[str]) -> Callable[[], None] | None:
-        """One event as the call it stands for; every value is parsed before the call is made."""
-        gw = instance.gateway
+                except Exception as error:
+                    broken[instance_id] = f"{type(error).__name__}: {error}"
+            lines_out.append("internal_error\t" + broken[instance_id].replace("\n", " ").replace("\t", " "))
+        return lines_out
+
+    def parse_event(
+        self, instance: Instance, now: float, name: str, values: list[str]
+    ) -> Callable[[], None] | None:
+        """Returns the call that a message stands for, with all values parsed; None for no call."""
+        gateway = instance.gateway
         if name == "wakeup":
-            instance.timers.pop(int(p[0]), None)
+            instance.timers.pop(int(values[0]), None)
             return None
         if name == "view":
-            rows = [] if p[0] == "lost" else self.lists[int(p[2])]
-            return lambda: gw.on_host_list(now, p[0], rows)
+            rows = [] if values[0] == "lost" else self.lists[int(values[2])]
+            return lambda: gateway.on_host_list(now, values[0], rows)
         if name == "query":
-            viewing_id, patience, _key, _marks, spread, _hint, title, first, top, _tenant, package = p
-            asked = (int(viewing_id), package, title, int(_num(first)), int(_num(spread)), int(_num(top)))
-            until = _ms(patience)
-            return lambda: gw.on_viewing_request(now, *asked, until)
+            viewing_id, patience, _key, _marks, spread, _hint, title, first, top, _tenant, package = values
+            request = (
+                int(viewing_id),
+                package,
+                title,
+                int(_number(first)),
+                int(_number(spread)),
+                int(_number(top)),
+            )
+            until = _seconds(patience)
+            return lambda: gateway.on_viewing_request(now, *request, until)
         if name == "existing":
-            viewing_id, _key, first, package, _hint, spread, title, _tenant, _patience, host, _marks, top = p
-            held = (
+            viewing_id, _key, first, package, _hint, spread, title, _tenant, _patience, host, _marks, top = (
+                values
+            )
+            viewing = (
                 int(viewing_id),
                 package,
                 title,
-                int(_num(first)),
-                int(_num(spread)),
-                int(_num(top)),
+                int(_number(first)),
+                int(_number(spread)),
+                int(_number(top)),
                 host,
             )
-            return lambda: gw.on_viewing_handover(now, *held)
+            return lambda: gateway.on_viewing_handover(now, *viewing)
         if name == "opened":
-            opened = (int(p[0]), p[1], int(p[2]), _ms(p[3]))
-            return lambda: gw.on_tune_in_success(now, *opened)
+            success = (int(values[0]), values[1], int(values[2]), _seconds(values[3]))
+            return lambda: gateway.on_tune_in_success(now, *success)
         if name == "note":
-            note = (int(p[0]), p[2], int(p[3]), _num(p[4]))
-            return lambda: gw.on_report(now, *note)
+            report = (int(values[0]), values[2], int(values[3]), _number(values[4]))
+            return lambda: gateway.on_report(now, *report)
         if name == "answer":
-            answer = (int(p[0]), bool(int(p[1])), int(p[2]), p[3], _ms(p[4]), int(p[5]), _loads(p[6]))
-            return lambda: gw.on_tune_in_end(now, *answer)
+            end = (
+                int(values[0]),
+                bool(int(values[1])),
+                int(values[2]),
+                values[3],
+                _seconds(values[4]),
+                int(values[5]),
+                _loads(values[6]),
+            )
+            return lambda: gateway.on_tune_in_end(now, *end)
         if name == "withdrawn":
-            gone = int(p[0])
-            return lambda: gw.on_viewer_left(now, gone)
+            withdrawn_id = int(values[0])
+            return lambda: gateway.on_viewer_left(now, withdrawn_id)
         if name == "probe_done":
-            probed = (p[2], int(p[1]), _ms(p[0]), _loads(p[3]))
-            return lambda: gw.on_probe_result(now, *probed)
+            result = (values[2], int(values[1]), _seconds(values[0]), _loads(values[3]))
+            return lambda: gateway.on_probe_result(now, *result)
         if name == "from_peer":
-            words = bytes.fromhex(p[1]) if p[1] != "-" else b""
-            return lambda: gw.on_peer_message(now, words)
+            message = bytes.fromhex(values[1]) if values[1] != "-" else b""
+            return lambda: gateway.on_peer_message(now, message)
         return None
 
 
-def main(source: BinaryIO, sink: BinaryIO, complaints: TextIO) -> int:
-    host = Host()
+def main(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
+    """Processes batches from `source` until its end; returns the exit status, 2 for malformed input."""
+    instances = InstanceHost()
     lines: list[list[str]] = []
-    opened: tuple[float, str] | None = None
-    count = first = 0
+    batch: tuple[float, str] | None = None  # clock and number of the open batch
+    line_number = first_line = 0
     try:
         for raw in source:
-            count += 1
+            line_number += 1
             line = raw.decode("utf-8").rstrip("\r\n").split("\t")
             if line[0] == "batch":
-                if opened or len(line) != 3:
-                    raise ValueError("a batch line inside a batch, or without clock and number")
-                first = count + 1
-                opened, lines = (float(line[1]) / 1000, str(int(line[2]))), []
+                if batch or len(line) != 3:
+                    raise ValueError("batch inside a batch, or without clock and number")
+                first_line = line_number + 1
+                batch, lines = (float(line[1]) / 1000, str(int(line[2]))), []
             elif line == [""]:
                 continue
-            elif opened is None:
+            elif batch is None:
                 raise ValueError(f"{line[0]!r} outside a batch")
             elif line[0] == "end":
-                out = host.batch(lines, opened[0], first)
-                sink.write(("\n".join([*out, f"ack\t{opened[1]}"]) + "\n").encode())
+                out = instances.process_batch(lines, batch[0], first_line)
+                sink.write(("\n".join([*out, f"ack\t{batch[1]}"]) + "\n").encode())
                 sink.flush()
-                opened = None
+                batch = None
             else:
                 lines.append(line)
-        if opened:
-            raise ValueError("input ended inside a batch")
-    except WireError as problem:
-        print(f"ledgehitch.simhost: {problem}", file=complaints)
+        if batch:
+            raise ValueError("the input ends inside a batch")
+    except WireError as error:
+        print(f"ledgehitch.simhost: {error}", file=errors)
         return 2
-    except ValueError as problem:
-        print(f"ledgehitch.simhost: line {count}: {problem}", file=complaints)
+    except ValueError as error:
+        print(f"ledgehitch.simhost: line {line_number}: {error}", file=errors)
         return 2
     return 0
