--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What every run of the tests does with `KNOWN-RED.txt`: see `known_red.py`."""
+"""Applies `KNOWN-RED.txt` to every run of the tests; see `known_red.py`."""
 
 from pathlib import Path
 
@@ -11,19 +11,19 @@
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     try:
-        reds = known_red.read(ROOT)
-        whole = not any("::" in arg for arg in config.args) and not config.option.keyword
-        if whole and (red := known_red.unmatched(reds, [item.nodeid for item in items])) is not None:
-            raise known_red.BadList(f"{known_red.NAME}: no test {red.test}")
-    except known_red.BadList as why:
-        raise pytest.UsageError(str(why)) from None
+        known = known_red.read(ROOT)
+        complete = not any("::" in arg for arg in config.args) and not config.option.keyword
+        if complete and (entry := known_red.unmatched(known, [item.nodeid for item in items])) is not None:
+            raise known_red.BadList(f"{known_red.NAME}: no test {entry.test}")
+    except known_red.BadList as error:
+        raise pytest.UsageError(str(error)) from None
     for item in items:
-        red = known_red.listed(reds, item.nodeid)
-        if red is not None:
-            item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=False))
+        entry = known_red.find(known, item.nodeid)
+        if entry is not None:
+            item.add_marker(pytest.mark.xfail(reason=f"{entry.cause} ({entry.issue})", strict=False))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for kind, what in (("xfailed", "passed over, known red"), ("xpassed", "passes, strike it")):
+    for kind, advice in (("xfailed", "passed over, known red"), ("xpassed", "passes, strike it")):
         for report in terminalreporter.stats.get(kind, []):
-            terminalreporter.write_line(f"{known_red.NAME}: {report.nodeid}: {what}: {report.wasxfail}")
+            terminalreporter.write_line(f"{known_red.NAME}: {report.nodeid}: {advice}: {report.wasxfail}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""`KNOWN-RED.txt` as the operators word it, played on a small project of its own by the same hooks."""
+"""The handling of `KNOWN-RED.txt`, by the same hooks in a small project made for the test."""
 
 import shutil
 import subprocess
@@ -8,7 +8,7 @@
 import pytest
 
 HERE = Path(__file__).parent
-SMALL = """import pytest
+TEST_FILE = """import pytest
 
 def test_green() -> None:
     assert True
@@ -20,45 +20,45 @@
 def test_cases(n: int) -> None:
     assert n == 1
 """
-RED = "tests/test_small.py::test_red | the sky | issue 7"
-CASE = "tests/test_small.py::test_cases[2] | half of it | 8"
+FAILING = "tests/test_small.py::test_red | the sky | issue 7"
+FAILING_CASE = "tests/test_small.py::test_cases[2] | half of it | 8"
 
 
-def played(root: Path, listing: str | None) -> tuple[int, str]:
+def run_tests(root: Path, listing: str | None) -> tuple[int, str]:
     tests = root / "tests"
     tests.mkdir()
     for name in ("known_red.py", "conftest.py"):
         shutil.copy(HERE / name, tests)
     (tests / "__init__.py").touch()
-    (tests / "test_small.py").write_text(SMALL)
+    (tests / "test_small.py").write_text(TEST_FILE)
     if listing is not None:
         (root / "KNOWN-RED.txt").write_text(listing)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"]
-    done = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=60)
-    return done.returncode, done.stdout + done.stderr
+    result = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=60)
+    return result.returncode, result.stdout + result.stderr
 
 
 def test_without_the_file_every_failure_counts(tmp_path: Path) -> None:
-    code, said = played(tmp_path, None)
-    assert code == 1 and "2 failed, 2 passed" in said and "KNOWN-RED" not in said
+    code, output = run_tests(tmp_path, None)
+    assert code == 1 and "2 failed, 2 passed" in output and "KNOWN-RED" not in output
 
 
-def test_a_listed_failure_is_passed_over_and_printed(tmp_path: Path) -> None:
-    code, said = played(tmp_path, f"{RED}\n\n{CASE}\n")
-    assert code == 0 and "2 passed, 2 xfailed" in said
-    assert "KNOWN-RED.txt: tests/test_small.py::test_red: passed over, known red: the sky (issue 7)" in said
-    assert "KNOWN-RED.txt: tests/test_small.py::test_cases[2]: passed over" in said
+def test_listed_failure_does_not_fail_the_run_and_is_printed(tmp_path: Path) -> None:
+    code, output = run_tests(tmp_path, f"{FAILING}\n\n{FAILING_CASE}\n")
+    assert code == 0 and "2 passed, 2 xfailed" in output
+    assert "KNOWN-RED.txt: tests/test_small.py::test_red: passed over, known red: the sky (issue 7)" in output
+    assert "KNOWN-RED.txt: tests/test_small.py::test_cases[2]: passed over" in output
 
 
-def test_one_that_is_not_listed_fails_and_one_that_passes_is_to_be_struck(tmp_path: Path) -> None:
-    code, said = played(tmp_path, "tests/test_small.py::test_cases | both of it | issue 8")
-    assert code == 1 and "1 failed" in said and "FAILED tests/test_small.py::test_red" in said
-    assert "test_cases[1]: passes, strike it: both of it (issue 8)" in said
-    assert "test_cases[2]: passed over" in said
+def test_unlisted_failure_fails_the_run_and_listed_test_that_passes_is_printed(tmp_path: Path) -> None:
+    code, output = run_tests(tmp_path, "tests/test_small.py::test_cases | both of it | issue 8")
+    assert code == 1 and "1 failed" in output and "FAILED tests/test_small.py::test_red" in output
+    assert "test_cases[1]: passes, strike it: both of it (issue 8)" in output
+    assert "test_cases[2]: passed over" in output
 
 
 @pytest.mark.parametrize(
-    "listing, why",
+    "listing, reason",
     [
         ("tests/test_small.py::test_red | issue 7", "a line is"),
         ("tests/test_small.py::test_red | the sky | some day", "a line is"),
@@ -67,11 +67,16 @@
         ("tests/test_small.py::test_blue | the sky | 7", "no test"),
         ("tests/test_none.py::test_red | the sky | 7", "no test"),
         ("tests/test_small.py | the sky | 7", "no test"),
-        (f"{RED}\n{RED}", "twice"),
+        (f"{FAILING}\n{FAILING}", "twice"),
         ("tests/test_small.py::test_cases[9] | the sky | 7", "no test"),
-        ("\n".join([RED, CASE, RED.replace("red", "green"), RED.replace("red", "cases")]), "4 lines"),
+        (
+            "\n".join(
+                [FAILING, FAILING_CASE, FAILING.replace("red", "green"), FAILING.replace("red", "cases")]
+            ),
+            "4 lines",
+        ),
     ],
 )
-def test_a_list_that_does_not_read_fails_the_run(tmp_path: Path, listing: str, why: str) -> None:
-    code, said = played(tmp_path, listing)
-    assert code not in (0, 1) and "KNOWN-RED.txt" in said and why in said
+def test_invalid_list_fails_the_run(tmp_path: Path, listing: str, reason: str) -> None:
+    code, output = run_tests(tmp_path, listing)
+    assert code not in (0, 1) and "KNOWN-RED.txt" in output and reason in output
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -9,121 +9,121 @@
 from ledgehitch.brain import Gateway, Viewing
 from ledgehitch.interface import Outcome
 from ledgehitch.simhost.wire import main
-from tests.helpers import FLEET, LADDER, PLAIN, TERMS, decisions, gateway, request, rows
+from tests.helpers import FLEET, LADDER, PLAIN, TERMS, decisions, make_gateway, request, rows
 
 NOW = 200.0  # long after the start, when no media host is cold any more
 
 
-def playing_viewing(gw: Gateway, viewing_id: int = 1, rung: int = 1, host: str = "h0") -> Viewing:
-    gw.on_viewing_handover(NOW, viewing_id, "plain", "t1", 0, 6, 3, host)
-    gw.on_report(NOW, viewing_id, host, 2, rung)
-    gw.viewings[viewing_id].hold_until = NOW
-    return gw.viewings[viewing_id]
+def playing_viewing(gateway: Gateway, viewing_id: int = 1, rung: int = 1, host: str = "h0") -> Viewing:
+    gateway.on_viewing_handover(NOW, viewing_id, "plain", "t1", 0, 6, 3, host)
+    gateway.on_report(NOW, viewing_id, host, 2, rung)
+    gateway.viewings[viewing_id].hold_until = NOW
+    return gateway.viewings[viewing_id]
 
 
-def next_rung(gw: Gateway, viewing: Viewing, link: float, uplink: float = 0.0) -> int:
+def next_rung(gateway: Gateway, viewing: Viewing, link: float, uplink: float = 0.0) -> int:
     assert viewing.host is not None
     viewing.host.link.record_reading(NOW, NOW, link)
     viewing.host.uplink.record_reading(NOW, NOW, uplink)
-    return gw._next_rung(NOW, viewing, viewing.host)
+    return gateway._next_rung(NOW, viewing, viewing.host)
 
 
 def test_estimate_weighs_the_measure_by_three_and_the_old_estimate_by_eight() -> None:
-    gw = gateway()
-    viewing = playing_viewing(gw)
-    next_rung(gw, viewing, brain.TARGET_USE)
+    gateway = make_gateway()
+    viewing = playing_viewing(gateway)
+    next_rung(gateway, viewing, brain.TARGET_USE)
     assert viewing.estimate == pytest.approx(200.0)
     viewing.estimate = 90.0
-    next_rung(gw, viewing, brain.TARGET_USE)
+    next_rung(gateway, viewing, brain.TARGET_USE)
     assert viewing.estimate == pytest.approx((3 * 200 + 8 * 90) / 11)
 
 
 def test_rising_measure_raises_the_bounds_and_steps_up_one_rung_only() -> None:
-    gw = gateway()
-    viewing = playing_viewing(gw)
+    gateway = make_gateway()
+    viewing = playing_viewing(gateway)
     viewing.estimate = 5000.0
-    assert next_rung(gw, viewing, 0.0) == 2
+    assert next_rung(gateway, viewing, 0.0) == 2
     assert viewing.high >= 2 and viewing.low == 2
 
 
 def test_measure_below_the_lower_bound_resets_both_bounds() -> None:
-    gw = gateway()
-    viewing = playing_viewing(gw, rung=3)
-    assert next_rung(gw, viewing, 1.1) == 2, "above the target but delivered in full: one rung"
+    gateway = make_gateway()
+    viewing = playing_viewing(gateway, rung=3)
+    assert next_rung(gateway, viewing, 1.1) == 2, "above the target but delivered in full: one rung"
     assert (viewing.low, viewing.high) == (0, 2)
 
 
 def test_short_delivery_steps_down_to_the_measured_rate_despite_the_hold() -> None:
-    gw = gateway()
-    viewing = playing_viewing(gw, rung=3)
+    gateway = make_gateway()
+    viewing = playing_viewing(gateway, rung=3)
     viewing.hold_until = NOW + 9
     assert viewing.host is not None
     viewing.host.short, viewing.host.share_at = True, NOW
-    assert next_rung(gw, viewing, 1 / 0.3) == 1, "800 at 0.3 carries 240"
+    assert next_rung(gateway, viewing, 1 / 0.3) == 1, "800 at 0.3 carries 240"
 
 
 def test_new_shortage_is_handled_at_once_and_a_lasting_one_in_the_next_round() -> None:
-    gw = gateway()
-    playing_viewing(gw, rung=3)
-    decisions(gw, NOW)
-    gw.hosts["h0"].tick_at = NOW + 9
-    gw.on_report(NOW, 1, "h0", 1, 0.2)
-    assert gw.wake_at() == NOW and any(isinstance(d, interface.SetRung) for d in decisions(gw, NOW))
-    gw.on_report(NOW + 1, 1, "h0", 1, 0.2)
-    assert gw.wake_at() == NOW + brain.STEP_INTERVAL_S
+    gateway = make_gateway()
+    playing_viewing(gateway, rung=3)
+    decisions(gateway, NOW)
+    gateway.hosts["h0"].tick_at = NOW + 9
+    gateway.on_report(NOW, 1, "h0", 1, 0.2)
+    assert gateway.wake_at() == NOW and any(isinstance(d, interface.SetRung) for d in decisions(gateway, NOW))
+    gateway.on_report(NOW + 1, 1, "h0", 1, 0.2)
+    assert gateway.wake_at() == NOW + brain.STEP_INTERVAL_S
 
 
 def test_rung_is_kept_during_the_hold() -> None:
-    gw = gateway()
-    viewing = playing_viewing(gw)
+    gateway = make_gateway()
+    viewing = playing_viewing(gateway)
     viewing.hold_until, viewing.estimate = NOW + 1, 5000.0
-    assert next_rung(gw, viewing, 0.0) == 1
+    assert next_rung(gateway, viewing, 0.0) == 1
 
 
 @pytest.mark.parametrize(("link", "rung"), [(0.0, 2), (0.65, 1), (0.78, 0), (0.85, None)])
 def test_admission_at_the_highest_rung_then_at_the_lowest_then_none(link: float, rung: int | None) -> None:
-    gw = gateway()
-    request(gw, NOW, 1)
-    host = gw.hosts["h0"]
+    gateway = make_gateway()
+    request(gateway, NOW, 1)
+    host = gateway.hosts["h0"]
     host.link.record_reading(NOW, NOW, link)
     host.link.cap_kb = 1000.0
-    assert gw._highest_fitting_rung(NOW, gw.viewings[1], host) == rung
+    assert gateway._highest_fitting_rung(NOW, gateway.viewings[1], host) == rung
 
 
 def test_least_used_holder_is_chosen_and_the_set_up_counts_at_once() -> None:
-    gw = gateway()
-    for name, host in gw.hosts.items():
+    gateway = make_gateway()
+    for name, host in gateway.hosts.items():
         host.link.record_reading(NOW, NOW, 0.1 if name == "h4" else 0.5)
-    request(gw, NOW, 1)
-    assert [d.host for d in decisions(gw, NOW) if isinstance(d, interface.TuneIn)] == ["h4"]
-    assert gw.link_use(NOW, gw.hosts["h4"]) == pytest.approx(0.5)
+    request(gateway, NOW, 1)
+    assert [d.host for d in decisions(gateway, NOW) if isinstance(d, interface.TuneIn)] == ["h4"]
+    assert gateway.link_use(NOW, gateway.hosts["h4"]) == pytest.approx(0.5)
 
 
 def test_viewing_that_fits_nowhere_waits_briefly_and_is_blocked() -> None:
-    gw = gateway()
-    request(gw, NOW, 1, spread=0)
-    assert decisions(gw, NOW) == []
-    assert decisions(gw, NOW + 0.4) == [interface.Block(1, 0.0)]
+    gateway = make_gateway()
+    request(gateway, NOW, 1, spread=0)
+    assert decisions(gateway, NOW) == []
+    assert decisions(gateway, NOW + 0.4) == [interface.Block(1, 0.0)]
 
 
 def test_new_host_is_cold_from_its_start() -> None:
-    gw = gateway()
+    gateway = make_gateway()
     new = interface.Row("new", 0, 2.0, "k", "a", "in_service", NOW - 1)
-    gw.on_host_list(NOW, "incr", [new])
-    gw.hosts["h0"].listed = False
+    gateway.on_host_list(NOW, "incr", [new])
+    gateway.hosts["h0"].listed = False
     for viewing_id in range(9):
-        request(gw, NOW, viewing_id, spread=1)
-    sent = [d for d in decisions(gw, NOW) if isinstance(d, interface.TuneIn)]
+        request(gateway, NOW, viewing_id, spread=1)
+    sent = [d for d in decisions(gateway, NOW) if isinstance(d, interface.TuneIn)]
     assert 1 <= len(sent) <= 4, "budget of 6 in two seconds for all gateways, and this is one of two"
 
 
 def test_many_gateways_together_stay_within_the_budget_of_a_cold_host() -> None:
     started, sent = rows(started=NOW), 0
     for ordinal in range(100):
-        gw = gateway(terms=replace(TERMS, gateways=100, ordinal=ordinal))
-        gw.on_host_list(NOW, "total", started)
-        request(gw, NOW + ordinal * 0.019, ordinal, spread=1)
-        sent += sum(isinstance(d, interface.TuneIn) for d in decisions(gw, NOW + ordinal * 0.019))
+        gateway = make_gateway(terms=replace(TERMS, gateways=100, ordinal=ordinal))
+        gateway.on_host_list(NOW, "total", started)
+        request(gateway, NOW + ordinal * 0.019, ordinal, spread=1)
+        sent += sum(isinstance(d, interface.TuneIn) for d in decisions(gateway, NOW + ordinal * 0.019))
     assert 1 <= sent <= TERMS.fall_multiple * TERMS.cold_share * 30 / TERMS.warm_up * TERMS.fall_after
 
 
@@ -131,28 +131,28 @@
     """Enough set-ups are remembered for the budget: with only the last 512, a larger one was never spent."""
     fleet = replace(FLEET, slots={"k": 4000}, link_unit_kb=1e9, uplink_kb=1e12)
     terms = replace(TERMS, gateways=1)
-    gw = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
-    gw.on_host_list(NOW, "incr", [interface.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
+    gateway = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
+    gateway.on_host_list(NOW, "incr", [interface.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
     limit, sent = terms.fall_multiple * terms.cold_share * 4000 / terms.warm_up * terms.fall_after, 0
     for viewing_id in range(1200):
-        request(gw, NOW + viewing_id * 0.001, viewing_id)
-        sent += sum(isinstance(d, interface.TuneIn) for d in decisions(gw, NOW + viewing_id * 0.001))
+        request(gateway, NOW + viewing_id * 0.001, viewing_id)
+        sent += sum(isinstance(d, interface.TuneIn) for d in decisions(gateway, NOW + viewing_id * 0.001))
     assert 512 < sent <= limit < 1000
 
 
 @pytest.mark.parametrize("cell", [interface.UNPLACED, 99])
 def test_row_with_unknown_cell_kind_and_zone_affects_no_other_host(cell: int) -> None:
     """A host without a valid cell holds nothing and counts on no rack's uplink."""
-    gw = gateway()
+    gateway = make_gateway()
     odd = interface.Row("odd", cell, 2.0, "nobody-knows", "nowhere", "in_service", NOW - 1)
-    gw.on_host_list(NOW, "incr", [odd])
+    gateway.on_host_list(NOW, "incr", [odd])
     for viewing_id in range(12):
-        request(gw, NOW, viewing_id)
-    sent = [d.host for d in decisions(gw, NOW) if isinstance(d, interface.TuneIn)]
+        request(gateway, NOW, viewing_id)
+    sent = [d.host for d in decisions(gateway, NOW) if isinstance(d, interface.TuneIn)]
     assert len(sent) == 12 and "odd" not in sent
     if cell == interface.UNPLACED:
-        assert all("odd" not in [h.row.host for h in rack] for _, rack in gw.racks)
-    everywhere = gateway(fleet=replace(FLEET, cells=0))
+        assert all("odd" not in [h.row.host for h in rack] for _, rack in gateway.racks)
+    everywhere = make_gateway(fleet=replace(FLEET, cells=0))
     everywhere.on_host_list(NOW, "total", [odd])
     for viewing_id in range(40):
         request(everywhere, NOW, viewing_id)
@@ -163,68 +163,72 @@
 
 
 def test_one_stalled_host_does_not_blame_the_uplink_of_its_rack() -> None:
-    gw = gateway()
+    gateway = make_gateway()
     for viewing_id, host in enumerate(["h0", "h2", "h4"]):
-        playing_viewing(gw, viewing_id, host=host)
-    gw.on_report(NOW, 0, "h0", 1, 0.1)
-    assert gw.uplink_use(NOW, gw.hosts["h2"]) < 0.5 < 1.0 < gw.link_use(NOW, gw.hosts["h0"])
-    gw.on_report(NOW, 1, "h2", 1, 0.6)
-    gw.on_report(NOW, 2, "h4", 1, 0.6)
-    assert gw.uplink_use(NOW, gw.hosts["h2"]) > 1.0
+        playing_viewing(gateway, viewing_id, host=host)
+    gateway.on_report(NOW, 0, "h0", 1, 0.1)
+    assert (
+        gateway.uplink_use(NOW, gateway.hosts["h2"]) < 0.5 < 1.0 < gateway.link_use(NOW, gateway.hosts["h0"])
+    )
+    gateway.on_report(NOW, 1, "h2", 1, 0.6)
+    gateway.on_report(NOW, 2, "h4", 1, 0.6)
+    assert gateway.uplink_use(NOW, gateway.hosts["h2"]) > 1.0
 
 
 def test_old_reading_fades_so_that_a_full_host_is_tried_again() -> None:
-    gw = gateway()
-    host = gw.hosts["h0"]
+    gateway = make_gateway()
+    host = gateway.hosts["h0"]
     host.link.record_reading(NOW, NOW, 3.0)
-    assert gw.link_use(NOW + 1, host) > 2 and gw.link_use(NOW + 60, host) <= brain.TARGET_USE
+    assert gateway.link_use(NOW + 1, host) > 2 and gateway.link_use(NOW + 60, host) <= brain.TARGET_USE
 
 
 def test_end_of_short_delivery_does_not_make_an_unknown_uplink_look_empty() -> None:
-    gw = gateway()
-    playing_viewing(gw)
-    before = gw.uplink_use(NOW, gw.hosts["h0"])
-    gw.on_report(NOW, 1, "h0", 1, 0.9)
-    gw.on_report(NOW, 1, "h0", 1, 1.0)
-    assert gw.hosts["h0"].uplink.value != 0.0 and gw.uplink_use(NOW, gw.hosts["h0"]) >= before
+    gateway = make_gateway()
+    playing_viewing(gateway)
+    before = gateway.uplink_use(NOW, gateway.hosts["h0"])
+    gateway.on_report(NOW, 1, "h0", 1, 0.9)
+    gateway.on_report(NOW, 1, "h0", 1, 1.0)
+    assert gateway.hosts["h0"].uplink.value != 0.0 and gateway.uplink_use(NOW, gateway.hosts["h0"]) >= before
 
 
 def test_full_host_is_avoided_and_suspended_holders_are_used_when_all_are_suspended() -> None:
-    gw = gateway(hosts=2)
-    request(gw, NOW, 1)
-    first = next(d.host for d in decisions(gw, NOW) if isinstance(d, interface.TuneIn))
-    gw.on_tune_in_end(NOW, 1, False, Outcome.FULL, first, 0.01, 0)
-    second = next(d.host for d in decisions(gw, NOW) if isinstance(d, interface.TuneIn))
+    gateway = make_gateway(hosts=2)
+    request(gateway, NOW, 1)
+    first = next(d.host for d in decisions(gateway, NOW) if isinstance(d, interface.TuneIn))
+    gateway.on_tune_in_end(NOW, 1, False, Outcome.FULL, first, 0.01, 0)
+    second = next(d.host for d in decisions(gateway, NOW) if isinstance(d, interface.TuneIn))
     assert {first, second} == {"h0", "h1"}
-    for host in gw.hosts.values():
+    for host in gateway.hosts.values():
         host.aside_until = NOW + 50
         host.link.record_reading(NOW, NOW, 0.1)
-    request(gw, NOW, 2)
-    assert any(isinstance(d, interface.TuneIn) for d in decisions(gw, NOW))
+    request(gateway, NOW, 2)
+    assert any(isinstance(d, interface.TuneIn) for d in decisions(gateway, NOW))
 
 
 def test_peer_messages_count_on_the_link_and_invalid_ones_are_ignored() -> None:
-    gw = gateway()
-    for host in gw.hosts.values():
+    gateway = make_gateway()
+    for host in gateway.hosts.values():
         host.link.record_reading(NOW - 1, NOW - 1, 0.2)
-    gw.on_peer_message(NOW, brain.RATE_CHANGE.pack(gw.hosts["h2"].mark, 400))
+    gateway.on_peer_message(NOW, brain.RATE_CHANGE.pack(gateway.hosts["h2"].mark, 400))
     for invalid in (
         b"\x00\x01\x02",
-        brain.RATE_CHANGE.pack(gw.hosts["h2"].mark, 30000),
+        brain.RATE_CHANGE.pack(gateway.hosts["h2"].mark, 30000),
         brain.RATE_CHANGE.pack(0, 9),
     ):
-        gw.on_peer_message(NOW, invalid)
-    assert sum(gw.link_use(NOW, h) for h in gw.hosts.values()) == pytest.approx(6 * 0.2 + 0.2)
+        gateway.on_peer_message(NOW, invalid)
+    assert sum(gateway.link_use(NOW, h) for h in gateway.hosts.values()) == pytest.approx(6 * 0.2 + 0.2)
 
 
 def test_few_peer_messages_are_sent_where_gateways_rarely_share_media_hosts() -> None:
     sent, fleet = [], replace(FLEET, cells=0, uplink_kb=0.0)
     for hosts in (2, 100):
-        gw = gateway(terms=replace(TERMS, gateways=9, ordinal=4), fleet=fleet, hosts=hosts)
+        gateway = make_gateway(terms=replace(TERMS, gateways=9, ordinal=4), fleet=fleet, hosts=hosts)
         for i in range(40):
-            request(gw, NOW + i, i)
-            sent += [(hosts, d.recipient) for d in decisions(gw, NOW + i) if isinstance(d, interface.Tell)]
-            gw.on_tune_in_end(NOW + i, i, True, Outcome.CANCELLED, gw.viewings[i].tried[0], 0.1, 0)
+            request(gateway, NOW + i, i)
+            sent += [
+                (hosts, d.recipient) for d in decisions(gateway, NOW + i) if isinstance(d, interface.Tell)
+            ]
+            gateway.on_tune_in_end(NOW + i, i, True, Outcome.CANCELLED, gateway.viewings[i].tried[0], 0.1, 0)
     assert all(recipient != 4 for _, recipient in sent)
     assert sum(hosts == 100 for hosts, _ in sent) < 10 < sum(hosts == 2 for hosts, _ in sent)
 
@@ -232,10 +236,10 @@
 def test_gateways_without_readings_choose_different_holders() -> None:
     taken = set()
     for seed in range(20):
-        gw = Gateway(seed, 100.0, LADDER, (PLAIN,), replace(FLEET, cells=12), TERMS)
-        gw.on_host_list(100.0, "warm_copy", rows(12))
-        request(gw, NOW, 1, spread=12)
-        taken |= {d.host for d in decisions(gw, NOW) if isinstance(d, interface.TuneIn)}
+        gateway = Gateway(seed, 100.0, LADDER, (PLAIN,), replace(FLEET, cells=12), TERMS)
+        gateway.on_host_list(100.0, "warm_copy", rows(12))
+        request(gateway, NOW, 1, spread=12)
+        taken |= {d.host for d in decisions(gateway, NOW) if isinstance(d, interface.TuneIn)}
     assert len(taken) > 4
 
 
@@ -243,69 +247,69 @@
     """A use that was never read must not look as if read at 0, or no host is probed just after a boot."""
     decided = []
     for start in (0.0, 3.0, 100.0, 634345.0):
-        gw = Gateway(7, start, LADDER, (PLAIN,), FLEET, replace(TERMS, may_probe=True, warm_up=0.0))
-        gw.on_host_list(start, "warm_copy", rows())
+        gateway = Gateway(7, start, LADDER, (PLAIN,), FLEET, replace(TERMS, may_probe=True, warm_up=0.0))
+        gateway.on_host_list(start, "warm_copy", rows())
         made: list[str] = []
         for viewing_id in range(4):
-            gw.on_viewing_request(
+            gateway.on_viewing_request(
                 start + viewing_id, viewing_id, "plain", "t1", 0, 6, 3, start + viewing_id + 3.0
             )
             for step in range(3):
                 made += [
                     type(d).__name__ + getattr(d, "host", "")
-                    for d in decisions(gw, start + viewing_id + step / 8)
+                    for d in decisions(gateway, start + viewing_id + step / 8)
                 ]
         decided.append(made)
     assert "Probe" in str(decided[0]) and all(made == decided[0] for made in decided)
 
 
 def test_gateway_that_stalled_blocks_overdue_viewings_at_once() -> None:
-    gw = gateway()
-    gw.on_viewing_request(NOW, 1, "plain", "t1", 0, 6, 3, NOW - 0.5)  # its patience has ended already
-    gw.on_viewing_request(
+    gateway = make_gateway()
+    gateway.on_viewing_request(NOW, 1, "plain", "t1", 0, 6, 3, NOW - 0.5)  # its patience has ended already
+    gateway.on_viewing_request(
         NOW, 2, "plain", "t1", 0, 0, 3, NOW + 1.9
     )  # no holder, and the viewer asked 1.1 s ago
-    assert decisions(gw, NOW) == [interface.Block(1, 0.0), interface.Block(2, 0.0)]
-    gw.on_viewing_handover(NOW, 3, "plain", "t1", 0, 6, 3, "h0")
-    assert len(decisions(gw, NOW + 30.0)) <= 2, "one round of steps, however late the timer"
+    assert decisions(gateway, NOW) == [interface.Block(1, 0.0), interface.Block(2, 0.0)]
+    gateway.on_viewing_handover(NOW, 3, "plain", "t1", 0, 6, 3, "h0")
+    assert len(decisions(gateway, NOW + 30.0)) <= 2, "one round of steps, however late the timer"
 
 
 def test_events_of_ended_viewings_and_unknown_hosts_are_ignored() -> None:
-    gw = gateway()
-    gw.on_report(NOW, 77, "nowhere", 1, 0.1)
-    gw.on_report(NOW, 77, "h0", 2, 3.0)
-    gw.on_tune_in_success(NOW, 77, "h0", 0, 0.1)
-    gw.on_tune_in_end(NOW, 77, True, Outcome.RESET, "nowhere", 0.1, 0, [0.5, 0.5])
-    gw.on_viewer_left(NOW, 77)
-    gw.on_probe_result(NOW, "nowhere", Outcome.TIMEOUT, 0.25)
-    assert decisions(gw, NOW) == [] and not gw.viewings
+    gateway = make_gateway()
+    gateway.on_report(NOW, 77, "nowhere", 1, 0.1)
+    gateway.on_report(NOW, 77, "h0", 2, 3.0)
+    gateway.on_tune_in_success(NOW, 77, "h0", 0, 0.1)
+    gateway.on_tune_in_end(NOW, 77, True, Outcome.RESET, "nowhere", 0.1, 0, [0.5, 0.5])
+    gateway.on_viewer_left(NOW, 77)
+    gateway.on_probe_result(NOW, "nowhere", Outcome.TIMEOUT, 0.25)
+    assert decisions(gateway, NOW) == [] and not gateway.viewings
 
 
 def test_hundreds_of_hosts_that_leave_and_come_back_are_used_again() -> None:
-    gw = gateway(hosts=300, fleet=replace(FLEET, uplink_kb=0.0))
+    gateway = make_gateway(hosts=300, fleet=replace(FLEET, uplink_kb=0.0))
     for i in range(4):
-        gw.on_host_list(NOW + i, "incr", rows(300, "terminated"))
-        request(gw, NOW + i, i)
-        assert not any(isinstance(d, interface.TuneIn) for d in decisions(gw, NOW + i))
-        gw.on_host_list(NOW + i + 0.9, "total", rows(300, started=NOW + i + 0.5))
-    request(gw, NOW + 20, 99)
-    assert any(isinstance(d, interface.TuneIn) for d in decisions(gw, NOW + 20))
+        gateway.on_host_list(NOW + i, "incr", rows(300, "terminated"))
+        request(gateway, NOW + i, i)
+        assert not any(isinstance(d, interface.TuneIn) for d in decisions(gateway, NOW + i))
+        gateway.on_host_list(NOW + i + 0.9, "total", rows(300, started=NOW + i + 0.5))
+    request(gateway, NOW + 20, 99)
+    assert any(isinstance(d, interface.TuneIn) for d in decisions(gateway, NOW + 20))
 
 
 def test_zero_gateways_count_as_one_and_without_a_budget_no_times_are_stored() -> None:
-    gw = gateway(terms=replace(TERMS, gateways=0))
-    request(gw, NOW, 1)
-    assert any(isinstance(d, interface.TuneIn) for d in decisions(gw, NOW))
-    assert not gw.asked_times
+    gateway = make_gateway(terms=replace(TERMS, gateways=0))
+    request(gateway, NOW, 1)
+    assert any(isinstance(d, interface.TuneIn) for d in decisions(gateway, NOW))
+    assert not gateway.asked_times
 
 
 def test_lost_list_is_requested_again() -> None:
-    gw = gateway(terms=interface.Terms(on_request=True, ask_within=10.0))
-    assert decisions(gw, 100.0) == [interface.Subscribe()]
-    gw.on_host_list(100.1, "lost", [])
-    assert decisions(gw, 100.2) == [] and decisions(gw, 103.0) == [interface.Subscribe()]
-    gw.on_host_list(103.1, "incr", rows())
-    assert decisions(gw, 150.0) == []
+    gateway = make_gateway(terms=interface.Terms(on_request=True, ask_within=10.0))
+    assert decisions(gateway, 100.0) == [interface.Subscribe()]
+    gateway.on_host_list(100.1, "lost", [])
+    assert decisions(gateway, 100.2) == [] and decisions(gateway, 103.0) == [interface.Subscribe()]
+    gateway.on_host_list(103.1, "incr", rows())
+    assert decisions(gateway, 150.0) == []
 
 
 @pytest.mark.parametrize("within, least, most", [(2.0, 0.1, 1.0), (20.0, 1.0, 6.0), (0.0, 1.0, 6.0)])
@@ -315,11 +319,13 @@
     """The wait has to fit the setting `ask_within`; a fixed one of up to 6 s was too long for short ones."""
     waits = []
     for seed in range(50):
-        gw = Gateway(seed, NOW, LADDER, (PLAIN,), FLEET, replace(TERMS, on_request=True, ask_within=within))
-        assert decisions(gw, NOW) == [interface.Subscribe()]
-        gw.on_host_list(NOW, "incr", rows())
-        gw.on_host_list(NOW, "lost", [])
-        due = gw.wake_at()
+        gateway = Gateway(
+            seed, NOW, LADDER, (PLAIN,), FLEET, replace(TERMS, on_request=True, ask_within=within)
+        )
+        assert decisions(gateway, NOW) == [interface.Subscribe()]
+        gateway.on_host_list(NOW, "incr", rows())
+        gateway.on_host_list(NOW, "lost", [])
+        due = gateway.wake_at()
         assert due is not None
         waits.append(due - NOW)
     assert least <= min(waits) < max(waits) <= most, "requests are spread out, and none is late"
@@ -362,23 +368,25 @@
 
 
 def test_holder_without_a_reading_is_probed_first_and_a_late_answer_is_not_awaited() -> None:
-    gw = gateway(terms=replace(TERMS, may_probe=True))
-    request(gw, NOW, 1)
-    probe = decisions(gw, NOW)
+    gateway = make_gateway(terms=replace(TERMS, may_probe=True))
+    request(gateway, NOW, 1)
+    probe = decisions(gateway, NOW)
     assert [type(d) for d in probe] == [interface.Probe]
     assert isinstance(probe[0], interface.Probe)
-    gw.on_probe_result(NOW + 0.02, probe[0].host, 10, 0.02, [3, 0.1])
-    assert [d.host for d in decisions(gw, NOW + 0.02) if isinstance(d, interface.TuneIn)] == [probe[0].host]
-    request(gw, NOW + 1, 2)
-    assert [type(d) for d in decisions(gw, NOW + 1)] == [interface.Probe]
-    assert any(isinstance(d, interface.TuneIn) for d in decisions(gw, NOW + 1.2))
+    gateway.on_probe_result(NOW + 0.02, probe[0].host, 10, 0.02, [3, 0.1])
+    assert [d.host for d in decisions(gateway, NOW + 0.02) if isinstance(d, interface.TuneIn)] == [
+        probe[0].host
+    ]
+    request(gateway, NOW + 1, 2)
+    assert [type(d) for d in decisions(gateway, NOW + 1)] == [interface.Probe]
+    assert any(isinstance(d, interface.TuneIn) for d in decisions(gateway, NOW + 1.2))
 
 
 def test_probing_ends_well_before_patience_where_the_join_target_is_as_long() -> None:
-    gw = gateway(replace(PLAIN, join_target=3.0), replace(TERMS, may_probe=True, may_tell=False))
-    request(gw, 200.0, 1)
+    gateway = make_gateway(replace(PLAIN, join_target=3.0), replace(TERMS, may_probe=True, may_tell=False))
+    request(gateway, 200.0, 1)
     first = next(
-        t for t in range(300) for d in decisions(gw, 200 + t / 100) if isinstance(d, interface.TuneIn)
+        t for t in range(300) for d in decisions(gateway, 200 + t / 100) if isinstance(d, interface.TuneIn)
     )
     assert 20 < first <= 0.4 * 300 + 11, "probes again, and then tries a holder in time to play"
 
@@ -388,14 +396,16 @@
 
     It took all 3 s of it: no tune-in was sent, and the viewing was blocked 20 ms before its patience ended.
     """
-    gw = gateway(terms=replace(TERMS, may_probe=True, may_tell=False, may_advise=True, longest_advice=0.5))
+    gateway = make_gateway(
+        terms=replace(TERMS, may_probe=True, may_tell=False, may_advise=True, longest_advice=0.5)
+    )
     now, out, asks, tried, answer = 200.0, None, 0, 0, None
-    request(gw, now, 1)
+    request(gateway, now, 1)
     while answer is None and now < 202.9:
         if out is not None and now >= out[1]:
-            gw.on_tune_in_end(now, 1, False, Outcome.TIMEOUT, out[0].host, out[0].within, tried - 1)
+            gateway.on_tune_in_end(now, 1, False, Outcome.TIMEOUT, out[0].host, out[0].within, tried - 1)
             out = None
-        for decision in decisions(gw, now):
+        for decision in decisions(gateway, now):
             if isinstance(decision, interface.TuneIn):
                 out, tried = (decision, now + decision.within), tried + 1
                 assert tried > 1 or now <= 200.0 + PLAIN.join_target + 0.11, (
@@ -424,30 +434,30 @@
 ) -> None:
     """Otherwise each viewing probes holder after holder, and waits for answers that state no use."""
     fleet = replace(FLEET, load_fields=fields, reports=reports)
-    gw = gateway(terms=replace(TERMS, may_probe=True, may_tell=False), fleet=fleet)
-    request(gw, 200.0, 1)
-    made = decisions(gw, 200.0)
+    gateway = make_gateway(terms=replace(TERMS, may_probe=True, may_tell=False), fleet=fleet)
+    request(gateway, 200.0, 1)
+    made = decisions(gateway, 200.0)
     assert sum(isinstance(d, interface.Probe) for d in made) == asks
     assert sum(isinstance(d, interface.TuneIn) for d in made) == 1 - asks
 
 
 def test_restarted_gateway_uses_a_doubted_host_only_once_others_are_seen_to_play_there() -> None:
-    gw = gateway(terms=replace(TERMS, may_probe=True, gateways=900, ordinal=899))
-    request(gw, 100.0, 1)
+    gateway = make_gateway(terms=replace(TERMS, may_probe=True, gateways=900, ordinal=899))
+    request(gateway, 100.0, 1)
     for at, use in ((100.0, 0.0), (100.11, 0.5)):
-        (probe,) = decisions(gw, at)
+        (probe,) = decisions(gateway, at)
         assert isinstance(probe, interface.Probe)
-        gw.on_probe_result(at + 0.02, probe.host, 10, 0.02, [9, use])
-        assert any(isinstance(d, interface.TuneIn) for d in decisions(gw, at + 0.02)) == (
+        gateway.on_probe_result(at + 0.02, probe.host, 10, 0.02, [9, use])
+        assert any(isinstance(d, interface.TuneIn) for d in decisions(gateway, at + 0.02)) == (
             use > brain.WARM_HOST_USE
         )
 
 
 def test_hosts_with_viewings_are_probed_where_load_is_reported_on_request_only() -> None:
     fleet = interface.Fleet(cells=6, racks=2, link_unit_kb=1000, reports="pull", told_every=1.0)
-    gw = gateway(terms=interface.Terms(may_probe=True), fleet=fleet)
-    playing_viewing(gw)
-    assert [d for d in decisions(gw, NOW) if isinstance(d, interface.Probe)] == [interface.Probe("h0")]
+    gateway = make_gateway(terms=interface.Terms(may_probe=True), fleet=fleet)
+    playing_viewing(gateway)
+    assert [d for d in decisions(gateway, NOW) if isinstance(d, interface.Probe)] == [interface.Probe("h0")]
 
 
 def test_handed_over_viewing_steps_up_once_its_host_has_reported() -> None:
@@ -455,45 +465,47 @@
     fleet = interface.Fleet(
         cells=6, racks=2, link_unit_kb=1000, uplink_kb=4500, load_fields=both, told_every=3.0
     )
-    gw = gateway(fleet=fleet)
-    gw.on_viewing_handover(100.0, 1, "plain", "t1", 0, 6, 3, "h0")
-    gw.on_report(100.0, 1, "h0", 2, 0)
-    assert not any(isinstance(d, interface.SetRung) for d in decisions(gw, 103.0))
-    gw.on_report(103.0, 1, "h0", 3, 0.1)
-    assert [d for d in decisions(gw, 106.1) if isinstance(d, interface.SetRung)] == [interface.SetRung(1, 1)]
+    gateway = make_gateway(fleet=fleet)
+    gateway.on_viewing_handover(100.0, 1, "plain", "t1", 0, 6, 3, "h0")
+    gateway.on_report(100.0, 1, "h0", 2, 0)
+    assert not any(isinstance(d, interface.SetRung) for d in decisions(gateway, 103.0))
+    gateway.on_report(103.0, 1, "h0", 3, 0.1)
+    assert [d for d in decisions(gateway, 106.1) if isinstance(d, interface.SetRung)] == [
+        interface.SetRung(1, 1)
+    ]
 
 
 def test_target_use_is_lower_for_steps_that_earn_less_a_kb() -> None:
-    gw = gateway()
-    request(gw, NOW, 1)
-    marks = gw.viewings[1].marks[1:4]
+    gateway = make_gateway()
+    request(gateway, NOW, 1)
+    marks = gateway.viewings[1].marks[1:4]
     assert marks[0] == brain.TARGET_USE > marks[1] > marks[2] >= brain.TARGET_USE - brain.TARGET_USE_REDUCTION
 
 
 def test_set_up_that_no_media_host_can_carry_out_counts_against_none() -> None:
-    gw = gateway()
+    gateway = make_gateway()
     for viewing_id in range(1, 9):
-        request(gw, NOW, viewing_id)
+        request(gateway, NOW, viewing_id)
         for number in range(3):
-            host = next(d.host for d in decisions(gw, NOW) if isinstance(d, interface.TuneIn))
-            gw.on_tune_in_end(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, number)
-        assert interface.Block(viewing_id, 0.0) in decisions(gw, NOW)
-    assert all(h.aside_until < NOW and not h.bad for h in gw.hosts.values())
+            host = next(d.host for d in decisions(gateway, NOW) if isinstance(d, interface.TuneIn))
+            gateway.on_tune_in_end(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, number)
+        assert interface.Block(viewing_id, 0.0) in decisions(gateway, NOW)
+    assert all(h.aside_until < NOW and not h.bad for h in gateway.hosts.values())
 
 
 def test_error_counts_when_the_viewing_plays_elsewhere_or_met_only_one() -> None:
-    gw = gateway()
+    gateway = make_gateway()
     for viewing_id in (1, 2):
-        for known in gw.hosts.values():
+        for known in gateway.hosts.values():
             known.link.record_reading(NOW, NOW, 0.0 if known.row.host == "h3" else 0.5)
-        request(gw, NOW, viewing_id)
-        host = next(d.host for d in decisions(gw, NOW) if isinstance(d, interface.TuneIn))
+        request(gateway, NOW, viewing_id)
+        host = next(d.host for d in decisions(gateway, NOW) if isinstance(d, interface.TuneIn))
         assert host == "h3"
-        gw.on_tune_in_end(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, 0)
-        other = next(d.host for d in decisions(gw, NOW) if isinstance(d, interface.TuneIn))
-        gw.on_tune_in_success(NOW, viewing_id, other, 1, 0.01)
-    assert gw.hosts["h3"].aside_until > NOW
-    lone = gateway(hosts=1)
+        gateway.on_tune_in_end(NOW, viewing_id, False, Outcome.ERROR, host, 0.01, 0)
+        other = next(d.host for d in decisions(gateway, NOW) if isinstance(d, interface.TuneIn))
+        gateway.on_tune_in_success(NOW, viewing_id, other, 1, 0.01)
+    assert gateway.hosts["h3"].aside_until > NOW
+    lone = make_gateway(hosts=1)
     request(lone, NOW, 1)
     assert any(isinstance(d, interface.TuneIn) for d in decisions(lone, NOW))
     lone.on_tune_in_end(NOW, 1, False, Outcome.ERROR, "h0", 0.01, 0)
@@ -502,20 +514,20 @@
 
 
 def test_hosts_that_are_gone_are_dropped_once_nothing_plays_there() -> None:
-    gw = gateway()
-    viewing = playing_viewing(gw, host="h1")
+    gateway = make_gateway()
+    viewing = playing_viewing(gateway, host="h1")
     for name in ("h0", "h1"):
-        gw.on_host_list(NOW, "incr", [replace(r, state="terminated") for r in rows() if r.host == name])
-    assert "h0" not in gw.hosts and "h1" in gw.hosts and viewing.host is gw.hosts["h1"]
-    gw.on_tune_in_end(NOW, 1, True, Outcome.RESET, "h1", 1.0, 0)
+        gateway.on_host_list(NOW, "incr", [replace(r, state="terminated") for r in rows() if r.host == name])
+    assert "h0" not in gateway.hosts and "h1" in gateway.hosts and viewing.host is gateway.hosts["h1"]
+    gateway.on_tune_in_end(NOW, 1, True, Outcome.RESET, "h1", 1.0, 0)
     for i in range(10, 60):
-        gw.on_host_list(NOW, "incr", [replace(rows(i + 1)[i], cell=0)])
-        gw.on_host_list(NOW, "incr", [replace(rows(i + 1)[i], cell=0, state="terminated")])
-    assert sorted(gw.hosts) == ["h2", "h3", "h4", "h5"]
-    assert sum(len(rack) for _, rack in gw.racks) == 4
-    gw.on_host_list(NOW, "incr", [rows()[0]])
-    assert gw.hosts["h0"].cold_until > NOW, "a host that comes back has just started"
-    assert len({h.number for h in gw.hosts.values()}) == 5
+        gateway.on_host_list(NOW, "incr", [replace(rows(i + 1)[i], cell=0)])
+        gateway.on_host_list(NOW, "incr", [replace(rows(i + 1)[i], cell=0, state="terminated")])
+    assert sorted(gateway.hosts) == ["h2", "h3", "h4", "h5"]
+    assert sum(len(rack) for _, rack in gateway.racks) == 4
+    gateway.on_host_list(NOW, "incr", [rows()[0]])
+    assert gateway.hosts["h0"].cold_until > NOW, "a host that comes back has just started"
+    assert len({h.number for h in gateway.hosts.values()}) == 5
 
 
 def test_cold_host_with_a_budget_below_one_set_up_gets_one_in_a_window_from_all_gateways() -> None:
@@ -525,9 +537,9 @@
     for ordinal in range(3):
         terms = replace(TERMS, gateways=3, ordinal=ordinal)
         assert terms.fall_multiple * terms.cold_share / terms.warm_up * terms.fall_after < 1
-        gw = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
-        gw.on_host_list(NOW, "incr", [interface.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
+        gateway = Gateway(7, NOW, LADDER, (PLAIN,), fleet, terms)
+        gateway.on_host_list(NOW, "incr", [interface.Row("new", 0, 2.0, "k", "a", "in_service", NOW)])
         for viewing_id in range(50):
-            request(gw, NOW + viewing_id * 0.001, viewing_id)
-            sent += sum(isinstance(d, interface.TuneIn) for d in decisions(gw, NOW + viewing_id * 0.001))
+            request(gateway, NOW + viewing_id * 0.001, viewing_id)
+            sent += sum(isinstance(d, interface.TuneIn) for d in decisions(gateway, NOW + viewing_id * 0.001))
     assert sent == 1
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -27,7 +27,7 @@
 )
 from ledgehitch.signalling.decide import ORPHAN_GRACE_S, REPEAT_WINDOW_S
 from ledgehitch.standins.viewers import offer_of
-from tests.helpers import gateway, rows
+from tests.helpers import make_gateway, rows
 from tests.rig import site
 
 # ---- signalling --------------------------------------------------------------------------------------------
@@ -272,7 +272,7 @@
 def test_a_record_rotates_and_each_segment_replays_from_its_own_checkpoint(tmp_path: Path) -> None:
     from ledgehitch.gateway.mind import Mind
 
-    mind = Mind(gateway(), Recorder(tmp_path / "r", segment=20000, keep=3))
+    mind = Mind(make_gateway(), Recorder(tmp_path / "r", segment=20000, keep=3))
     for n in range(300):
         mind.on_viewing_request(200 + n / 10, n, "plain", "t1", 0, 6, 3, 203 + n / 10)
         list(mind.pulled(200 + n / 10))
@@ -302,7 +302,7 @@
         thawed(pickle.dumps(Evil()))
     with pytest.raises(BadRecord):
         thawed(b"\x80\x04N.")
-    again = thawed(frozen(gateway()))
+    again = thawed(frozen(make_gateway()))
     again.on_host_list(200.0, "total", rows())
     assert len(again.hosts) == 6
     with pytest.raises(BadRecord, match="no record there"):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Seeded random runs over wide settings; the six rules are checked after every step."""
+"""Random runs from seeds over many settings; the six rules are checked after each step."""
 
 import random
 
@@ -7,7 +7,7 @@
 
 from ledgehitch.brain import Gateway
 from ledgehitch.interface import Fleet, Outcome, Package, Row, Terms
-from tests.helpers import FLEET, LADDER, Ledger
+from tests.helpers import FLEET, LADDER, RuleChecker
 
 packages = st.builds(
     Package,
@@ -45,70 +45,77 @@
 )
 small = Fleet(cells=6, racks=2, links_kb=9000, uplink_kb=3000, slots={"k": 20}, load_fields=("cpu", "x1"))
 fleets = st.sampled_from([FLEET, Fleet(), small])
-ODD = [-1.0, 0.0, 0.01, 0.3, 0.7, 0.97, 1.0, 1.3, 50.0, 1e300, float("nan"), float("inf")]
+# Valid and invalid values of reports.
+REPORTED_VALUES = [-1.0, 0.0, 0.01, 0.3, 0.7, 0.97, 1.0, 1.3, 50.0, 1e300, float("nan"), float("inf")]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True, phases=[Phase.generate])
 @given(packages, all_terms, fleets, st.integers(0, 2**32))
 def test_the_rules_hold_at_every_step(package: Package, terms: Terms, fleet: Fleet, seed: int) -> None:
     now, viewing_id, chance = 50.0, 0, random.Random(seed)
-    gw = Gateway(3, now, LADDER, (package,), fleet, terms)
-    book = Ledger(gw, terms, (fleet.slots or {}).get("k", 1))
-    fresh = [Row(f"h{i}", i, 2.0, "k", "ab"[i % 2], "in_service", 0.0) for i in range(5)]
+    gateway = Gateway(3, now, LADDER, (package,), fleet, terms)
+    checker = RuleChecker(gateway, terms, (fleet.slots or {}).get("k", 1))
+    listed = [Row(f"h{i}", i, 2.0, "k", "ab"[i % 2], "in_service", 0.0) for i in range(5)]
 
-    def take(how: str, rows: list[Row]) -> None:
-        gw.on_host_list(now, how, rows)
+    def list_hosts(how: str, rows: list[Row]) -> None:
+        gateway.on_host_list(now, how, rows)
         for row in rows:
             if row.state == "in_service":
-                book.told_gone.pop(row.host, None)
-                book.started[row.host] = row.started
+                checker.drain_times.pop(row.host, None)
+                checker.started[row.host] = row.started
             else:
-                book.told_gone[row.host] = now
-            book.rows[row.host] = row
+                checker.drain_times[row.host] = now
+            checker.rows[row.host] = row
 
-    take("warm_copy", fresh)
+    list_hosts("warm_copy", listed)
     for _ in range(120):
         now += chance.choice([0.0, 0.01, 0.05, 0.3, 1.0])
-        for held, (host, number, ends) in list(book.out.items()):
-            if now >= ends or chance.random() < 0.5:
-                code = chance.choice([10, 10, 20, 30, 40, 50, 60, 80]) if now < ends else 40
+        for viewing, (host, number, end) in list(checker.out.items()):
+            if now >= end or chance.random() < 0.5:
+                code = chance.choice([10, 10, 20, 30, 40, 50, 60, 80]) if now < end else 40
                 if code == Outcome.OK:
-                    gw.on_tune_in_success(now, held, host, number, 0.1)
-                    book.playing[held] = host
-                    book.open.pop(held, None)
+                    gateway.on_tune_in_success(now, viewing, host, number, 0.1)
+                    checker.playing[viewing] = host
+                    checker.open.pop(viewing, None)
                 else:
                     if code in (20, 40, 60):
-                        book.ran.setdefault(held, (host, now))
-                    gw.on_tune_in_end(now, held, False, code, host, 0.1, number, [chance.choice(ODD), 0.5])
-                del book.out[held]
+                        checker.ran.setdefault(viewing, (host, now))
+                    gateway.on_tune_in_end(
+                        now, viewing, False, code, host, 0.1, number, [chance.choice(REPORTED_VALUES), 0.5]
+                    )
+                del checker.out[viewing]
         event = chance.randrange(9)
         if event < 3:
             viewing_id += 1
             top = chance.randrange(-1, 12)
             title, spread = chance.choice("tu"), chance.choice([0, 1, 3, 6])
-            gw.on_viewing_request(now, viewing_id, "p", title, chance.randrange(6), spread, top, now + 3.0)
+            gateway.on_viewing_request(
+                now, viewing_id, "p", title, chance.randrange(6), spread, top, now + 3.0
+            )
             highest = min(top, package.top, 3)
-            book.open[viewing_id] = book.known[viewing_id] = (package, title, now + 3.0, highest)
-            book.asked.append(now)
+            checker.open[viewing_id] = checker.known[viewing_id] = (package, title, now + 3.0, highest)
+            checker.request_times.append(now)
         elif event == 3:
-            row = chance.choice(fresh)
+            row = chance.choice(listed)
             state = chance.choice(["in_service", "terminating", "terminated"])
-            began = chance.choice([0.0, now - 0.5])
-            take("incr", [Row(row.host, row.cell, 2.0, "k", row.zone, state, began)])
-        elif event == 4 and book.playing:
-            done = chance.choice(sorted(book.playing))
-            gw.on_tune_in_end(
-                now, done, True, chance.choice([10, 60, 70]), book.playing.pop(done), 9.0, 0, []
+            started = chance.choice([0.0, now - 0.5])
+            list_hosts("incr", [Row(row.host, row.cell, 2.0, "k", row.zone, state, started)])
+        elif event == 4 and checker.playing:
+            ended = chance.choice(sorted(checker.playing))
+            gateway.on_tune_in_end(
+                now, ended, True, chance.choice([10, 60, 70]), checker.playing.pop(ended), 9.0, 0, []
             )
         elif event == 5:
-            some = chance.choice([*sorted(book.playing), 999999])
-            gw.on_report(now, some, f"h{chance.randrange(6)}", chance.randrange(6), chance.choice(ODD))
+            reported = chance.choice([*sorted(checker.playing), 999999])
+            gateway.on_report(
+                now, reported, f"h{chance.randrange(6)}", chance.randrange(6), chance.choice(REPORTED_VALUES)
+            )
         elif event == 6:
-            gw.on_host_list(now, "lost", [])
+            gateway.on_host_list(now, "lost", [])
         elif event == 7:
-            gw.on_peer_message(now, chance.randbytes(chance.choice([3, 4, 8])))
-        elif event == 8 and book.open:
-            gone = chance.choice(sorted(book.open))
-            gw.on_viewer_left(now, gone)
-            del book.open[gone]
-        book.step(now)
+            gateway.on_peer_message(now, chance.randbytes(chance.choice([3, 4, 8])))
+        elif event == 8 and checker.open:
+            left = chance.choice(sorted(checker.open))
+            gateway.on_viewer_left(now, left)
+            del checker.open[left]
+        checker.check_decisions(now)
