--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -171,7 +171,7 @@
             "answers": {str(k): n for k, n in sorted(self.server.served.items())},
             "connections": len(self.server.open),
             "out_of_descriptors": self.server.listener.refused_for_descriptors,
-            "stood_still": self.loop.stood_still,
+            "stood_still": self.loop.suspensions,
             "failed_tasks": self.loop.failed,
             "to_hosts": {"opened": c.client.opened, "reused": c.client.reused, "idle": c.client.idle()},
             "peers_refused": dict(self.peers.refused) if self.peers else {},
--- a/ledgehitch/loop/children.py
+++ b/ledgehitch/loop/children.py
@@ -30,7 +30,7 @@
         fd = os.pidfd_open(self.pid)
 
         def over() -> None:
-            loop.forget(fd)
+            loop.unregister(fd)
             os.close(fd)
             self._ended.set()
 
@@ -71,7 +71,7 @@
             if not got:
                 break
             line += got
-        self.loop.forget(fd)
+        self.loop.unregister(fd)
         return line
 
 
@@ -92,7 +92,7 @@
     try:
         loop.wait_readable(fd)
     finally:
-        loop.forget(fd)
+        loop.unregister(fd)
         os.close(fd)
         _, status = os.waitpid(pid, 0)
     return os.waitstatus_to_exitcode(status)
--- a/ledgehitch/loop/kernel.py
+++ b/ledgehitch/loop/kernel.py
@@ -55,10 +55,10 @@
         "name",
         "owner",
         "owned",
-        "let",
+        "greenlet",
         "parked",
-        "undo",
-        "news",
+        "cancel_wait",
+        "wake_result",
         "interrupts",
         "cancelled",
         "done",
@@ -71,10 +71,10 @@
     def __init__(self, loop: "Loop", name: str, owner: "Task | None", call: Callable[..., Any]) -> None:
         self.loop, self.name, self.owner = loop, name, owner
         self.owned: dict[Task, None] = {}
-        self.let = greenlet.greenlet(call, loop.hub)
+        self.greenlet = greenlet.greenlet(call, loop.hub)
         self.parked = False
-        self.undo: Callable[[], None] | None = None
-        self.news: tuple[Any, BaseException | None] = (None, None)
+        self.cancel_wait: Callable[[], None] | None = None
+        self.wake_result: tuple[Any, BaseException | None] = (None, None)
         self.interrupts: list[BaseException] = []
         self.cancelled = self.done = False
         self.result: Any = None
@@ -114,20 +114,20 @@
         self.readers: dict[int, Callable[[], None]] = {}
         self.writers: dict[int, Callable[[], None]] = {}
         self.ready: deque[Task] = deque()
-        self.soon: deque[Callable[[], None]] = deque()
+        self.callbacks: deque[Callable[[], None]] = deque()
         self.tasks: dict[Task, None] = {}
         self.failed = 0
-        self.stood_still = 0  # how often the process was found to have been suspended
+        self.suspensions = 0  # how often the process was found to have been suspended
         self.now = time.monotonic()
-        # Data that is read now arrived no earlier than `seen_from`; `polled` is the end of the last poll.
-        self.seen_from = self.polled = self.now
-        self.first: Task | None = None
+        # Data that is read now arrived no earlier than `earliest_arrival`; `last_poll` is the end of the last poll.
+        self.earliest_arrival = self.last_poll = self.now
+        self.main_task: Task | None = None
 
     # ---- tasks ---------------------------------------------------------------------------------------------
 
     def spawn(self, call: Callable[..., Any], *args: Any, name: str = "", owner: Task | None = None) -> Task:
         """Starts a task that is owned by `owner`, or else by the current task."""
-        owner = owner or self.current or self.first
+        owner = owner or self.current or self.main_task
         task = Task(
             self, name or getattr(call, "__name__", "task"), owner, lambda: self._life(task, call, args)
         )
@@ -164,7 +164,7 @@
             task.ended.set()
 
     def park(self, undo: Callable[[], None] | None = None) -> Any:
-        """Waits until this task is woken; `undo` is called if the wait is interrupted instead."""
+        """Waits until this task is woken; `cancel_wait` is called if the wait is interrupted instead."""
         task = self.current
         if task is None:
             raise RuntimeError("only a task can wait")
@@ -174,10 +174,10 @@
             if undo is not None:
                 undo()
             raise task.interrupts.pop(0)
-        task.parked, task.undo, task.steps = True, undo, 0
+        task.parked, task.cancel_wait, task.steps = True, undo, 0
         self.hub.switch()
-        value, error = task.news
-        task.news = (None, None)
+        value, error = task.wake_result
+        task.wake_result = (None, None)
         if error is not None:
             raise error
         return value
@@ -186,14 +186,14 @@
         """Lets a parked task run in the loop's next turn; returns whether it was parked."""
         if not task.parked:
             return False
-        task.parked, task.undo, task.news = False, None, (value, error)
+        task.parked, task.cancel_wait, task.wake_result = False, None, (value, error)
         self.ready.append(task)
         return True
 
     def interrupt(self, task: Task, error: BaseException) -> None:
         """Raises `error` in the task where it is parked, or when it next parks."""
         if task.parked:
-            undo = task.undo
+            undo = task.cancel_wait
             self.wake(task, error=error)
             if undo is not None:
                 undo()
@@ -206,7 +206,7 @@
         timer = self.timers.set(time.monotonic() + seconds, lambda: void(self.wake(task)))
         self.park(lambda: self.timers.cancel(timer))
 
-    def breathe(self, after: int = 16) -> None:
+    def yield_if_busy(self, after: int = 16) -> None:
         """Lets other tasks run if this one has made `after` consecutive calls without waiting."""
         task = self.current
         if task is None:
@@ -230,7 +230,7 @@
 
     def call_soon(self, call: Callable[[], None]) -> None:
         """Runs a short call that must not wait once all tasks that are ready now have run."""
-        self.soon.append(call)
+        self.callbacks.append(call)
 
     # ---- descriptors ---------------------------------------------------------------------------------------
 
@@ -255,7 +255,7 @@
             self.masks[fd] = mask | bit
             self.poll.register(fd, mask | bit)
 
-    def forget(self, fd: int) -> None:
+    def unregister(self, fd: int) -> None:
         """Unregisters a descriptor that is about to be closed, and wakes the tasks that wait for it."""
         if self.masks.pop(fd, None) is not None:
             self.poll.unregister(fd)
@@ -281,13 +281,13 @@
     def run(self, call: Callable[..., Any], *args: Any) -> Any:
         """Runs `call` as the main task; returns when it has ended and all remaining tasks are cancelled."""
         self.hub = greenlet.getcurrent()
-        first = self.first = self.spawn(call, *args, name="main")
+        first = self.main_task = self.spawn(call, *args, name="main")
         while not first.done or self.tasks:
             if first.done:
                 for task in list(self.tasks):
                     task.cancel()
             self.turn()
-        self.first = None
+        self.main_task = None
         if first.error is not None and not isinstance(first.error, Cancelled):
             raise first.error
         return first.result
@@ -297,29 +297,29 @@
         for _ in range(len(self.ready)):
             task = self.ready.popleft()
             self.current = task
-            task.let.switch()
+            task.greenlet.switch()
             self.current = None
-        for _ in range(len(self.soon)):
-            self._run(self.soon.popleft())
+        for _ in range(len(self.callbacks)):
+            self._run(self.callbacks.popleft())
         self.now = time.monotonic()
         for at, call in self.timers.due(self.now):
             self.lag.add(self.now - at)
             self._run(call)
         timeout = MAX_POLL_S
-        if self.ready or self.soon:
+        if self.ready or self.callbacks:
             timeout = 0.0
         elif (at_next := self.timers.next_at()) is not None:
             timeout = min(timeout, max(0.0, at_next - time.monotonic()))
         entered = time.monotonic()
         events = self.poll.poll(timeout * 1000)
-        previous_poll, self.now = self.polled, time.monotonic()
-        self.polled = self.now
+        previous_poll, self.now = self.last_poll, time.monotonic()
+        self.last_poll = self.now
         # If the process was suspended, the events may be as old as the start of this poll. If the poll
         # returned at once, they may be as old as the previous poll, since the turn in between may have been
         # long.
         suspended = self.now - entered > timeout + SUSPENDED_AFTER_S
-        self.stood_still += suspended
-        self.seen_from = (
+        self.suspensions += suspended
+        self.earliest_arrival = (
             entered if suspended else previous_poll if self.now - entered < IMMEDIATE_POLL_S else self.now
         )
         for fd, mask in events:
@@ -385,7 +385,7 @@
             signal.set_wakeup_fd(old_wakeup_fd)
             for n, handler in old_handlers.items():
                 signal.signal(n, handler)
-            self.forget(read_end)
+            self.unregister(read_end)
             os.close(read_end)
             os.close(write_end)
 
--- a/ledgehitch/loop/sockets.py
+++ b/ledgehitch/loop/sockets.py
@@ -49,7 +49,7 @@
     def __init__(self, loop: Loop, sock: socket.socket, peer: str = "") -> None:
         self.loop, self.sock, self.peer = loop, sock, peer
         self.fd = sock.fileno()
-        self.since = loop.seen_from  # the next data read arrived no earlier than this
+        self.since = loop.earliest_arrival  # the next data read arrived no earlier than this
 
     def receive(self, most: int = 65536, likely_empty: bool = False) -> bytes:
         """Returns up to `most` bytes, none at the end of the stream; raises `OSError` if it was reset.
@@ -58,15 +58,15 @@
         """
         if likely_empty and self.fd >= 0:
             self.loop.wait_readable(self.fd)
-            self.since = self.loop.seen_from
+            self.since = self.loop.earliest_arrival
         while self.fd >= 0:
             try:
                 data = self.sock.recv(most)
             except BlockingIOError:
                 self.loop.wait_readable(self.fd)
-                self.since = self.loop.seen_from
+                self.since = self.loop.earliest_arrival
                 continue
-            self.loop.breathe()
+            self.loop.yield_if_busy()
             return data
         return b""
 
@@ -112,7 +112,7 @@
     def close(self) -> None:
         if self.fd >= 0:
             fd, self.fd = self.fd, -1
-            self.loop.forget(fd)
+            self.loop.unregister(fd)
             self.sock.close()
 
     def reset(self) -> None:
@@ -143,7 +143,7 @@
             raise OSError(failed, os.strerror(failed))
     except BaseException:
         fd = sock.fileno()
-        loop.forget(fd)
+        loop.unregister(fd)
         sock.close()
         raise
     return Stream(loop, sock, str(to))
@@ -169,7 +169,7 @@
         self.fd = self.sock.fileno()
         self.at = Endpoint(at.family, self.sock.getsockname())
         self.refused_for_descriptors = 0
-        self.since = loop.seen_from  # the next accepted connection arrived no earlier than this
+        self.since = loop.earliest_arrival  # the next accepted connection arrived no earlier than this
 
     def accept(self) -> Stream:
         """Waits for a connection; raises `ConnectionAbortedError` once the listener is closed."""
@@ -178,7 +178,7 @@
                 sock, peer = self.sock.accept()
             except BlockingIOError:
                 self.loop.wait_readable(self.fd)
-                self.since = self.loop.seen_from
+                self.since = self.loop.earliest_arrival
                 continue
             except ConnectionError:
                 continue
@@ -197,7 +197,7 @@
                 except OSError:  # it was reset meanwhile
                     sock.close()
                     continue
-            self.loop.breathe()
+            self.loop.yield_if_busy()
             stream = Stream(self.loop, sock, str(peer[0]) if peer else "unix")
             # It may have waited unseen while no descriptor was free or many connections arrived.
             stream.since = self.since
@@ -207,7 +207,7 @@
     def close(self) -> None:
         if self.fd >= 0:
             fd, self.fd = self.fd, -1
-            self.loop.forget(fd)
+            self.loop.unregister(fd)
             self.sock.close()
 
 
@@ -230,7 +230,7 @@
                 continue
             except ConnectionError:
                 continue  # ICMP reply to an earlier datagram: nothing listens there
-            self.loop.breathe()
+            self.loop.yield_if_busy()
             return got
         raise ConnectionAbortedError("the socket was closed")
 
@@ -244,5 +244,5 @@
     def close(self) -> None:
         if self.fd >= 0:
             fd, self.fd = self.fd, -1
-            self.loop.forget(fd)
+            self.loop.unregister(fd)
             self.sock.close()
--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -86,7 +86,7 @@
             self._apply_known_events(now, configuration),
             configuration.seed,
         )
-        self.journal.owner = hosts.owner = viewers.owner = loop.first
+        self.journal.owner = hosts.owner = viewers.owner = loop.main_task
         self.listener = Listener(loop, endpoint(configuration.listen))
 
     def _send_to_peer(self, message: bytes, recipient: int) -> None:
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -195,7 +195,7 @@
                     # A request's time counts from its arrival, which may be long before it is read.
                     until = self.loop.now + pause
                     self.loop.wait_readable(stream.fd)
-                    arrived_at = self.loop.seen_from
+                    arrived_at = self.loop.earliest_arrival
                     if until > self.loop.now:
                         self.loop.sleep(until - self.loop.now)
         except OSError:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -439,7 +439,7 @@
         self.sock.setblocking(False)
         listener = Listener.__new__(Listener)
         listener.loop, listener.sock, listener.fd = harness.loop, self.sock, self.sock.fileno()
-        listener.refused_for_descriptors, listener.since = 0, harness.loop.seen_from
+        listener.refused_for_descriptors, listener.since = 0, harness.loop.earliest_arrival
         host.listener = listener
         harness.loop.spawn(host._serve, name=host.name)
 
@@ -552,7 +552,7 @@
         hosts = HostConnections(
             loop, ConnectionSettings(1.0, 30.0, 1000), FailureDetector(0.0), 8, 1 << 20, ()
         )
-        hosts.controller, hosts.owner = controller, loop.first
+        hosts.controller, hosts.owner = controller, loop.main_task
         listener = Listener(loop, endpoint("127.0.0.1:0"))
         hosts.on_host_listed("h", str(listener.at), False)
         connection = hosts.set_up(session_id(1), "h", dict(fields), "x" * 12000)
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -454,7 +454,7 @@
 def test_no_request_goes_out_on_a_connection_that_is_being_closed(loop: Loop) -> None:
     """Such a set-up was reported as reset at once, and so counted as one that may have run."""
     hosts = HostConnections(loop, ConnectionSettings(1.0, 30.0, 1000), FailureDetector(0.0), 8, 1 << 20, ())
-    hosts.controller, hosts.owner = StubHostEvents(3.0), loop.first
+    hosts.controller, hosts.owner = StubHostEvents(3.0), loop.main_task
     listener = Listener(loop, endpoint("127.0.0.1:0"))
     hosts.on_host_listed("h", str(listener.at), False)
     fields: dict[str, Any] = {"class": "clip", "left": "3000"}
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -338,7 +338,7 @@
         poll = rig.loop.poll
         rig.loop.poll = StoodStill(poll, 0.7)  # type: ignore[assignment]
         statuses = [answer(stream).status for stream in streams]
-        assert rig.loop.stood_still >= 1
+        assert rig.loop.suspensions >= 1
         asked = [v.asked_at for v in rig.gateway.carrier.mind.brain.viewings.values()]
         assert statuses and set(statuses) <= {201, 503, 504}
         assert all(at <= entered + 0.6 for at in asked), "asked before the stop was over"
