--- a/ledgehitch/http/client.py
+++ b/ledgehitch/http/client.py
@@ -133,7 +133,7 @@
             _, stream = pool.pop()
             # Guards against sending into a connection that the other side has closed, or that holds an
             # answer nobody asked for (a second one to an earlier request).
-            if stream.quiet():
+            if stream.is_idle():
                 self.reused += 1
                 return stream
             self.dirty += 1
@@ -180,7 +180,7 @@
         """Closes what was idle too long; run now and then."""
         for address in list(self._pools):
             pool = self._pools[address]
-            while pool and (pool[0][0] <= self.loop.now or not pool[0][1].quiet()):
+            while pool and (pool[0][0] <= self.loop.now or not pool[0][1].is_idle()):
                 pool.popleft()[1].close()
             if not pool:
                 del self._pools[address]
--- a/ledgehitch/http/server.py
+++ b/ledgehitch/http/server.py
@@ -125,7 +125,7 @@
                 data = stream.receive(likely_empty=not first)
         except TimedOut:
             return []
-        since = stream.since
+        since = stream.earliest_arrival
         told = False
         requests: list[Request] = reader.feed(data) if data else []
         if data and not requests:
@@ -141,7 +141,7 @@
                 self.slow += 1
                 raise Refused(408, f"the request was not whole in {self.limits.request_within:g} s") from None
         for request in requests:
-            request.arrived = since if told is False and len(requests) else stream.since
+            request.arrived = since if told is False and len(requests) else stream.earliest_arrival
         return requests
 
     def _answer(self, stream: AnyStream, request: Request) -> bool:
@@ -161,7 +161,7 @@
         try:
             self._send(stream, response.written(request.keep, request.method == "HEAD"))
             # Guards against an answer that went into the buffers of a connection whose client had left.
-            whole = not stream.ended()
+            whole = not stream.peer_closed()
         finally:
             if response.after is not None:
                 response.after(whole)
@@ -181,7 +181,7 @@
 
     def _send(self, stream: AnyStream, data: bytes) -> None:
         try:
-            rest = stream.send_now(data)
+            rest = stream.send_nowait(data)
             if rest:
                 with self.loop.deadline(self.limits.send_within):
                     stream.send(rest)
@@ -206,7 +206,7 @@
             return
 
         def look() -> None:
-            if stream.ended():
+            if stream.peer_closed():
                 call()
             # Bytes of a next request: a client that is still there. It is read when this one is answered.
 
--- a/ledgehitch/loop/sockets.py
+++ b/ledgehitch/loop/sockets.py
@@ -44,12 +44,12 @@
 class Stream:
     """A connected stream. One task may read while another writes, but no two may do the same."""
 
-    __slots__ = ("loop", "sock", "fd", "since", "peer")
+    __slots__ = ("loop", "sock", "fd", "earliest_arrival", "peer")
 
     def __init__(self, loop: Loop, sock: socket.socket, peer: str = "") -> None:
         self.loop, self.sock, self.peer = loop, sock, peer
         self.fd = sock.fileno()
-        self.since = loop.earliest_arrival  # the next data read arrived no earlier than this
+        self.earliest_arrival = loop.earliest_arrival  # the next data read arrived no earlier than this
 
     def receive(self, most: int = 65536, likely_empty: bool = False) -> bytes:
         """Returns up to `most` bytes, none at the end of the stream; raises `OSError` if it was reset.
@@ -58,13 +58,13 @@
         """
         if likely_empty and self.fd >= 0:
             self.loop.wait_readable(self.fd)
-            self.since = self.loop.earliest_arrival
+            self.earliest_arrival = self.loop.earliest_arrival
         while self.fd >= 0:
             try:
                 data = self.sock.recv(most)
             except BlockingIOError:
                 self.loop.wait_readable(self.fd)
-                self.since = self.loop.earliest_arrival
+                self.earliest_arrival = self.loop.earliest_arrival
                 continue
             self.loop.yield_if_busy()
             return data
@@ -81,7 +81,7 @@
             except BlockingIOError:
                 self.loop.wait_writable(self.fd)
 
-    def send_now(self, data: bytes) -> bytes:
+    def send_nowait(self, data: bytes) -> bytes:
         """Sends what is possible without waiting, and returns the rest."""
         if self.fd < 0:
             raise ConnectionResetError("closed here")
@@ -90,7 +90,7 @@
         except BlockingIOError:
             return data
 
-    def ended(self) -> bool:
+    def peer_closed(self) -> bool:
         """Returns, without waiting, whether the peer closed the connection; False if unread bytes remain."""
         return self.peek(1) == b""
 
@@ -105,7 +105,7 @@
         except OSError:
             return b""
 
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Returns whether it is open with nothing to read, so that it may be reused for a new request."""
         return self.peek(1) is None
 
@@ -169,7 +169,7 @@
         self.fd = self.sock.fileno()
         self.at = Endpoint(at.family, self.sock.getsockname())
         self.refused_for_descriptors = 0
-        self.since = loop.earliest_arrival  # the next accepted connection arrived no earlier than this
+        self.earliest_arrival = loop.earliest_arrival  # the next accepted connection arrived no earlier than this
 
     def accept(self) -> Stream:
         """Waits for a connection; raises `ConnectionAbortedError` once the listener is closed."""
@@ -178,7 +178,7 @@
                 sock, peer = self.sock.accept()
             except BlockingIOError:
                 self.loop.wait_readable(self.fd)
-                self.since = self.loop.earliest_arrival
+                self.earliest_arrival = self.loop.earliest_arrival
                 continue
             except ConnectionError:
                 continue
@@ -200,7 +200,7 @@
             self.loop.yield_if_busy()
             stream = Stream(self.loop, sock, str(peer[0]) if peer else "unix")
             # It may have waited unseen while no descriptor was free or many connections arrived.
-            stream.since = self.since
+            stream.earliest_arrival = self.earliest_arrival
             return stream
         raise ConnectionAbortedError("the listener was closed")
 
--- a/ledgehitch/loop/tls.py
+++ b/ledgehitch/loop/tls.py
@@ -24,8 +24,8 @@
         return self.stream.fd
 
     @property
-    def since(self) -> float:
-        return self.stream.since
+    def earliest_arrival(self) -> float:
+        return self.stream.earliest_arrival
 
     def _flush(self) -> None:
         data = self._out.read()
@@ -76,26 +76,26 @@
             self._tls.write(data)
         self._flush()
 
-    def send_now(self, data: bytes) -> bytes:
+    def send_nowait(self, data: bytes) -> bytes:
         """Sends all of the data, waiting for what cannot be sent at once; returns no rest."""
         self._tls.write(data)
-        rest = self.stream.send_now(self._out.read())
+        rest = self.stream.send_nowait(self._out.read())
         if rest:
             self.stream.send(rest)
         return b""
 
-    def ended(self) -> bool:
-        return self.stream.ended()
+    def peer_closed(self) -> bool:
+        return self.stream.peer_closed()
 
-    def quiet(self) -> bool:
-        return self.stream.quiet() and not self._tls.pending() and not self._in.pending
+    def is_idle(self) -> bool:
+        return self.stream.is_idle() and not self._tls.pending() and not self._in.pending
 
     def close(self) -> None:
         if self.stream.fd >= 0:
             with suppress(ssl.SSLError, ValueError):
                 self._tls.unwrap()  # queues the closing alert; the peer's own alert is not awaited
             with suppress(OSError):
-                self.stream.send_now(self._out.read())
+                self.stream.send_nowait(self._out.read())
         self.stream.close()
 
     def reset(self) -> None:
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -152,7 +152,7 @@
             number = eviction_candidate(self.loop.now, candidates)
             if number is None:
                 break
-            if self.connections[number].stream.quiet():
+            if self.connections[number].stream.is_idle():
                 self.evicted += 1
                 self.close(self.connections[number])
                 return True
@@ -170,13 +170,13 @@
     def _run(self, conn: ViewerConnection) -> None:
         stream = conn.stream
         # Data that came with the connection may have waited for as long as the connection.
-        arrived_at = math.inf if stream.quiet() else stream.since
+        arrived_at = math.inf if stream.is_idle() else stream.earliest_arrival
         try:
             while True:
                 data = stream.receive(READ_BYTES, likely_empty=True)
                 if not data:
                     return
-                now, arrived_at = min(self.loop.now, stream.since, arrived_at), math.inf
+                now, arrived_at = min(self.loop.now, stream.earliest_arrival, arrived_at), math.inf
                 conn.last_heard_at = self.loop.now
                 complete = False
                 try:
@@ -324,7 +324,7 @@
     def send_response(self, response: Response) -> bool:
         """Returns whether it was sent or buffered; False where the connection has ended, read or not."""
         conn = self.connections.get(response.conn)
-        if conn is None or conn.stream.ended():
+        if conn is None or conn.stream.peer_closed():
             return False
         advice = [("Retry-After", f"{response.advice:.3f}")] if response.advice > 0 else []
         body = response.description.encode()
@@ -350,7 +350,7 @@
     def send_release(self, release: Release) -> bool:
         """Returns whether it was sent or buffered; False where the connection has ended, read or not."""
         conn = self.connections.get(release.conn)
-        if conn is None or conn.stream.ended():
+        if conn is None or conn.stream.peer_closed():
             return False
         fields = [("Reason", f"cause={release.cause}")]
         return conn.writer.write(
@@ -371,7 +371,7 @@
             overdue = conn.throttle.should_close(now) and not self.controller.sessions.has_pending(
                 conn.number
             )
-            if not (idle or overdue) or conn.throttle.faults <= MAX_FAULTS and not conn.stream.quiet():
+            if not (idle or overdue) or conn.throttle.faults <= MAX_FAULTS and not conn.stream.is_idle():
                 continue
             if idle:
                 self.close(conn)
--- a/ledgehitch/platform/hosts.py
+++ b/ledgehitch/platform/hosts.py
@@ -263,7 +263,7 @@
             connection := choose(usable, self.reach.max_streams, now, self.reach.idle_timeout_s, tag)
         ) is not None:
             # The media host may have closed the connection, which is not read yet: no set-up may go there.
-            if connection.pending or connection.writer is None or not connection.writer.stream.ended():
+            if connection.pending or connection.writer is None or not connection.writer.stream.peer_closed():
                 return connection
             usable.remove(connection)
         return self._open(host)
--- a/ledgehitch/platform/pipe.py
+++ b/ledgehitch/platform/pipe.py
@@ -37,7 +37,7 @@
             self._buffer += data
         else:
             try:
-                self._buffer = self.stream.send_now(data)
+                self._buffer = self.stream.send_nowait(data)
             except OSError:
                 return self._fail()
         if len(self._buffer) > self.max_buffered:
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -260,7 +260,7 @@
             return Got("broken")
         advice = float(response.header("retry-after") or 0)
         kind = KINDS.get(response.status, "other")
-        extra = 0 if stream.quiet() or stream.ended() else 1
+        extra = 0 if stream.is_idle() or stream.peer_closed() else 1
         self.tape.write(
             "answer",
             conn=conn,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -439,7 +439,7 @@
         self.sock.setblocking(False)
         listener = Listener.__new__(Listener)
         listener.loop, listener.sock, listener.fd = harness.loop, self.sock, self.sock.fileno()
-        listener.refused_for_descriptors, listener.since = 0, harness.loop.earliest_arrival
+        listener.refused_for_descriptors, listener.earliest_arrival = 0, harness.loop.earliest_arrival
         host.listener = listener
         harness.loop.spawn(host._serve, name=host.name)
 
@@ -1019,7 +1019,7 @@
             try:
                 old.send(b":\n\n")
                 loop.sleep(0.05)
-                open_feeds += not old.ended()
+                open_feeds += not old.peer_closed()
             except OSError:
                 continue
         assert open_feeds == 1, "a call to a former address is still open"
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -226,9 +226,9 @@
         got = b""
         while len(got) < 500000:
             got += client.receive()
-        assert got == b"hello" * 100000 and client.quiet() and not client.ended()
+        assert got == b"hello" * 100000 and client.is_idle() and not client.peer_closed()
         client.close()
-        assert client.ended() and client.receive() == b""
+        assert client.peer_closed() and client.receive() == b""
 
     loop.run(main)
 
@@ -268,7 +268,7 @@
         listener.accept().reset()
         with pytest.raises(ConnectionResetError):
             client.receive()
-        assert client.ended()
+        assert client.peer_closed()
 
     loop.run(main)
 
