--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -74,7 +74,7 @@
         held = lambda: len(self.running.carrier.viewings)  # noqa: E731
         self.running.versions = Versions(loop, *source, self.running.place, name, held)
         self.life = Life(time.monotonic(), max(p.patience for p in site.packages))
-        self.stir = Pump(loop, self._pull).stir  # something was told
+        self.stir = Pump(loop, self._pull).schedule  # something was told
         self.admin = Admin(self.running, self.life, environment.get(TICKET, ""), self.stir)
         self.carried = Keep(place.directory / f"{name}.carried", synced=True)
         self.admin.carried = str(self.carried.read() or "")
@@ -232,7 +232,7 @@
             with self.loop.deadline(PROVEN_WITHIN):
                 code = child.wait()
         except TimedOut:
-            code = child.end(0.5) or -1
+            code = child.terminate(0.5) or -1
         why = "" if code == 0 else f"the program that is installed does not start (exit code {code})"
         if why:
             log.error("not restarted, this life goes on", why=why)
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -110,7 +110,7 @@
         self.doorman: Doorman | None = None  # without one everybody is let in as they come
         self._at_door: dict[int, tuple[tuple[int, int], int, float]] = {}  # cells, highest rung, patience
         self.home: Task | None = None  # owns what is carried out, so that it outlives the request
-        self.stir = Pump(loop, self._pull).stir  # something was told
+        self.stir = Pump(loop, self._pull).schedule  # something was told
 
     # ---- the pump ------------------------------------------------------------------------------------------
 
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -225,7 +225,9 @@
             if time.monotonic() - told >= TOLD_EVERY:
                 told = time.monotonic()
                 counts = msgspec.to_builtins(self.carrier.counts)
-                log.info("figures", viewings=len(self.carrier.viewings), **self.loop.lag.taken(), **counts)
+                log.info(
+                    "figures", viewings=len(self.carrier.viewings), **self.loop.lag.take_figures(), **counts
+                )
 
     def stop(self) -> None:
         self.server.close()
--- a/ledgehitch/gateway/versions.py
+++ b/ledgehitch/gateway/versions.py
@@ -75,7 +75,7 @@
                 with self.loop.deadline(CHECKED_WITHIN):
                     child.wait()
             except TimedOut:
-                child.end(0.5)
+                child.terminate(0.5)
             found = msgspec.json.decode(out.read_bytes(), type=Compiled)
         except (OSError, msgspec.MsgspecError) as problem:
             found = Compiled(mistakes=[f"{self.source} could not be checked: {problem}"])
--- a/ledgehitch/http/events.py
+++ b/ledgehitch/http/events.py
@@ -60,7 +60,7 @@
 
     def tell(self, data: bytes) -> bool:
         """Whether the reader still keeps up."""
-        if not self._channel.offer(data):
+        if not self._channel.try_put(data):
             self.cut = True
             self._channel.close()
         return not self.cut
--- a/ledgehitch/loop/channel.py
+++ b/ledgehitch/loop/channel.py
@@ -13,47 +13,47 @@
 
 
 class Channel(Generic[T]):
-    """A FIFO queue of at most `room` items. Senders wait while it is full, receivers while it is empty."""
+    """A FIFO queue of at most `capacity` items. Senders wait while it is full, receivers while empty."""
 
-    def __init__(self, loop: Loop, room: int) -> None:
-        self.loop, self.room = loop, max(1, room)
-        self.held: deque[T] = deque()
+    def __init__(self, loop: Loop, capacity: int) -> None:
+        self.loop, self.capacity = loop, max(1, capacity)
+        self.items: deque[T] = deque()
         self.closed = False
-        self._takers: dict[Task, None] = {}
-        self._givers: dict[Task, None] = {}
+        self._receivers: dict[Task, None] = {}
+        self._senders: dict[Task, None] = {}
 
     def __len__(self) -> int:
-        return len(self.held)
+        return len(self.items)
 
-    def offer(self, item: T) -> bool:
+    def try_put(self, item: T) -> bool:
         """Adds an item without waiting; returns False if the channel is full or closed."""
-        if self.closed or len(self.held) >= self.room:
+        if self.closed or len(self.items) >= self.capacity:
             return False
-        self.held.append(item)
-        self._wake(self._takers)
+        self.items.append(item)
+        self._wake(self._receivers)
         return True
 
     def put(self, item: T) -> None:
         """Adds an item, waiting while the channel is full; raises `Closed` if it is closed."""
-        while not self.offer(item):
+        while not self.try_put(item):
             if self.closed:
                 raise Closed()
-            self._wait(self._givers)
+            self._wait(self._senders)
 
     def take(self) -> T:
         """Removes the oldest item, waiting for one; raises `Closed` if the channel is closed and empty."""
-        while not self.held:
+        while not self.items:
             if self.closed:
                 raise Closed()
-            self._wait(self._takers)
-        item = self.held.popleft()
-        self._wake(self._givers)
+            self._wait(self._receivers)
+        item = self.items.popleft()
+        self._wake(self._senders)
         return item
 
     def close(self) -> None:
         """Accepts no more items and wakes all waiting tasks; items in the channel can still be taken."""
         self.closed = True
-        for waiters in (self._takers, self._givers):
+        for waiters in (self._receivers, self._senders):
             while waiters:
                 self._wake(waiters)
 
@@ -62,12 +62,12 @@
         assert task is not None
         waiters[task] = None
 
-        def undo() -> None:
+        def on_interrupt() -> None:
             # A receiver that was woken and then interrupted passes its wake-up on to the next one.
-            if waiters.pop(task, None) is None and self.held:
-                self._wake(self._takers)
+            if waiters.pop(task, None) is None and self.items:
+                self._wake(self._receivers)
 
-        self.loop.park(undo)
+        self.loop.park(on_interrupt)
 
     def _wake(self, waiters: dict[Task, None]) -> None:
         while waiters:
--- a/ledgehitch/loop/children.py
+++ b/ledgehitch/loop/children.py
@@ -45,7 +45,7 @@
         self._ended.wait()
         return self.process.wait()
 
-    def end(self, within: float = 1.5) -> int:
+    def terminate(self, within: float = 1.5) -> int:
         """Terminates the process, and kills it if it is still running after `within` seconds."""
         self.signal(signal.SIGTERM)
         self.signal(signal.SIGCONT)  # a stopped process could not handle SIGTERM
--- a/ledgehitch/loop/kernel.py
+++ b/ledgehitch/loop/kernel.py
@@ -119,7 +119,7 @@
         self.failed = 0
         self.suspensions = 0  # how often the process was found to have been suspended
         self.now = time.monotonic()
-        # Data that is read now arrived no earlier than `earliest_arrival`; `last_poll` is the end of the last poll.
+        # Data that is read now arrived no earlier than `earliest_arrival`; `last_poll` is the end of a poll.
         self.earliest_arrival = self.last_poll = self.now
         self.main_task: Task | None = None
 
@@ -302,7 +302,7 @@
         for _ in range(len(self.callbacks)):
             self._run(self.callbacks.popleft())
         self.now = time.monotonic()
-        for at, call in self.timers.due(self.now):
+        for at, call in self.timers.pop_due(self.now):
             self.lag.add(self.now - at)
             self._run(call)
         timeout = MAX_POLL_S
--- a/ledgehitch/loop/lag.py
+++ b/ledgehitch/loop/lag.py
@@ -31,8 +31,8 @@
                 return edge
         return 0.0
 
-    def taken(self) -> dict[str, float]:
+    def take_figures(self) -> dict[str, float]:
         """Returns the figures for the log in seconds, and resets the maximum."""
-        told = {"lag_p50": self.quantile(0.5), "lag_p99": self.quantile(0.99), "lag_worst": self.worst}
+        figures = {"lag_p50": self.quantile(0.5), "lag_p99": self.quantile(0.99), "lag_worst": self.worst}
         self.worst = 0.0
-        return told
+        return figures
--- a/ledgehitch/loop/pump.py
+++ b/ledgehitch/loop/pump.py
@@ -9,28 +9,30 @@
 class Pump:
     """Runs a decision function after new input, and when the function asked to run again."""
 
-    def __init__(self, loop: Loop, pull: Callable[[], float | None]) -> None:
+    def __init__(self, loop: Loop, run_decisions: Callable[[], float | None]) -> None:
         """Starts idle.
 
-        `pull` carries out all pending decisions and returns when it is to run again, on the clock of
+        `run_decisions` carries out all pending decisions and returns when it is to run again, on the clock of
         `time.monotonic()`, or None. It must not wait.
         """
-        self.loop, self._pull = loop, pull
-        self._due = False
+        self.loop, self._run_decisions = loop, run_decisions
+        self._scheduled = False
         self._timer: Timer | None = None
-        self._at = 0.0
+        self._timer_at = 0.0
 
-    def stir(self) -> None:
+    def schedule(self) -> None:
         """Schedules a run, once all tasks that are ready now have run."""
-        if not self._due:
-            self._due = True
+        if not self._scheduled:
+            self._scheduled = True
             self.loop.call_soon(self._run)
 
     def _run(self) -> None:
-        self._due = False
-        wake = self._pull()
+        self._scheduled = False
+        wake_at = self._run_decisions()
         # An earlier timer is left in place: it causes at most one run without anything to do.
-        if wake is not None and (self._timer is None or self._timer.call is None or wake < self._at):
+        if wake_at is not None and (
+            self._timer is None or self._timer.call is None or wake_at < self._timer_at
+        ):
             if self._timer is not None:
                 self.loop.timers.cancel(self._timer)
-            self._timer, self._at = self.loop.call_at(wake, self.stir), wake
+            self._timer, self._timer_at = self.loop.call_at(wake_at, self.schedule), wake_at
--- a/ledgehitch/loop/sockets.py
+++ b/ledgehitch/loop/sockets.py
@@ -49,7 +49,7 @@
     def __init__(self, loop: Loop, sock: socket.socket, peer: str = "") -> None:
         self.loop, self.sock, self.peer = loop, sock, peer
         self.fd = sock.fileno()
-        self.earliest_arrival = loop.earliest_arrival  # the next data read arrived no earlier than this
+        self.earliest_arrival = loop.earliest_arrival  # of the next data read
 
     def receive(self, most: int = 65536, likely_empty: bool = False) -> bytes:
         """Returns up to `most` bytes, none at the end of the stream; raises `OSError` if it was reset.
@@ -169,7 +169,7 @@
         self.fd = self.sock.fileno()
         self.at = Endpoint(at.family, self.sock.getsockname())
         self.refused_for_descriptors = 0
-        self.earliest_arrival = loop.earliest_arrival  # the next accepted connection arrived no earlier than this
+        self.earliest_arrival = loop.earliest_arrival  # of the next accepted connection
 
     def accept(self) -> Stream:
         """Waits for a connection; raises `ConnectionAbortedError` once the listener is closed."""
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -91,7 +91,7 @@
         self.viewings: dict[int, Viewing] = {}
         self.counts: dict[str, int] = {}
         self._failed: list[Callable[[], None]] = []  # outcomes of decisions that could not be executed
-        self.schedule = Pump(loop, self._execute_decisions).stir  # to be called after each input
+        self.schedule = Pump(loop, self._execute_decisions).schedule  # to be called after each input
 
     def count(self, event: str) -> None:
         self.counts[event] = self.counts.get(event, 0) + 1
--- a/ledgehitch/rehearsal/play.py
+++ b/ledgehitch/rehearsal/play.py
@@ -252,7 +252,7 @@
         codes = {}
         waits = {}
         for name, child in self.children.items():
-            waits[name] = self.loop.spawn(child.end, 3.0, name=f"end {name}")
+            waits[name] = self.loop.spawn(child.terminate, 3.0, name=f"end {name}")
         for name, task in waits.items():
             codes[name] = task.wait()
         self.tape.close()
--- a/ledgehitch/scale/hollow.py
+++ b/ledgehitch/scale/hollow.py
@@ -201,7 +201,7 @@
                         "slow": slow,
                         "refused": refused,
                         "failed": self.loop.failed,
-                        **self.loop.lag.taken(),
+                        **self.loop.lag.take_figures(),
                     }
                 )
             case _:
--- a/ledgehitch/scale/relay.py
+++ b/ledgehitch/scale/relay.py
@@ -72,7 +72,7 @@
                 self.wires.cuts.everywhere = Bad(**_told(request))
             case "/counts":
                 self.tape.flush()
-                return answer({"by": self.counted.by, **self.loop.lag.taken()})
+                return answer({"by": self.counted.by, **self.loop.lag.take_figures()})
             case _:
                 raise Refused(404, f"no such call: {request.path}")
         return answer({"t": time.monotonic()})
--- a/ledgehitch/scale/rig.py
+++ b/ledgehitch/scale/rig.py
@@ -228,7 +228,7 @@
 
     def no_viewers(self) -> None:
         if "viewers" in self.children:
-            self.children.pop("viewers").end()
+            self.children.pop("viewers").terminate()
 
     def start_bare(self) -> None:
         """A gateway as the real ones are, without membership: what theirs is held against."""
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -38,7 +38,7 @@
     for timer in gone:
         timers.cancel(timer)
     assert timers.next_at() == 1.0 and len(timers) == 3
-    for _, call in timers.due(1.5):
+    for _, call in timers.pop_due(1.5):
         call()
     assert ran == ["first", "second"] and timers.next_at() == 2.0
 
@@ -47,9 +47,9 @@
     lag = Lag()
     for late in [0.0005] * 98 + [0.03] * 2:
         lag.add(late)
-    told = lag.taken()
+    told = lag.take_figures()
     assert (told["lag_p50"], told["lag_p99"], told["lag_worst"]) == (0.001, 0.05, 0.03)
-    assert lag.taken()["lag_worst"] == 0.0
+    assert lag.take_figures()["lag_worst"] == 0.0
     for _ in range(5000):
         lag.add(0.0)
     assert lag.total < 4096, "halved now and then"
@@ -190,7 +190,7 @@
             except Closed:
                 pass
 
-        assert channel.offer(1) and channel.offer(2) and not channel.offer(3)
+        assert channel.try_put(1) and channel.try_put(2) and not channel.try_put(3)
         first, second = loop.spawn(take), loop.spawn(take)
         for n in range(3, 9):
             channel.put(n)
@@ -297,7 +297,7 @@
             stdout=-1,
         )
         assert stubborn.first_line() == b"up\n"
-        assert stubborn.end(within=0.2) == -signal.SIGKILL
+        assert stubborn.terminate(within=0.2) == -signal.SIGKILL
 
     loop.run(main)
 
