--- a/ledgehitch/daemon/admin.py
+++ b/ledgehitch/daemon/admin.py
@@ -36,7 +36,7 @@
 from ledgehitch.daemon.why import words_on
 from ledgehitch.gateway.serve import Running
 from ledgehitch.http import Refused, Request, Response
-from ledgehitch.loop import forked
+from ledgehitch.loop import run_forked
 from ledgehitch.owners.facts import RESTARTS
 
 MOST = 1000  # viewings in one answer
@@ -265,7 +265,7 @@
 
         try:
             # A copy of the process reads the record, so that set-ups do not wait for it.
-            if forked(self.running.loop, tell) != 0:
+            if run_forked(self.running.loop, tell) != 0:
                 raise Refused(500, "the record does not read")
             lines = msgspec.json.decode(os.read(ours, 65536), type=list[str])
         finally:
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -18,7 +18,7 @@
 from ledgehitch.config import BadInput, Site
 from ledgehitch.config.site import stated
 from ledgehitch.daemon.membership import Membership
-from ledgehitch.loop import Event, Loop, forked
+from ledgehitch.loop import Event, Loop, run_forked
 from ledgehitch.loop.kernel import Task
 from ledgehitch.loop.timers import Timer
 from ledgehitch.owners.clock import ClockCheck
@@ -97,7 +97,7 @@
 
         code, writing = 5, self.writing
         try:
-            code = forked(self.loop, put)
+            code = run_forked(self.loop, put)
         finally:
             self.writing = None
             assert writing is not None
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -17,8 +17,8 @@
 import structlog
 
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Refused, Request, Response, problem
-from ledgehitch.loop import Loop, TimedOut, forked
-from ledgehitch.loop.kernel import void
+from ledgehitch.loop import Loop, TimedOut, run_forked
+from ledgehitch.loop.kernel import discard
 from ledgehitch.quality.facts import Seen, reports_in
 from ledgehitch.quality.judge import FEW, Judge, Verdict, look
 from ledgehitch.quality.keep import Keep
@@ -228,7 +228,7 @@
             keep.write(self.tally.frozen())
             return
         # Guards against set-ups waiting for a large snapshot: a copy of the process writes it.
-        if forked(self.loop, lambda: keep.write(self.tally.frozen())) == 0:
+        if run_forked(self.loop, lambda: keep.write(self.tally.frozen())) == 0:
             keep.serial += 1
         else:
             log.error("the snapshot was not written", path=str(keep.path))
@@ -248,8 +248,8 @@
             return look(table, expected)
         ours, theirs = os.pipe()
         try:
-            told = lambda: void(os.write(theirs, msgspec.json.encode(look(table, expected))[:65536]))  # noqa: E731
-            code = forked(self.loop, told)
+            told = lambda: discard(os.write(theirs, msgspec.json.encode(look(table, expected))[:65536]))  # noqa: E731
+            code = run_forked(self.loop, told)
             return (
                 msgspec.json.decode(os.read(ours, 65536), type=Verdict) if code == 0 else self.judge.verdict
             )
--- a/ledgehitch/loop/__init__.py
+++ b/ledgehitch/loop/__init__.py
@@ -11,13 +11,13 @@
 from ledgehitch.loop.sockets import Datagrams, Endpoint, Listener, Stream, connect, endpoint
 
 if TYPE_CHECKING:
-    from ledgehitch.loop.children import Child, forked
+    from ledgehitch.loop.children import Child, run_forked
     from ledgehitch.loop.tls import AnyStream, TlsStream
 
 __all__ = [
     "AnyStream",
     "TlsStream",
-    "forked",
+    "run_forked",
     "Cancelled",
     "Channel",
     "Child",
@@ -37,7 +37,7 @@
 
 def __getattr__(name: str) -> Any:
     """Loads TLS and child processes on first use, to save memory in gateways on small machines."""
-    if name in ("Child", "forked"):
+    if name in ("Child", "run_forked"):
         from ledgehitch.loop import children
 
         return getattr(children, name)
--- a/ledgehitch/loop/children.py
+++ b/ledgehitch/loop/children.py
@@ -75,7 +75,7 @@
         return line
 
 
-def forked(loop: Loop, call: Callable[[], None]) -> int:
+def run_forked(loop: Loop, call: Callable[[], None]) -> int:
     """Runs a call in a fork of this process and waits for it while the loop continues.
 
     The call may only compute and write files. Returns the exit code, 0 on success.
--- a/ledgehitch/loop/kernel.py
+++ b/ledgehitch/loop/kernel.py
@@ -203,7 +203,7 @@
     def sleep(self, seconds: float) -> None:
         task = self.current
         assert task is not None
-        timer = self.timers.set(time.monotonic() + seconds, lambda: void(self.wake(task)))
+        timer = self.timers.set(time.monotonic() + seconds, lambda: discard(self.wake(task)))
         self.park(lambda: self.timers.cancel(timer))
 
     def yield_if_busy(self, after: int = 16) -> None:
@@ -267,13 +267,13 @@
     def wait_readable(self, fd: int) -> None:
         task = self.current
         assert task is not None
-        self.on_readable(fd, lambda: void(self.wake(task)))
+        self.on_readable(fd, lambda: discard(self.wake(task)))
         self.park(lambda: self.on_readable(fd, None))
 
     def wait_writable(self, fd: int) -> None:
         task = self.current
         assert task is not None
-        self.on_writable(fd, lambda: void(self.wake(task)))
+        self.on_writable(fd, lambda: discard(self.wake(task)))
         self.park(lambda: self.on_writable(fd, None))
 
     # ---- the turn ------------------------------------------------------------------------------------------
@@ -444,11 +444,11 @@
             task = self.loop.current
             assert task is not None
             self.waiters[task] = None
-            self.loop.park(lambda: void(self.waiters.pop(task, None)))
+            self.loop.park(lambda: discard(self.waiters.pop(task, None)))
         return self.value
 
 
-def void(_: object) -> None:
+def discard(_: object) -> None:
     """Discards the value of a call in a lambda."""
 
 
--- a/ledgehitch/loop/sockets.py
+++ b/ledgehitch/loop/sockets.py
@@ -11,7 +11,7 @@
 
 OUT_OF_DESCRIPTORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 BROKEN_LISTENER = {errno.EBADF, errno.EINVAL, errno.ENOTSOCK, errno.EOPNOTSUPP, errno.EFAULT}
-REST = 0.1  # seconds without accepting connections after descriptors ran out
+ACCEPT_PAUSE_S = 0.1  # seconds without accepting connections after descriptors ran out
 BACKLOG = 1024
 
 
@@ -188,7 +188,7 @@
                 # The socket stays readable while no descriptor is free, so accepting again at once would
                 # spin. All other errors concern the connection to be accepted (accept(2)), not the listener.
                 self.refused_for_descriptors += problem.errno in OUT_OF_DESCRIPTORS
-                self.loop.sleep(REST)
+                self.loop.sleep(ACCEPT_PAUSE_S)
                 continue
             sock.setblocking(False)
             if sock.family != socket.AF_UNIX:
--- a/ledgehitch/platform/peers.py
+++ b/ledgehitch/platform/peers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from ledgehitch.loop.kernel import Loop
-from ledgehitch.loop.sockets import REST, Datagrams, endpoint
+from ledgehitch.loop.sockets import ACCEPT_PAUSE_S, Datagrams, endpoint
 
 MAX_DATAGRAM_BYTES = 256  # by the platform's specification
 
@@ -36,7 +36,7 @@
                 message, sender = self.socket.receive()
             except OSError:
                 # A failed receive, for instance without memory for a moment, must not end the receiving.
-                self.loop.sleep(REST)
+                self.loop.sleep(ACCEPT_PAUSE_S)
                 continue
             if sender not in self._known or not 0 < len(message) <= MAX_DATAGRAM_BYTES:
                 self.refused += 1
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -22,7 +22,7 @@
     TimedOut,
     connect,
     endpoint,
-    forked,
+    run_forked,
 )
 from ledgehitch.loop.kernel import TaskCancelled
 from ledgehitch.loop.lag import Lag
@@ -342,9 +342,9 @@
             (tmp_path / "out").write_text("done")
 
         task = loop.spawn(tick)
-        assert forked(loop, slow) == 0 and (tmp_path / "out").read_text() == "done"
+        assert run_forked(loop, slow) == 0 and (tmp_path / "out").read_text() == "done"
         assert ticks >= 5, "others ran meanwhile"
-        assert forked(loop, lambda: os._exit(7)) == 7
+        assert run_forked(loop, lambda: os._exit(7)) == 7
         task.cancel()
 
     loop.run(main)
