--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -27,7 +27,7 @@
 from ledgehitch.config.load import load
 from ledgehitch.fleet.carry import Caller
 from ledgehitch.fleet.found import Target, counted
-from ledgehitch.gateway.roll import News, Roll
+from ledgehitch.gateway.roll import HostList, HostListUpdate
 from ledgehitch.loop import Loop
 from ledgehitch.owners.facts import BUDGETS, DUTIES
 from ledgehitch.scale.facts import Point, kept_now, load_now, write_kept
@@ -364,10 +364,10 @@
         fleet,
         interface.Terms(),
     )
-    roll, before = Roll(), cpu()
+    roll, before = HostList(), cpu()
     for n in range(turns):
-        rows = roll.total(msgspec.json.decode(data, type=News)) or ()
-        gw.on_host_list(10.0 + n, "total", [line.row(0.0) for line in rows])
+        rows = roll.apply_full_list(msgspec.json.decode(data, type=HostListUpdate)) or ()
+        gw.on_host_list(10.0 + n, "total", [line.to_row(0.0) for line in rows])
         while gw.decide(10.0 + n) is not None:
             pass
     return {
--- a/benchmarks/doorway.py
+++ b/benchmarks/doorway.py
@@ -19,8 +19,8 @@
 from benchmarks.gateway import Process, loaded
 from ledgehitch.config import Day, read_site
 from ledgehitch.door.baselines import AdmitAll, FifoQueue, TokenBuckets
-from ledgehitch.gateway.doorman import Doorman
-from ledgehitch.gateway.serve import Running, say_ready
+from ledgehitch.gateway.doorman import AdmissionService
+from ledgehitch.gateway.serve import RunningGateway, print_ready
 from ledgehitch.http import Client, ConnectFailed, Interrupted, NoAnswer, Request
 from ledgehitch.loop import Event, Loop, TimedOut
 from ledgehitch.rehearsal.play import free_ports, write_key
@@ -56,12 +56,12 @@
     loop, site = Loop(), read_site(Path(site_file))
 
     def main() -> None:
-        running = Running(loop, site, site.gateways[0].name, 1)
+        running = RunningGateway(loop, site, site.gateways[0].name, 1)
         if kind == "no doorman":
-            running.carrier.doorman = None
+            running.executor.admission = None
         elif kind != "door":
-            running.carrier.doorman = Doorman(BASELINES[kind]())
-        say_ready(str(running.server.at))
+            running.executor.admission = AdmissionService(BASELINES[kind]())
+        print_ready(str(running.server.at))
         loop.sleep(1e6)
 
     loop.run(main)
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -19,7 +19,7 @@
 from ledgehitch.config import BadInput
 from ledgehitch.daemon.facts import Drain, Fence, PlanCall, PlanWords, Reload, State
 from ledgehitch.fleet.journal import _read, _sum
-from ledgehitch.gateway.peers import Peers, Refusal
+from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.http import Refused
 from ledgehitch.http.parse import RequestReader
 from ledgehitch.keys import judge
@@ -58,8 +58,8 @@
 class Fed:
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
-        self.receiver = Peers([KEY], 1, 1)
-        self.sender = Peers([KEY], 0, 1)
+        self.receiver = PeerCodec([KEY], 1, 1)
+        self.sender = PeerCodec([KEY], 0, 1)
         self.members = Members(0.0, 1, 8, 1, random.Random(1))
         self.now = 0.0
         news = tuple(MemberStatus(n, 1 << 16, "alive") for n in range(8))
@@ -83,9 +83,9 @@
         else:
             data = self.sender.frame(self.now, 1, spoilt(self.words, self.chance)[:1000])
         try:
-            sender, body = self.receiver.words(self.now, data)
+            sender, body = self.receiver.unframe(self.now, data)
             self.members.on_message(self.now, sender, decode(body))
-        except (Refusal, InvalidMessage):
+        except (DatagramRejected, InvalidMessage):
             pass
         while self.members.decide(self.now) is not None:
             pass
@@ -143,7 +143,7 @@
             counts[name] += 100
         if not first and time.monotonic() - began > 0.2 * seconds:
             first = memory()
-    return {"inputs": counts, "grown_mb": round(memory() - first, 1), "refused": fed.receiver.refused}
+    return {"inputs": counts, "grown_mb": round(memory() - first, 1), "refused": fed.receiver.rejected}
 
 
 if __name__ == "__main__":
--- a/ledgehitch/cli/config.py
+++ b/ledgehitch/cli/config.py
@@ -151,9 +151,9 @@
 @click.argument("file", type=PATH)
 def compile_command(file: Path) -> None:
     """A checked version as a gateway takes it: JSON with digest, data, site, or the mistakes."""
-    from ledgehitch.gateway.versions import checked  # the other commands need no gateway
+    from ledgehitch.gateway.versions import compile_site  # the other commands need no gateway
 
-    sys.stdout.buffer.write(msgspec.json.encode(checked(file)))
+    sys.stdout.buffer.write(msgspec.json.encode(compile_site(file)))
 
 
 @config.command("reference")
--- a/ledgehitch/cli/daemon.py
+++ b/ledgehitch/cli/daemon.py
@@ -10,7 +10,7 @@
 from ledgehitch.daemon.run import run_daemon
 from ledgehitch.daemon.why import words_on
 from ledgehitch.fleet.onduty import restarts_of
-from ledgehitch.gateway.versions import started_with
+from ledgehitch.gateway.versions import load_start_version
 from ledgehitch.keys.store import Keys
 
 
@@ -47,7 +47,7 @@
     reloads the site. Operators call it at STATE/NAME.admin (`ledgehitch fleet`). Exit codes: 0 stopped as
     told, 2 bad input, the place or the address is taken, 70 its loop stood still.
     """
-    site, name, source = started_with(site_file, name, state)
+    site, name, source = load_start_version(site_file, name, state)
     bearer = Keys(keys) if keys is not None else None
     sys.exit(run_daemon(site, name, seed, state, record, source, logfile, bearer, restarts_of))
 
--- a/ledgehitch/cli/days.py
+++ b/ledgehitch/cli/days.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from ledgehitch.config import BadInput, read_day, read_site
-from ledgehitch.gateway.replay import replayed
+from ledgehitch.gateway.replay import replay_record
 from ledgehitch.proof.check import check_tapes, rule_parameters
 from ledgehitch.rehearsal.imported import imported
 from ledgehitch.rehearsal.play import Result, rehearse
@@ -108,7 +108,7 @@
 @click.argument("record", type=click.Path(path_type=Path))
 def replay(record: Path) -> None:
     """Feeds a flight RECORD to the module again; exit code 1 at a difference, which is named."""
-    verdict = replayed(record)
+    verdict = replay_record(record)
     if not verdict.same_module:
         click.echo("the record was written with another text of the module")
     click.echo(
--- a/ledgehitch/cli/fleet.py
+++ b/ledgehitch/cli/fleet.py
@@ -25,7 +25,7 @@
 from ledgehitch.fleet.shared import Told, divided, remarks
 from ledgehitch.fleet.shared import read as read_budgets
 from ledgehitch.fleet.show import COLOURS, line_words
-from ledgehitch.gateway.versions import checked
+from ledgehitch.gateway.versions import compile_site
 from ledgehitch.http import ConnectFailed, Interrupted
 from ledgehitch.http.client import TLS
 from ledgehitch.keys.store import Keys
@@ -269,7 +269,7 @@
         )
         digest = ""
         if action in ("reload", "restart"):
-            compiled = checked(work.site_file)
+            compiled = compile_site(work.site_file)
             if compiled.mistakes:
                 raise BadInput("\n".join(compiled.mistakes))
             digest = compiled.digest
--- a/ledgehitch/cli/run.py
+++ b/ledgehitch/cli/run.py
@@ -5,9 +5,9 @@
 
 import click
 
-from ledgehitch.gateway.beside import take_reports
-from ledgehitch.gateway.serve import say_ready, serve
-from ledgehitch.gateway.versions import started_with
+from ledgehitch.gateway.beside import run_report_server
+from ledgehitch.gateway.serve import print_ready, serve
+from ledgehitch.gateway.versions import load_start_version
 from ledgehitch.rehearsal.up import run_up
 
 
@@ -37,8 +37,8 @@
     site_file: Path, name: str | None, seed: int, state: Path | None, record: Path | None
 ) -> None:
     """One gateway of a site, until SIGTERM or SIGINT. SIGHUP reloads the site, SIGUSR1 drains."""
-    site, name, source = started_with(site_file, name, state)
-    sys.exit(serve(site, name, seed, state, record, say_ready, source))
+    site, name, source = load_start_version(site_file, name, state)
+    sys.exit(serve(site, name, seed, state, record, print_ready, source))
 
 
 @click.command("reports")
@@ -49,4 +49,4 @@
 )
 def reports_command(site_file: Path, name: str | None, state: Path) -> None:
     """Takes the players' reports of a gateway in a process beside it (`reports_at` of the gateway)."""
-    sys.exit(take_reports(site_file, name, state))
+    sys.exit(run_report_server(site_file, name, state))
--- a/ledgehitch/daemon/admin.py
+++ b/ledgehitch/daemon/admin.py
@@ -34,7 +34,7 @@
 from ledgehitch.daemon.plans import MOST as MOST_PLAN
 from ledgehitch.daemon.plans import Plans
 from ledgehitch.daemon.why import words_on
-from ledgehitch.gateway.serve import Running
+from ledgehitch.gateway.serve import RunningGateway
 from ledgehitch.http import Refused, Request, Response
 from ledgehitch.loop import forked
 from ledgehitch.owners.facts import RESTARTS
@@ -45,7 +45,9 @@
 
 
 class Admin:
-    def __init__(self, running: Running, life: Life, started_by: str, changed: Callable[[], None]) -> None:
+    def __init__(
+        self, running: RunningGateway, life: Life, started_by: str, changed: Callable[[], None]
+    ) -> None:
         """`changed`: called when something was asked of the life, so that it is pulled."""
         self.running, self.life, self.started_by, self.changed = running, life, started_by, changed
         self.carried = ""  # for which ticket a life here was ended last
@@ -180,22 +182,22 @@
         return self.life.undrain(time.monotonic())
 
     def _reload(self, _: Reload) -> bool:
-        if self.running.versions is None:
+        if self.running.reloader is None:
             raise Refused(409, "this gateway has no site file to read again")
-        self.running.versions.reload()
+        self.running.reloader.reload()
         return True
 
     # ---- what is told --------------------------------------------------------------------------------------
 
     def _door(self) -> dict[str, Any] | None:
-        doorman = self.running.carrier.doorman
+        doorman = self.running.executor.admission
         return doorman.state() if doorman is not None else None
 
     def state(self) -> State:
         r, now = self.running, time.monotonic()
-        c = r.carrier
+        c = r.executor
         counts = {f: getattr(c.counts, f) for f in Counts.__struct_fields__}
-        versions = r.versions
+        versions = r.reloader
         return State(
             name=r.name,
             boot=r.boot,
@@ -209,7 +211,7 @@
             started_by=self.started_by,
             viewings=len(c.viewings),
             counts=Counts(**counts),
-            joins_ms=c.joins.ms(now),
+            joins_ms=c.join_times.percentiles_ms(now),
             config=versions.reloads.state() if versions is not None else {},
             hosts=self.hosts(),
             members=self.members(),
@@ -219,15 +221,17 @@
         )
 
     def hosts(self) -> dict[str, HostSeen]:
-        c = self.running.carrier
-        return {h: HostSeen(gone is None, len(c.playing_at.get(h, {}))) for h, gone in c.gate.hosts.items()}
+        c = self.running.executor
+        return {
+            h: HostSeen(gone is None, len(c.playing_at.get(h, {}))) for h, gone in c.send_guard.hosts.items()
+        }
 
     def viewings(self, most: str) -> list[dict[str, Any]]:
         if not most.isdigit():
             raise Refused(400, f"most is a number, not {most[:20]!r}")
         out = []
-        for viewing_id, v in list(self.running.carrier.viewings.items())[: min(int(most), MOST)]:
-            entry = self.running.carrier.desk.entries.get(viewing_id)
+        for viewing_id, v in list(self.running.executor.viewings.items())[: min(int(most), MOST)]:
+            entry = self.running.executor.registry.entries.get(viewing_id)
             out.append(
                 {
                     "vw": viewing_id,
@@ -235,8 +239,8 @@
                     "title": v.title,
                     "package": v.package.name,
                     "host": v.host,
-                    "rung": v.in_force,
-                    "plays": bool(v.session),
+                    "rung": v.current_rung,
+                    "plays": bool(v.session_path),
                     "tune_ins": v.tune_ins,
                 }
             )
@@ -247,7 +251,7 @@
         recorder = self.running.recorder
         if recorder is None:
             raise Refused(409, "this gateway keeps no flight record: start it with --record")
-        entry = self.running.carrier.desk.by_resource(which)
+        entry = self.running.executor.registry.by_resource(which)
         if entry is None and not which.isdigit():
             raise Refused(404, "no such viewing plays; one that has ended is known by its number alone")
         viewing_id = entry.viewing_id if entry is not None else int(which)
--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -26,7 +26,7 @@
 from ledgehitch.config import Site
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.daemon.owning import NO_SHARE, Owning
-from ledgehitch.gateway.doorman import Doorman
+from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.loop import Loop
 from ledgehitch.owners.facts import BUDGETS, MemberLists
 from ledgehitch.owners.words import NO_MEMBER
@@ -39,7 +39,13 @@
     borrower: Borrower
 
     def __init__(
-        self, loop: Loop, site: Site, owning: Owning, membership: Membership, doorman: Doorman, seed: int
+        self,
+        loop: Loop,
+        site: Site,
+        owning: Owning,
+        membership: Membership,
+        doorman: AdmissionService,
+        seed: int,
     ) -> None:
         self.loop, self.owning, self.membership, self.doorman = loop, owning, membership, doorman
         self.names, self.chance = tuple(membership.names), random.Random(seed)
@@ -56,7 +62,7 @@
         self._told: tuple[tuple[int, ...], float] = ((), -1.0)
         self.placed(site)
         owning.more = self._heard
-        doorman.look = self._look
+        doorman.refresh_share = self._look
         self._asking = loop.spawn(self._ask, name="asks for loans")
 
     def placed(self, site: Site) -> None:
@@ -117,7 +123,7 @@
             lent = {x.name: b.loans[i] / WHOLE for i, x in enumerate(b.budgets)} if left else {}
             own = {x.name: b.own[i] / WHOLE for i, x in enumerate(b.budgets)}
             rest = next((own[x.name] for x in b.budgets if x.unit == "rate"), 0.0)
-            self.doorman.shared(mono, rest, lent, mono + left, own)
+            self.doorman.set_share(mono, rest, lent, mono + left, own)
 
     def _ask(self) -> None:
         while True:
@@ -142,7 +148,7 @@
             log.warning("own parts alone", why=why) if why else log.info("loans again", term=term)
         if why or not b.budgets:
             return
-        used, wanted = self.doorman.needs(time.monotonic())
+        used, wanted = self.doorman.demand(time.monotonic())
         words = b.next_request(
             now,
             term,
@@ -151,7 +157,7 @@
         )
         if words is None:
             return
-        self.doorman.needs_told()
+        self.doorman.on_demand_reported()
         if owner != owners.me:
             self.membership.send(owner, encode(words))
         elif (answer := self._answer(owners.me, words)) is not None:
@@ -214,13 +220,13 @@
 
     def close(self) -> None:
         self._asking.cancel()
-        self.owning.more = self.doorman.look = None
+        self.owning.more = self.doorman.refresh_share = None
 
     def state(self) -> dict[str, Any]:
         """For people: this gateway's part, and as lender what it lends."""
         now, b = self.owning.now(), self.borrower
         lends = self.lender is not None and self.owning.owns(BUDGETS) == self.lender.term
-        used = self.doorman.uses()
+        used = self.doorman.usage()
         held = b.loan_valid(now)
         mine = {
             x.name: {
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -10,7 +10,7 @@
 from blake3 import blake3
 
 from ledgehitch.config import Site
-from ledgehitch.gateway.peers import Peers, Refusal
+from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.loop import Datagrams, Loop, endpoint
 from ledgehitch.loop.timers import Timer
 from ledgehitch.members.decide import Members, Send, StatusChanged
@@ -34,7 +34,7 @@
         self.life = max(int(held.get("life", 0)) + 1, 1)
         self.keep.write({"life": self.life})
         secrets = [blake3(key, derive_key_context=CONTEXT).digest() for key in ring]
-        self.frames = Peers(secrets, me, time.time_ns())
+        self.frames = PeerCodec(secrets, me, time.time_ns())
         now = time.monotonic()
         self.members = Members(now, me, len(self.names), self.life, random.Random(seed))
         here = site.gateways[me]
@@ -57,13 +57,13 @@
             except ConnectionAbortedError:
                 return  # it was closed while this task was about to read
             try:
-                sender, body = self.frames.words(time.time(), data)
+                sender, body = self.frames.unframe(time.time(), data)
                 if body and body[0] >= FIRST_KIND:
                     if self.more is not None:
                         self.more(sender, body)
                     continue
                 self.members.on_message(time.monotonic(), sender, decode(body))
-            except Refusal:
+            except DatagramRejected:
                 continue  # counted there
             except InvalidMessage as why:
                 self.bad[str(why)] = self.bad.get(str(why), 0) + 1
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -365,7 +365,7 @@
             }
         for duty, told in out["duties"].items():
             told["doing"] = self.work[duty].doing() if told["mine"] and duty in self.work else ""
-        frames = dict(self.membership.frames.refused)
+        frames = dict(self.membership.frames.rejected)
         return out | {
             "disk": self.disk,
             "bad_words": dict(self.bad),
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -25,8 +25,8 @@
 from ledgehitch.daemon.supervisor import Supervisor
 from ledgehitch.daemon.verdicts import Verdicts
 from ledgehitch.daemon.watchdog import Watchdog
-from ledgehitch.gateway.serve import Running, peer_ring, say_ready
-from ledgehitch.gateway.versions import Compiled, Versions
+from ledgehitch.gateway.serve import RunningGateway, print_ready, read_peer_keys
+from ledgehitch.gateway.versions import CompiledSite, SiteReloader
 from ledgehitch.http import Refused as NotTaken
 from ledgehitch.http import Request, Response, Server
 from ledgehitch.http.client import TLS
@@ -59,7 +59,7 @@
         seed: int,
         place: Place,
         record: Path | None,
-        source: tuple[Path, Compiled, Path | None],
+        source: tuple[Path, CompiledSite, Path | None],
         logfile: LogFile,
         environment: dict[str, str],
         keys: Keys | None = None,
@@ -69,17 +69,17 @@
         self.keys = keys
         self.loop, self.site, self.name, self.place, self.logfile = loop, site, name, place, logfile
         self.supervisor = Supervisor(environment)
-        self.running = Running(loop, site, name, seed, place.directory, record)
-        self.running.front.draining = True  # until it is ready
-        held = lambda: len(self.running.carrier.viewings)  # noqa: E731
-        self.running.versions = Versions(loop, *source, self.running.place, name, held)
+        self.running = RunningGateway(loop, site, name, seed, place.directory, record)
+        self.running.frontend.draining = True  # until it is ready
+        held = lambda: len(self.running.executor.viewings)  # noqa: E731
+        self.running.reloader = SiteReloader(loop, *source, self.running.apply_site, name, held)
         self.life = Life(time.monotonic(), max(p.patience for p in site.packages))
         self.stir = Pump(loop, self._pull).stir  # something was told
         self.admin = Admin(self.running, self.life, environment.get(TICKET, ""), self.stir)
         self.carried = Keep(place.directory / f"{name}.carried", synced=True)
         self.admin.carried = str(self.carried.read() or "")
         self.on_leave: Callable[[bool], None] = lambda back_soon: None
-        self.running.front.elsewhere = self._elsewhere
+        self.running.frontend.other_gateway = self._elsewhere
         self.chance = random.Random(seed + 3)
         self.over = Event(loop)
         self.home = loop.current
@@ -99,7 +99,7 @@
         self._wait_for_list()
         self.life.serves(time.monotonic())
         self.stir()
-        say_ready(str(self.running.server.at))
+        print_ready(str(self.running.server.at))
         log.info(
             "serves",
             gateway=self.name,
@@ -139,7 +139,7 @@
     def _members(self, seed: int) -> Membership | None:
         """Where the site gives this gateway a place in membership, and a key to the fleet."""
         here = next(g for g in self.site.gateways if g.name == self.name)
-        ring = peer_ring(self.site)
+        ring = read_peer_keys(self.site)
         if not here.members_at or not ring:
             return None
         some = Membership(self.loop, self.site, self.name, ring, self.place.directory, seed + 4)
@@ -156,11 +156,11 @@
         self.admin.owning = own
         if restarts is not None:
             own.work[RESTARTS] = restarts(self)
-        doorman = self.running.carrier.doorman
+        doorman = self.running.executor.admission
         if doorman is not None and lends(self.site):
             self.budgeting = Budgeting(self.loop, self.site, own, self.membership, doorman, seed + 6)
             self.admin.budgeting = own.work[BUDGETS] = self.budgeting
-            self.running.limited = self.budgeting.placed
+            self.running.on_limits_changed = self.budgeting.placed
         if self.site.owners.verdicts_to and self.running.reports is not None:
             own.work[VERDICTS] = Verdicts(self.loop, self.site, self.name, own, self.running.reports)
         return own
@@ -196,8 +196,8 @@
 
     def _wait_for_list(self) -> None:
         until = time.monotonic() + LIST_WITHIN
-        heard = self.running.listing.roll
-        while not self.running.carrier.at and heard.version < 0 and time.monotonic() < until:
+        heard = self.running.list_client.host_list
+        while not self.running.executor.addresses and heard.version < 0 and time.monotonic() < until:
             self.loop.sleep(0.02)
 
     def _signs(self, watchdog: Watchdog) -> None:
@@ -219,9 +219,9 @@
         elif number == signal.SIGUSR2:
             self.logfile.reopen()
             log.info("the log file is opened anew")
-        elif self.running.versions is not None:
+        elif self.running.reloader is not None:
             self.supervisor.say(f"RELOADING=1\nMONOTONIC_USEC={int(now * 1e6)}")
-            self.running.versions.reload()
+            self.running.reloader.reload()
             self.supervisor.say("READY=1")
         self.stir()
 
@@ -243,16 +243,16 @@
 
     def _pull(self) -> float | None:
         now = time.monotonic()
-        self.life.held(now, len(self.running.carrier.viewings))
+        self.life.held(now, len(self.running.executor.viewings))
         while (decision := self.life.decide(now)) is not None:
             match decision:
                 case Admit(open):
-                    self.running.drain(not open)
+                    self.running.set_draining(not open)
                     if not open and self.owning is not None:
                         self.owning.resign()  # before it is gone: a successor is named
                 case EndAll():
-                    log.info("ends what still plays", viewings=len(self.running.carrier.viewings))
-                    self.running.carrier.end_all()
+                    log.info("ends what still plays", viewings=len(self.running.executor.viewings))
+                    self.running.executor.end_all()
                 case Leave(back_soon):
                     self.on_leave(back_soon)
                 case Prove():
@@ -275,7 +275,7 @@
     seed: int,
     state_dir: Path,
     record: Path | None,
-    source: tuple[Path, Compiled, Path | None],
+    source: tuple[Path, CompiledSite, Path | None],
     logfile: LogFile,
     keys: Keys | None = None,
     restarts: Callable[[Daemon], Work] | None = None,
--- a/ledgehitch/daemon/verdicts.py
+++ b/ledgehitch/daemon/verdicts.py
@@ -14,7 +14,7 @@
 
 from ledgehitch.config import Site
 from ledgehitch.daemon.owning import Owning
-from ledgehitch.gateway.reports import Reports
+from ledgehitch.gateway.reports import ReportService
 from ledgehitch.http import Client, ConnectFailed, Interrupted
 from ledgehitch.loop import Loop, TimedOut
 from ledgehitch.owners.facts import VERDICTS
@@ -25,7 +25,7 @@
 
 
 class Verdicts:
-    def __init__(self, loop: Loop, site: Site, name: str, owning: Owning, reports: Reports) -> None:
+    def __init__(self, loop: Loop, site: Site, name: str, owning: Owning, reports: ReportService) -> None:
         self.loop, self.name, self.owning, self.reports = loop, name, owning, reports
         self.at, self.every = site.owners.verdicts_to, site.owners.verdicts_every
         self.client = Client(loop)
--- a/ledgehitch/daemon/why.py
+++ b/ledgehitch/daemon/why.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import Any
 
-from ledgehitch.gateway.record import entries, segments
+from ledgehitch.gateway.record import read_entries, segment_paths
 from ledgehitch.interface import Outcome
 
 KINDS = {1: "share delivered", 2: "rung in force", 3: "use of the link", 4: "use of the uplink"}
@@ -13,8 +13,8 @@
 def words_on(path: Path, viewing_id: int) -> list[str]:
     """Lines of a record on one viewing, oldest first; the first line says when it asked."""
     found: list[str] = []
-    for segment in segments(path):
-        found += told(entries(segment), viewing_id)
+    for segment in segment_paths(path):
+        found += told(read_entries(segment), viewing_id)
     return found
 
 
--- a/ledgehitch/gateway/beside.py
+++ b/ledgehitch/gateway/beside.py
@@ -9,14 +9,14 @@
 
 from ledgehitch.config import BadInput, read_site
 from ledgehitch.config.site import rack_name
-from ledgehitch.gateway.reports import JUDGED_EVERY, KeysOf, Reports
+from ledgehitch.gateway.reports import VERDICT_INTERVAL_S, KeyFileVerifier, ReportService
 from ledgehitch.http import ConnectFailed, Interrupted, Server
 from ledgehitch.loop import Event, Loop, TimedOut, endpoint
 
 log = structlog.get_logger("quality")
 
 
-def take_reports(site_file: Path, name: str | None, state_dir: Path) -> int:
+def run_report_server(site_file: Path, name: str | None, state_dir: Path) -> int:
     """Runs until SIGTERM or SIGINT; SIGHUP reads the site anew, for what racks are called."""
     site = read_site(site_file)
     here = next((g for g in site.gateways if name in (None, g.name)), None)
@@ -42,10 +42,12 @@
 
         restore = loop.on_signals([signal.SIGTERM, signal.SIGINT, signal.SIGHUP], on)
         others = {g.name: g.reports_at or g.at for g in site.gateways if g.name != here.name}
-        reports = Reports(loop, here.name, others, state_dir, KeysOf(here.name, state_dir).check)
+        reports = ReportService(
+            loop, here.name, others, state_dir, KeyFileVerifier(here.name, state_dir).check
+        )
         reports.rack_name = lambda rack: rack_name(site.fleet.rack_names, rack)
         playing: dict[str, int] = {}
-        reports.playing = lambda: playing
+        reports.playing_by_rack = lambda: playing
 
         def ask() -> None:
             """What plays at the gateway, so that a rack that says nothing is seen."""
@@ -57,7 +59,7 @@
                     playing.update(told)
                 except (TimedOut, ConnectFailed, Interrupted, ValueError):
                     pass  # while it is away what it played last is expected to report
-                loop.sleep(JUDGED_EVERY)
+                loop.sleep(VERDICT_INTERVAL_S)
 
         reports.start()
         loop.spawn(ask, name="ask what plays")
--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -17,8 +17,8 @@
 import msgspec
 from blake3 import blake3
 
-from ledgehitch.gateway.carry import LAYER, Carrier, Viewing
-from ledgehitch.gateway.reports import RELATION, Reports, Tokens
+from ledgehitch.gateway.carry import LAYER_RELATION, Executor, Viewing
+from ledgehitch.gateway.reports import REPORTS_RELATION, ReportService, TokenIssuer
 from ledgehitch.http import Feed, NoAnswer, Refused, Request, Response, problem
 from ledgehitch.http.events import event
 from ledgehitch.interface import Package
@@ -27,52 +27,52 @@
 
 SDP = "application/sdp"
 FRAGMENT = "application/trickle-ice-sdpfrag"
-EVENTS = "urn:ietf:params:whep:ext:core:server-sent-events"
-TOLD = ("active", "inactive", "layers")
-BLOCKED = "urn:ledgehitch:problem:blocked"
-ABORTED = "urn:ledgehitch:problem:aborted"
-MOST_TOKEN = 4096
-UNMET = {
+EVENTS_RELATION = "urn:ietf:params:whep:ext:core:server-sent-events"
+EVENT_NAMES = ("active", "inactive", "layers")
+BLOCKED_PROBLEM = "urn:ledgehitch:problem:blocked"
+ABORTED_PROBLEM = "urn:ledgehitch:problem:aborted"
+MAX_TOKEN_LENGTH = 4096
+PATCH_REFUSALS = {
     404: "no such viewing, or it has ended",
     412: "the condition names another state of the ICE session",
     428: "a PATCH needs If-Match: the ETag, or * to restart ICE",
 }
-LAST = 0.1  # seconds after patience at which a viewing without a decision is answered all the same
+ANSWER_GRACE_S = 0.1  # seconds after patience at which a viewing without a decision is answered all the same
 
 
-class Front:
+class HttpFrontend:
     def __init__(
         self,
         loop: Loop,
-        carrier: Carrier,
+        carrier: Executor,
         packages: Mapping[str, Package],
         titles: Mapping[str, tuple[int, int]],
         rates: tuple[float, ...],
         state: Callable[[], dict[str, Any]],
     ) -> None:
-        self.loop, self.carrier = loop, carrier
-        self.packages, self.titles, self.rates, self.state = packages, titles, rates, state
+        self.loop, self.executor = loop, carrier
+        self.packages, self.titles, self.rung_rates, self.state = packages, titles, rates, state
         self.draining = False
-        self.elsewhere: Callable[[], str] = str  # where who asks a gateway that drains may be taken
-        self.reports: Reports | None = None  # where they are taken in this process
+        self.other_gateway: Callable[[], str] = str  # where who asks a gateway that drains may be taken
+        self.reports: ReportService | None = None  # where they are taken in this process
         self.reports_at = ""  # http://ADDRESS where they are taken in a process beside
-        self.tokens: Tokens | None = None
-        self.playing: Callable[[], dict[str, int]] = dict  # viewings that play now, by rack
+        self.token_issuer: TokenIssuer | None = None
+        self.playing_by_rack: Callable[[], dict[str, int]] = dict  # viewings that play now, by rack
         self.rack_of: Callable[[str], str] = lambda host: ""
-        self._conns = itertools.count(1)
+        self._connection_numbers = itertools.count(1)
         self._viewing_ids = itertools.count(1)
 
     def handle(self, request: Request) -> Response:
         parts = request.path.strip("/").split("/")
         match parts:
             case ["whep" | "whip" as method, package, title]:
-                return self._endpoint(request, method, package, title)
+                return self._on_offer(request, method, package, title)
             case ["viewings", resource]:
-                return self._resource(request, resource)
+                return self._on_resource_request(request, resource)
             case ["viewings", resource, "events"]:
-                return self._events(request, resource)
+                return self._on_events_request(request, resource)
             case ["viewings", resource, "layer"]:
-                self._only(request, "POST")
+                self._require_method(request, "POST")
                 self._viewing(resource)
                 raise Refused(409, "the gateway sets the rate of this viewing; ask with ?top=N for less")
             case ["viewings", _, "reports"] | ["quality", "tables" | "report"] if self.reports_at:
@@ -81,29 +81,29 @@
             case ["viewings", _, "reports"] | ["quality", "tables" | "report"] if self.reports is not None:
                 return self.reports.handle(request)
             case ["quality", "playing"]:
-                self._only(request, "GET")
-                return _json(200, self.playing())
+                self._require_method(request, "GET")
+                return _json(200, self.playing_by_rack())
             case ["health"]:
-                self._only(request, "GET", "HEAD")
+                self._require_method(request, "GET", "HEAD")
                 return _json(200, {"serves": not self.draining})
             case ["state"]:
-                self._only(request, "GET", "HEAD")
+                self._require_method(request, "GET", "HEAD")
                 return _json(200, self.state())
         raise Refused(404, f"nothing at {request.path[:100]!r}")
 
     @staticmethod
-    def _only(request: Request, *methods: str) -> None:
+    def _require_method(request: Request, *methods: str) -> None:
         if request.method not in methods:
             allowed = ", ".join(methods)
             raise Refused(405, f"{request.method} is not done here, {allowed} is", [("Allow", allowed)])
 
     # ---- offers --------------------------------------------------------------------------------------------
 
-    def _endpoint(self, request: Request, method: str, package: str, title: str) -> Response:
+    def _on_offer(self, request: Request, method: str, package: str, title: str) -> Response:
         if request.method == "OPTIONS":
-            fields = [("Accept-Post", SDP), ("Allow", "POST, OPTIONS"), *_cors()]
+            fields = [("Accept-Post", SDP), ("Allow", "POST, OPTIONS"), *_cors_headers()]
             return Response(204, fields)
-        self._only(request, "POST", "OPTIONS")
+        self._require_method(request, "POST", "OPTIONS")
         sold, cells = self.packages.get(package), self.titles.get(title)
         if sold is None:
             raise Refused(404, f"no package {package!r}; there are {', '.join(sorted(self.packages))}")
@@ -113,24 +113,24 @@
             raise Refused(415, f"an offer is {SDP}", [("Accept-Post", SDP)])
         if not _accepts(request.headers.get("accept"), SDP):
             raise Refused(406, f"the answer is {SDP}")
-        token = _token(request)
-        offer = self._offer(request, method)
-        top = self._top(request, offer)
-        wait = min(_wait(request.headers.get("prefer")), sold.patience)
+        token = _bearer_token(request)
+        offer = self._parse_offer(request, method)
+        top = self._highest_rung(request, offer)
+        wait = min(_preferred_wait(request.headers.get("prefer")), sold.patience)
         if self.draining:
-            other = self.elsewhere()
+            other = self.other_gateway()
             if other:
-                there = [("Location", f"http://{other}{request.target}"), *_cors()]
+                there = [("Location", f"http://{other}{request.target}"), *_cors_headers()]
                 raise Refused(307, "this gateway drains, another takes it", there)
             raise Refused(503, "this gateway drains", [("Retry-After", "0")])
-        conn, viewing_id = next(self._conns), next(self._viewing_ids)
+        conn, viewing_id = next(self._connection_numbers), next(self._viewing_ids)
         digest = blake3()
         for part in (method, package, title, token, str(top)):
             digest.update(part.encode() + b"\0")
         digest.update(request.body)
         viewing = Viewing(token, method, sold, title, request.body, offer, asked_at=request.arrived)
         patience = request.arrived + wait
-        event = self.carrier.ask(
+        event = self.executor.on_offer(
             conn,
             digest.digest(16),
             viewing_id,
@@ -142,17 +142,17 @@
             request.headers.get("return-ticket", ""),
             request.peer.rpartition(":")[0],
         )
-        request.hung_up(lambda: self.carrier.hung_up(conn))
+        request.hung_up(lambda: self.executor.on_hang_up(conn))
         try:
-            with self.loop.deadline(max(0.0, patience - self.loop.now) + LAST):
+            with self.loop.deadline(max(0.0, patience - self.loop.now) + ANSWER_GRACE_S):
                 viewing_id = event.wait()
         except TimedOut:
-            self.carrier.overdue(conn, viewing_id)
+            self.executor.on_overdue(conn, viewing_id)
         if viewing_id is None:
             raise NoAnswer("the client hung up")
-        return self._settled(conn, viewing_id)
+        return self._answer(conn, viewing_id)
 
-    def _offer(self, request: Request, method: str) -> Offer:
+    def _parse_offer(self, request: Request, method: str) -> Offer:
         try:
             offer = parse_sdp(request.body.decode("utf-8"))
         except UnicodeDecodeError as wrong:
@@ -165,87 +165,93 @@
                 raise Refused(400, f"media section {number}: {unfit} cannot be offered to {method.upper()}")
         return offer
 
-    def _top(self, request: Request, offer: Offer) -> int:
+    def _highest_rung(self, request: Request, offer: Offer) -> int:
         """The highest rung that the viewer can use: `?top=N`, else from the offer's bandwidth, else all."""
         asked = request.query("top")
         if asked is not None:
             if not asked.isdigit():
-                raise Refused(400, f"top is the number of a rung, 0 to {len(self.rates) - 1}, not {asked!r}")
-            return min(int(asked), len(self.rates) - 1)
+                raise Refused(
+                    400, f"top is the number of a rung, 0 to {len(self.rung_rates) - 1}, not {asked!r}"
+                )
+            return min(int(asked), len(self.rung_rates) - 1)
         kb = offer.max_kb()
         if kb is None:
-            return len(self.rates) - 1
-        return max((i for i, rate in enumerate(self.rates) if rate <= kb), default=0)
+            return len(self.rung_rates) - 1
+        return max((i for i, rate in enumerate(self.rung_rates) if rate <= kb), default=0)
 
-    def _settled(self, conn: int, viewing_id: int) -> Response:
-        entry = self.carrier.desk.entries.get(viewing_id)
+    def _answer(self, conn: int, viewing_id: int) -> Response:
+        entry = self.executor.registry.entries.get(viewing_id)
         settled = entry.result if entry is not None else None
         if entry is None or settled is None:
             # It ended between its answer and this connection's: for this one it never came about.
-            self.carrier.desk.on_answer_sent(self.loop.now, conn)
-            return problem(502, "the viewing ended as it was set up", kind=ABORTED, answer="aborted")
+            self.executor.registry.on_answer_sent(self.loop.now, conn)
+            return problem(502, "the viewing ended as it was set up", kind=ABORTED_PROBLEM, answer="aborted")
         if settled.kind == "plays":
             at = f"/viewings/{entry.resource}"
-            known = f'; events="{",".join(TOLD)}"'
+            known = f'; events="{",".join(EVENT_NAMES)}"'
             fields = [
                 ("Content-Type", SDP),
                 ("Location", at),
-                ("ETag", self.carrier.desk.etag(entry)),
-                ("Link", f'<{at}/layer>; rel="{LAYER}"'),
-                ("Link", f'<{at}/events>; rel="{EVENTS}"{known}'),
+                ("ETag", self.executor.registry.etag(entry)),
+                ("Link", f'<{at}/layer>; rel="{LAYER_RELATION}"'),
+                ("Link", f'<{at}/events>; rel="{EVENTS_RELATION}"{known}'),
                 ("Accept-Patch", FRAGMENT),
-                *_cors(),
+                *_cors_headers(),
             ]
-            playing = self.carrier.viewings.get(viewing_id)
-            if self.tokens is not None and playing is not None:
+            playing = self.executor.viewings.get(viewing_id)
+            if self.token_issuer is not None and playing is not None:
                 took = self.loop.now - playing.asked_at
                 rack, target = self.rack_of(playing.host), playing.package.join_target
                 package = playing.package.name
-                token = self.tokens.admitted(entry.resource, rack, playing.title, took, target, package)
+                token = self.token_issuer.issue(entry.resource, rack, playing.title, took, target, package)
                 there = f"{self.reports_at}{at}/reports"
-                fields += [("Link", f'<{there}>; rel="{RELATION}"'), ("Report-Token", token)]
+                fields += [("Link", f'<{there}>; rel="{REPORTS_RELATION}"'), ("Report-Token", token)]
             response = Response(201, fields, settled.answer.encode())
         elif settled.kind == "blocked":
             fields = [("Retry-After", str(math.ceil(settled.advice)))] if settled.advice > 0 else []
             fields += [("Return-Ticket", settled.ticket)] if settled.ticket else []
             why = f"not let in: {settled.why}" if settled.why else "no media host has room for this viewing"
-            response = problem(503, why, [*fields, *_cors()], BLOCKED, answer="blocked")
+            response = problem(503, why, [*fields, *_cors_headers()], BLOCKED_PROBLEM, answer="blocked")
         else:
             response = problem(
                 504,
                 "the viewing could not be set up in time; it may have run",
-                _cors(),
-                ABORTED,
+                _cors_headers(),
+                ABORTED_PROBLEM,
                 answer="aborted",
             )
-        response.after = lambda whole: self._written(conn, whole)
+        response.after = lambda whole: self._on_answer_written(conn, whole)
         return response
 
-    def _written(self, conn: int, whole: bool) -> None:
-        desk = self.carrier.desk
+    def _on_answer_written(self, conn: int, whole: bool) -> None:
+        desk = self.executor.registry
         if whole:
             desk.on_answer_sent(self.loop.now, conn)
         else:
             desk.on_answer_failed(self.loop.now, conn)
-            self.carrier.stir()
+            self.executor.wake()
 
     # ---- resources -----------------------------------------------------------------------------------------
 
     def _viewing(self, resource: str) -> Viewing:
-        entry = self.carrier.desk.by_resource(resource)
-        viewing = self.carrier.viewings.get(entry.viewing_id) if entry is not None and entry.playing else None
+        entry = self.executor.registry.by_resource(resource)
+        viewing = (
+            self.executor.viewings.get(entry.viewing_id) if entry is not None and entry.playing else None
+        )
         if viewing is None:
             raise Refused(404, "no such viewing, or it has ended")
         return viewing
 
-    def _resource(self, request: Request, resource: str) -> Response:
+    def _on_resource_request(self, request: Request, resource: str) -> Response:
         if request.method == "OPTIONS":
-            return Response(204, [("Accept-Patch", FRAGMENT), ("Allow", "PATCH, DELETE, OPTIONS"), *_cors()])
-        self._only(request, "PATCH", "DELETE", "OPTIONS")
+            return Response(
+                204, [("Accept-Patch", FRAGMENT), ("Allow", "PATCH, DELETE, OPTIONS"), *_cors_headers()]
+            )
+        self._require_method(request, "PATCH", "DELETE", "OPTIONS")
         if request.method == "DELETE":
-            if not self.carrier.desk.on_delete(self.loop.now, resource):
+            if not self.executor.registry.on_delete(self.loop.now, resource):
                 raise Refused(404, "no such viewing, or it has ended")
-            self.carrier.stir()
+            self.executor.wake()
             return Response(200)
         if request.media_type() != FRAGMENT:
             raise Refused(415, f"a PATCH is {FRAGMENT}", [("Accept-Patch", FRAGMENT)])
@@ -254,31 +260,31 @@
             fragment = parse_fragment(request.body.decode("utf-8"))
         except (UnicodeDecodeError, BadSdp) as wrong:
             raise Refused(400, f"the fragment does not parse: {wrong}") from None
-        desk = self.carrier.desk
+        desk = self.executor.registry
         status = desk.on_patch(resource, request.headers.get("if-match"), fragment.ufrag)
         if status in (404, 412, 428):
-            raise Refused(status, UNMET[status])
+            raise Refused(status, PATCH_REFUSALS[status])
         headers = [("Content-Type", FRAGMENT), ("If-Match", request.headers["if-match"])]
-        passed = self.carrier.forward_patch(viewing, headers, request.body)
+        passed = self.executor.forward_patch(viewing, headers, request.body)
         if passed is None or passed.status >= 400:
             raise Refused(502, "the media host did not take it")
         if status == 204:
-            return Response(204, _cors())
+            return Response(204, _cors_headers())
         entry = desk.by_resource(resource)
         tag = [("ETag", desk.etag(entry))] if entry is not None else []
-        return Response(200, [("Content-Type", FRAGMENT), *tag, *_cors()], passed.body)
+        return Response(200, [("Content-Type", FRAGMENT), *tag, *_cors_headers()], passed.body)
 
-    def _events(self, request: Request, resource: str) -> Response:
-        self._only(request, "GET", "POST")
+    def _on_events_request(self, request: Request, resource: str) -> Response:
+        self._require_method(request, "GET", "POST")
         viewing = self._viewing(resource)
         if request.method == "POST":
             try:
                 wanted = msgspec.json.decode(request.body or b"[]", type=list[str])
             except msgspec.MsgspecError as wrong:
                 raise Refused(400, f"a list of names of events is meant: {wrong}") from None
-            query = ",".join(name for name in wanted if name in TOLD)
-            return Response(201, [("Location", f"/viewings/{resource}/events?of={query}"), *_cors()])
-        only = set((request.query("of") or ",".join(TOLD)).split(","))
+            query = ",".join(name for name in wanted if name in EVENT_NAMES)
+            return Response(201, [("Location", f"/viewings/{resource}/events?of={query}"), *_cors_headers()])
+        only = set((request.query("of") or ",".join(EVENT_NAMES)).split(","))
         feed = Feed(self.loop, 64)
 
         def tell(name: str, data: dict[str, Any]) -> None:
@@ -288,23 +294,23 @@
                 feed.close()
 
         tell("active", {})
-        tell("layers", {"encodingId": str(viewing.in_force)})
-        viewing.events = [*(viewing.events or []), tell]
+        tell("layers", {"encodingId": str(viewing.current_rung)})
+        viewing.event_listeners = [*(viewing.event_listeners or []), tell]
 
         def stream(send: Callable[[bytes], None]) -> None:
             try:
                 feed.send_all(send)
             finally:
-                viewing.events = [t for t in viewing.events or [] if t is not tell] or None
+                viewing.event_listeners = [t for t in viewing.event_listeners or [] if t is not tell] or None
 
-        return Response(200, [("Content-Type", "text/event-stream"), *_cors()], stream=stream)
+        return Response(200, [("Content-Type", "text/event-stream"), *_cors_headers()], stream=stream)
 
 
 def _json(status: int, thing: Any) -> Response:
     return Response(status, [("Content-Type", "application/json")], msgspec.json.encode(thing))
 
 
-def _cors() -> list[tuple[str, str]]:
+def _cors_headers() -> list[tuple[str, str]]:
     exposed = "Location, ETag, Link, Report-Token, Retry-After, Return-Ticket"
     return [("Access-Control-Allow-Origin", "*"), ("Access-Control-Expose-Headers", exposed)]
 
@@ -323,17 +329,19 @@
     return False
 
 
-def _token(request: Request) -> str:
+def _bearer_token(request: Request) -> str:
     scheme, _, token = request.headers.get("authorization", "").partition(" ")
     token = token.strip()
     if scheme.lower() != "bearer" or not token:
         raise Refused(401, "a viewer is named by a bearer token", [("WWW-Authenticate", "Bearer")])
-    if len(token) > MOST_TOKEN:
-        raise Refused(401, f"a token has at most {MOST_TOKEN} characters", [("WWW-Authenticate", "Bearer")])
+    if len(token) > MAX_TOKEN_LENGTH:
+        raise Refused(
+            401, f"a token has at most {MAX_TOKEN_LENGTH} characters", [("WWW-Authenticate", "Bearer")]
+        )
     return token
 
 
-def _wait(prefer: str | None) -> float:
+def _preferred_wait(prefer: str | None) -> float:
     """Seconds of `Prefer: wait=SECONDS` (RFC 7240), without bound where it is not there."""
     for part in (prefer or "").replace(";", ",").split(","):
         name, _, value = part.strip().partition("=")
--- a/ledgehitch/gateway/joins.py
+++ b/ledgehitch/gateway/joins.py
@@ -2,34 +2,36 @@
 
 from hdrh.histogram import HdrHistogram
 
-HALF = 30.0  # seconds
-MOST = 60_000  # milliseconds
+INTERVAL_S = 30.0  # seconds
+MAX_JOIN_MS = 60_000  # milliseconds
 
 
-class Joins:
+class JoinTimes:
     def __init__(self) -> None:
-        self._since = 0.0
-        self._now, self._before = _empty(), _empty()
+        self._current_since = 0.0
+        self._current, self._previous = _empty_histogram(), _empty_histogram()
 
-    def joined(self, now: float, took: float) -> None:
-        self._turn(now)
-        self._now.record_value(max(1, min(MOST, round(took * 1000))))
+    def record(self, now: float, took: float) -> None:
+        self._rotate(now)
+        self._current.record_value(max(1, min(MAX_JOIN_MS, round(took * 1000))))
 
-    def _turn(self, now: float) -> None:
-        if now - self._since >= HALF:
-            self._before = self._now if now - self._since < 2 * HALF else _empty()
-            self._now, self._since = _empty(), now
+    def _rotate(self, now: float) -> None:
+        if now - self._current_since >= INTERVAL_S:
+            self._previous = (
+                self._current if now - self._current_since < 2 * INTERVAL_S else _empty_histogram()
+            )
+            self._current, self._current_since = _empty_histogram(), now
 
-    def ms(self, now: float) -> dict[str, float]:
+    def percentiles_ms(self, now: float) -> dict[str, float]:
         """The median and the 99th percentile of the last half to whole minute; empty without joins."""
-        self._turn(now)
-        both = _empty()
-        both.add(self._now)
-        both.add(self._before)
+        self._rotate(now)
+        both = _empty_histogram()
+        both.add(self._current)
+        both.add(self._previous)
         if not both.get_total_count():
             return {}
         return {str(q): float(both.get_value_at_percentile(q)) for q in (50, 99)}
 
 
-def _empty() -> HdrHistogram:
-    return HdrHistogram(1, MOST, 2)
+def _empty_histogram() -> HdrHistogram:
+    return HdrHistogram(1, MAX_JOIN_MS, 2)
--- a/ledgehitch/gateway/listing.py
+++ b/ledgehitch/gateway/listing.py
@@ -8,64 +8,67 @@
 import msgspec
 import structlog
 
-from ledgehitch.gateway.carry import Carrier
-from ledgehitch.gateway.roll import AGAIN, News, Roll
+from ledgehitch.gateway.carry import Executor
+from ledgehitch.gateway.roll import RECONNECT_DELAY_S, HostList, HostListUpdate
 from ledgehitch.http import ConnectFailed, Interrupted, events_from
 from ledgehitch.loop import Loop, TimedOut
 
 log = structlog.get_logger("list")
 
 
-class Listing:
-    def __init__(self, loop: Loop, carrier: Carrier, at: str, name: str, kept: Path | None) -> None:
-        self.loop, self.carrier, self.at, self.name, self.kept = loop, carrier, at, name, kept
-        self.roll = Roll()
-        self.chance = random.Random(name)
+class HostListClient:
+    def __init__(self, loop: Loop, carrier: Executor, at: str, name: str, kept: Path | None) -> None:
+        self.loop, self.executor, self.address, self.name, self.snapshot_path = loop, carrier, at, name, kept
+        self.host_list = HostList()
+        self.random = random.Random(name)
 
     def run(self) -> None:
         """Runs as a task for good."""
-        self._warm_copy()
+        self._load_snapshot()
         while True:
             try:
-                with self.carrier.client.stream(self.at, f"/hosts?gateway={self.name}") as (response, parts):
+                with self.executor.client.stream(self.address, f"/hosts?gateway={self.name}") as (
+                    response,
+                    parts,
+                ):
                     if response.status == 200:
                         for name, _, data in events_from(parts):
-                            if not self._heard(name, data):
+                            if not self._on_event(name, data):
                                 break
             except (ConnectFailed, Interrupted, TimedOut, ValueError) as why:
                 log.debug("no list", why=str(why))
-            self.carrier.mind.on_host_list(time.monotonic(), "lost", ())
-            self.carrier.stir()
-            self.loop.sleep(AGAIN[0] + AGAIN[1] * self.chance.random())
+            self.executor.module.on_host_list(time.monotonic(), "lost", ())
+            self.executor.wake()
+            self.loop.sleep(RECONNECT_DELAY_S[0] + RECONNECT_DELAY_S[1] * self.random.random())
 
-    def _heard(self, name: str, data: str) -> bool:
+    def _on_event(self, name: str, data: str) -> bool:
         """Whether the stream goes on; a gap in it asks for a complete list by asking anew."""
         if name not in ("total", "incr"):
             return True
-        news = msgspec.json.decode(data, type=News)
-        rows = self.roll.total(news) if name == "total" else self.roll.change(news)
+        news = msgspec.json.decode(data, type=HostListUpdate)
+        rows = self.host_list.apply_full_list(news) if name == "total" else self.host_list.apply_changes(news)
         if rows is None:
-            log.warning("list does not follow", what=name, version=news.version, known=self.roll.version)
+            log.warning("list does not follow", what=name, version=news.version, known=self.host_list.version)
             return name == "total"
         if rows:
-            self.carrier.listed(name, list(rows), time.time() - time.monotonic())
-            self._keep()
+            self.executor.on_host_list(name, list(rows), time.time() - time.monotonic())
+            self._save_snapshot()
         return True
 
-    def _warm_copy(self) -> None:
-        if self.kept is None or not self.kept.exists():
+    def _load_snapshot(self) -> None:
+        if self.snapshot_path is None or not self.snapshot_path.exists():
             return
         try:
-            news = msgspec.json.decode(self.kept.read_bytes(), type=News)
+            news = msgspec.json.decode(self.snapshot_path.read_bytes(), type=HostListUpdate)
         except (OSError, msgspec.MsgspecError) as why:
-            log.warning("the kept list does not read", path=str(self.kept), why=str(why))
+            log.warning("the kept list does not read", path=str(self.snapshot_path), why=str(why))
             return
-        self.carrier.listed("warm_copy", news.rows, time.time() - time.monotonic())
+        self.executor.on_host_list("warm_copy", news.rows, time.time() - time.monotonic())
 
-    def _keep(self) -> None:
-        if self.kept is None:
+    def _save_snapshot(self) -> None:
+        if self.snapshot_path is None:
             return
-        self.kept.parent.mkdir(parents=True, exist_ok=True)
-        partly = self.kept.with_suffix(".new")
-        partly.write_bytes(msgspec.json.encode(self.roll.kept()))
-        os.replace(partly, self.kept)
+        self.snapshot_path.parent.mkdir(parents=True, exist_ok=True)
+        partly = self.snapshot_path.with_suffix(".new")
+        partly.write_bytes(msgspec.json.encode(self.host_list.snapshot()))
+        os.replace(partly, self.snapshot_path)
--- a/ledgehitch/gateway/record.py
+++ b/ledgehitch/gateway/record.py
@@ -28,19 +28,19 @@
 from ledgehitch.config.read import BadInput
 
 MAGIC = b"ledgehitch record 1\n"
-FRAME = struct.Struct(">II")
-MOST_ENTRY = 1 << 28
+ENTRY_HEADER = struct.Struct(">II")
+MAX_ENTRY_BYTES = 1 << 28
 
 
 class BadRecord(BadInput):
     """A file that is no record, or of another version of the format."""
 
 
-def digest_of_module() -> str:
+def module_digest() -> str:
     return hashlib.sha256(Path(brain_file.__file__ or "").read_bytes()).hexdigest()[:16]
 
 
-def plain(decision: Any) -> list[Any]:
+def encode_decision(decision: Any) -> list[Any]:
     """A decision as it stands in the record: its name and its fields."""
     return [type(decision).__name__, *astuple(decision)]
 
@@ -48,14 +48,14 @@
 class Recorder:
     """Writes entries; `segment` bounds the bytes of entries behind a checkpoint, `keep` the segments."""
 
-    def __init__(self, path: Path, segment: int = 16 << 20, keep: int = 4) -> None:
-        self.path, self.segment, self.keep = path, segment, max(1, keep)
+    def __init__(self, path: Path, segment_bytes: int = 16 << 20, max_segments: int = 4) -> None:
+        self.path, self.segment_bytes, self.max_segments = path, segment_bytes, max(1, max_segments)
         self._encode = msgspec.msgpack.Encoder().encode
-        self._number = max([_number(p) for p in segments(path)], default=0)
+        self._number = max([_segment_number(p) for p in segment_paths(path)], default=0)
         self._file: io.BufferedWriter | None = None
         self._size = 0
 
-    def begin(self, gateway: Gateway) -> None:
+    def start_segment(self, gateway: Gateway) -> None:
         """Starts a segment with the module as it is now (between pulls)."""
         if self._file is not None:
             self._file.close()
@@ -63,27 +63,27 @@
         self.path.parent.mkdir(parents=True, exist_ok=True)
         self._file = open(f"{self.path}.{self._number:06}", "xb")  # noqa: SIM115
         self._file.write(MAGIC)
-        self._write(["head", ledgehitch.__version__, digest_of_module(), sys.version.split()[0]])
-        self._write(["state", frozen(gateway)])
+        self._write(["head", ledgehitch.__version__, module_digest(), sys.version.split()[0]])
+        self._write(["state", dump_checkpoint(gateway)])
         # Guards against a checkpoint larger than a segment starting a new one at every entry.
         self._size = 0
-        for old in segments(self.path)[: -self.keep]:
+        for old in segment_paths(self.path)[: -self.max_segments]:
             old.unlink(missing_ok=True)
         self.flush()
 
-    def entry(self, gateway: Gateway, name: str, args: Sequence[Any]) -> None:
+    def append(self, gateway: Gateway, name: str, args: Sequence[Any]) -> None:
         # A checkpoint is the module before the entry that follows it; a pull is noted when it is over.
         if self._file is None:
             return  # closed: what still comes as the gateway ends is not part of the record
-        if self._size >= self.segment and name != "pulled":
-            self.begin(gateway)
+        if self._size >= self.segment_bytes and name != "pulled":
+            self.start_segment(gateway)
         self._write([name, *args])
 
     def _write(self, thing: list[Any]) -> None:
         assert self._file is not None
         data = self._encode(thing)
-        self._file.write(FRAME.pack(len(data), zlib.crc32(data)) + data)
-        self._size += FRAME.size + len(data)
+        self._file.write(ENTRY_HEADER.pack(len(data), zlib.crc32(data)) + data)
+        self._size += ENTRY_HEADER.size + len(data)
 
     def flush(self) -> None:
         """Hands what is buffered to the operating system, which keeps it if this process dies."""
@@ -96,25 +96,25 @@
             self._file = None
 
 
-def segments(path: Path) -> list[Path]:
+def segment_paths(path: Path) -> list[Path]:
     """The segments of a record, oldest first; a segment's own path stands for itself alone."""
     if path.is_file():
         return [path]
     return sorted(p for p in path.parent.glob(path.name + ".*") if p.suffix[1:].isdigit())
 
 
-def _number(path: Path) -> int:
+def _segment_number(path: Path) -> int:
     return int(path.suffix[1:])
 
 
-def entries(path: Path) -> Iterator[list[Any]]:
+def read_entries(path: Path) -> Iterator[list[Any]]:
     """The whole entries of a segment, up to where it was cut off."""
     with open(path, "rb") as file:
         if file.read(len(MAGIC)) != MAGIC:
             raise BadRecord(f"{path}: not a record of this version")
-        while len(head := file.read(FRAME.size)) == FRAME.size:
-            size, crc = FRAME.unpack(head)
-            data = file.read(size) if size <= MOST_ENTRY else b""
+        while len(head := file.read(ENTRY_HEADER.size)) == ENTRY_HEADER.size:
+            size, crc = ENTRY_HEADER.unpack(head)
+            data = file.read(size) if size <= MAX_ENTRY_BYTES else b""
             if len(data) < size or zlib.crc32(data) != crc:
                 return
             yield msgspec.msgpack.decode(data)
@@ -123,7 +123,7 @@
 # ---- the module as bytes -----------------------------------------------------------------------------------
 
 
-def frozen(gateway: Gateway) -> bytes:
+def dump_checkpoint(gateway: Gateway) -> bytes:
     if gateway.plan is not None:
         raise ValueError("the module is in the middle of a pull")
     limit = sys.getrecursionlimit()
@@ -134,7 +134,7 @@
         sys.setrecursionlimit(limit)
 
 
-class _Thaw(pickle.Unpickler):
+class _CheckpointUnpickler(pickle.Unpickler):
     """Takes the module's own classes and nothing else: a record may come from anywhere."""
 
     ALLOWED = {("random", "Random"): random.Random, ("collections", "deque"): deque}
@@ -150,9 +150,9 @@
         return found
 
 
-def thawed(data: bytes) -> Gateway:
+def load_checkpoint(data: bytes) -> Gateway:
     try:
-        gateway = _Thaw(io.BytesIO(data)).load()
+        gateway = _CheckpointUnpickler(io.BytesIO(data)).load()
     except (
         pickle.UnpicklingError,
         EOFError,
--- a/ledgehitch/gateway/replay.py
+++ b/ledgehitch/gateway/replay.py
@@ -6,7 +6,14 @@
 from typing import Any
 
 from ledgehitch.brain import Gateway
-from ledgehitch.gateway.record import BadRecord, digest_of_module, entries, plain, segments, thawed
+from ledgehitch.gateway.record import (
+    BadRecord,
+    encode_decision,
+    load_checkpoint,
+    module_digest,
+    read_entries,
+    segment_paths,
+)
 from ledgehitch.interface import Row
 
 # The method of `Gateway` that takes each recorded input, by the name under which records hold it.
@@ -23,7 +30,7 @@
 
 
 @dataclass
-class Verdict:
+class ReplayResult:
     """What a replay found. `difference` is empty when there is none."""
 
     entries: int = 0
@@ -33,26 +40,26 @@
     same_module: bool = True
 
 
-def replayed(path: Path) -> Verdict:
+def replay_record(path: Path) -> ReplayResult:
     """Replays each segment from its checkpoint (the state that the record holds, not a guess at it)."""
-    found = segments(path)
+    found = segment_paths(path)
     if not found:
         raise BadRecord(f"{path}: no record there")
-    verdict = Verdict()
+    verdict = ReplayResult()
     for segment in found:
         gateway: Gateway | None = None
-        for number, (name, *args) in enumerate(entries(segment), 1):
+        for number, (name, *args) in enumerate(read_entries(segment), 1):
             verdict.entries += 1
             if name == "head":
-                verdict.same_module &= args[1] == digest_of_module()
+                verdict.same_module &= args[1] == module_digest()
             elif name == "state":
-                gateway = thawed(args[0])
+                gateway = load_checkpoint(args[0])
             elif gateway is None:
                 raise BadRecord(f"{segment}: entry {number}: no checkpoint before it")
             elif name == "pulled":
                 verdict.pulls += 1
                 verdict.decisions += len(args[1])
-                difference = _differs(gateway, args[0], args[1])
+                difference = _first_difference(gateway, args[0], args[1])
                 if difference:
                     verdict.difference = f"{segment}: entry {number}, at {args[0]:.6f}: {difference}"
                     return verdict
@@ -65,11 +72,11 @@
     return verdict
 
 
-def _differs(gateway: Gateway, now: float, recorded: list[Any]) -> str:
+def _first_difference(gateway: Gateway, now: float, recorded: list[Any]) -> str:
     for i, before in enumerate(recorded):
         decision = gateway.decide(now)
-        after = plain(decision) if decision is not None else None
+        after = encode_decision(decision) if decision is not None else None
         if after != before:
             return f"decision {i + 1} was {before}, is {after}"
     more = gateway.decide(now)
-    return f"a further decision {plain(more)}" if more is not None else ""
+    return f"a further decision {encode_decision(more)}" if more is not None else ""
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -26,19 +26,21 @@
 from ledgehitch.quality.passes import BadPass, Passes
 from ledgehitch.quality.tally import KEPT, WINDOW, Cell, Side, Tally, Window
 
-KEPT_EVERY = 2.0  # seconds of counts that a kill may lose at most
-EXCHANGED_EVERY = 5.0
-SMALL = 500  # viewings up to which a snapshot is written in place
-JUDGED_EVERY = WINDOW
-JUDGED_OVER = 6  # windows that a look goes over
-ROTATED_EVERY = 12 * 3600.0  # seconds that one key signs tokens
-KEYS_AGAIN = 0.5  # seconds between two looks at a gateway's key file for a token that it does not know
-RELATION = "urn:ledgehitch:reports"
-MARK = "Quality-Mark"  # life and changes up to which the tables of an answer go
+SAVE_INTERVAL_S = 2.0  # seconds of counts that a kill may lose at most
+EXCHANGE_INTERVAL_S = 5.0
+MAX_INLINE_VIEWINGS = 500  # viewings up to which a snapshot is written in place
+VERDICT_INTERVAL_S = WINDOW
+VERDICT_WINDOWS = 6  # windows that a look goes over
+KEY_ROTATION_S = 12 * 3600.0  # seconds that one key signs tokens
+KEY_RELOAD_DELAY_S = (
+    0.5  # seconds between two looks at a gateway's key file for a token that it does not know
+)
+REPORTS_RELATION = "urn:ledgehitch:reports"
+MARK_HEADER = "Quality-Mark"  # life and changes up to which the tables of an answer go
 log = structlog.get_logger("quality")
 
 
-class Told(msgspec.Struct):
+class SharedWindow(msgspec.Struct):
     """One gateway's counts of one window, as they are told to others."""
 
     source: str
@@ -48,39 +50,39 @@
     counts: Window
 
 
-class Tokens:
+class TokenIssuer:
     """The keys of one gateway, kept for its next life and for the process that takes its reports."""
 
     def __init__(self, name: str, state_dir: Path | None) -> None:
-        self.keys = Keep(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
+        self.key_store = Keep(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
         self.passes = Passes(secrets.token_bytes(32), time.time())
-        self.read()
-        self._keep()
+        self.load()
+        self._save()
 
-    def _keep(self) -> None:
-        if self.keys is not None:
-            self.keys.write(self.passes.frozen())
+    def _save(self) -> None:
+        if self.key_store is not None:
+            self.key_store.write(self.passes.frozen())
 
-    def read(self) -> None:
-        held = self.keys.read() if self.keys is not None else None
+    def load(self) -> None:
+        held = self.key_store.read() if self.key_store is not None else None
         try:
             if held is not None:
                 self.passes.thawed(held, time.time())
         except msgspec.MsgspecError as wrong:
             log.error("the kept keys do not read, tokens of before are refused", why=str(wrong))
 
-    def admitted(
+    def issue(
         self, resource: str, rack: str, title: str, asked_ago: float, join_target: float, package: str
     ) -> str:
         """A viewing plays: its players may report from now on. Gives the token that they report with."""
         now = time.time()
-        if now - self.passes.keys[-1].since > ROTATED_EVERY:
+        if now - self.passes.keys[-1].since > KEY_ROTATION_S:
             self.passes.rotate(secrets.token_bytes(32), now)
-            self._keep()
+            self._save()
         return self.passes.issue(now, resource, Seen(rack, title, now - asked_ago, now, join_target, package))
 
 
-class KeysOf:
+class KeyFileVerifier:
     """The keys of a gateway that runs in another process: read from its file, anew where one is refused."""
 
     def __init__(self, name: str, state_dir: Path) -> None:
@@ -92,7 +94,7 @@
         try:
             return self.passes.check(now, token, resource)
         except BadPass:
-            if now - self._read_at < KEYS_AGAIN:
+            if now - self._read_at < KEY_RELOAD_DELAY_S:
                 raise
             self._read_at = now
             held = Keep(self.path).read()
@@ -101,7 +103,7 @@
             return self.passes.check(now, token, resource)
 
 
-class Reports:
+class ReportService:
     def __init__(
         self,
         loop: Loop,
@@ -113,19 +115,19 @@
         """`others`: where the other gateways' reports are taken, by name. `check` (now, token, viewing)
         raises `BadPass`."""
         self.loop, self.name, self.others, self.check = loop, name, others, check
-        self.keep = Keep(state_dir / f"{name}.quality") if state_dir is not None else None
+        self.store = Keep(state_dir / f"{name}.quality") if state_dir is not None else None
         self.limits = Limits(secrets.token_bytes(32))
         self.judge = Judge()
         self.client = Client(loop)
-        self.tally = self._from_file(time.time_ns())
+        self.tally = self._load(time.time_ns())
         self.rack_name: Callable[[str], str] = lambda rack: rack
-        self.playing: Callable[[], dict[str, int]] = dict  # viewings that play now, by rack
-        self._kept_at_counts = -1
+        self.playing_by_rack: Callable[[], dict[str, int]] = dict  # viewings that play now, by rack
+        self._saved_count = -1
         self._marks: dict[str, str] = {}  # up to where each gateway's tables are known
         self.refused = 0
 
-    def _from_file(self, life: int) -> Tally:
-        held = self.keep.read() if self.keep is not None else None
+    def _load(self, life: int) -> Tally:
+        held = self.store.read() if self.store is not None else None
         try:
             return Tally.thawed(held, life) if held is not None else Tally(self.name, life)
         except (msgspec.MsgspecError, ValueError) as wrong:  # of another version of the program
@@ -134,15 +136,15 @@
 
     def start(self) -> None:
         """Spawns the tasks that exchange, keep and judge."""
-        self.loop.spawn(self._keep, name="keep quality")
-        self.loop.spawn(self._exchange, name="exchange quality")
-        self.loop.spawn(self._judge, name="judge quality")
+        self.loop.spawn(self._save_periodically, name="keep quality")
+        self.loop.spawn(self._exchange_periodically, name="exchange quality")
+        self.loop.spawn(self._judge_periodically, name="judge quality")
 
     def stop(self) -> None:
         """Keeps what was counted, for the next start."""
         self.client.close()
-        if self.keep is not None:
-            self.keep.write(self.tally.frozen())
+        if self.store is not None:
+            self.store.write(self.tally.frozen())
 
     # ---- requests ------------------------------------------------------------------------------------------
 
@@ -196,35 +198,38 @@
         """Own windows; to who names a mark of ours only those that changed since."""
         life, _, after = mark.partition(".")
         known = (int(life), int(after)) if life.isdigit() and after.isdigit() else (0, 0)
-        told = [Told(*one) for one in self.tally.summaries(*known)]
-        fields = [("Content-Type", "application/json"), (MARK, f"{self.tally.life}.{self.tally.changes}")]
+        told = [SharedWindow(*one) for one in self.tally.summaries(*known)]
+        fields = [
+            ("Content-Type", "application/json"),
+            (MARK_HEADER, f"{self.tally.life}.{self.tally.changes}"),
+        ]
         return Response(200, fields, msgspec.json.encode(told))
 
-    def _exchange(self) -> None:
+    def _exchange_periodically(self) -> None:
         while True:
-            self.loop.sleep(EXCHANGED_EVERY)
+            self.loop.sleep(EXCHANGE_INTERVAL_S)
             for name, at in self.others.items():
                 try:
                     with self.loop.deadline(2.0):
                         mark = self._marks.get(name, "")
                         answer = self.client.request(at, "GET", f"/quality/tables?mark={mark}")
-                    for told in msgspec.json.decode(answer.body, type=list[Told]):
+                    for told in msgspec.json.decode(answer.body, type=list[SharedWindow]):
                         self.tally.merge(told.source, told.window, told.life, told.version, told.counts)
-                    self._marks[name] = answer.header(MARK.lower()) or ""
+                    self._marks[name] = answer.header(MARK_HEADER.lower()) or ""
                 except (TimedOut, ConnectFailed, Interrupted, ValueError, msgspec.MsgspecError):
                     continue  # it is told all since its mark the next time
             self.tally.forget(int(time.time() // WINDOW) - KEPT)
 
-    def _keep(self) -> None:
+    def _save_periodically(self) -> None:
         while True:
-            self.loop.sleep(KEPT_EVERY)
+            self.loop.sleep(SAVE_INTERVAL_S)
             taken = self.tally.counts.taken + self.tally.counts.doubles
-            if self.keep is not None and taken != self._kept_at_counts:
-                self._kept_at_counts = taken
-                self._write(self.keep)
+            if self.store is not None and taken != self._saved_count:
+                self._saved_count = taken
+                self._save(self.store)
 
-    def _write(self, keep: Keep) -> None:
-        if len(self.tally.clocks) <= SMALL:
+    def _save(self, keep: Keep) -> None:
+        if len(self.tally.clocks) <= MAX_INLINE_VIEWINGS:
             keep.write(self.tally.frozen())
             return
         # Guards against set-ups waiting for a large snapshot: a copy of the process writes it.
@@ -233,18 +238,18 @@
         else:
             log.error("the snapshot was not written", path=str(keep.path))
 
-    def _judge(self) -> None:
+    def _judge_periodically(self) -> None:
         while True:
-            self.loop.sleep(JUDGED_EVERY)
+            self.loop.sleep(VERDICT_INTERVAL_S)
             before = self.judge.verdict.culprits
-            verdict = self.judge.heard(self._look(self._window(JUDGED_OVER)))
+            verdict = self.judge.heard(self._compute_verdict(self._totals(VERDICT_WINDOWS)))
             if [(c.kind, c.name) for c in verdict.culprits] != [(c.kind, c.name) for c in before]:
                 log.warning("verdict", word=verdict.word)
 
-    def _look(self, table: dict[str, Cell]) -> Verdict:
+    def _compute_verdict(self, table: dict[str, Cell]) -> Verdict:
         """A look; at a large table in a copy of the process, so that set-ups do not wait for it."""
-        expected = {self.rack_name(r): n for r, n in self.playing().items() if n >= FEW}
-        if len(table) <= SMALL:
+        expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= FEW}
+        if len(table) <= MAX_INLINE_VIEWINGS:
             return look(table, expected)
         ours, theirs = os.pipe()
         try:
@@ -259,14 +264,14 @@
             os.close(ours)
             os.close(theirs)
 
-    def _window(self, windows: int) -> dict[str, Cell]:
+    def _totals(self, windows: int) -> dict[str, Cell]:
         """Counts of so many windows up to now. Racks are counted by number and named here, so that one that
         a reload renames is the same rack still."""
         last = int(time.time() // WINDOW) + 1
         table = self.tally.total(last - windows, last)
-        return {self._named(key): cell for key, cell in table.items()}
+        return {self._with_rack_name(key): cell for key, cell in table.items()}
 
-    def _named(self, key: str) -> str:
+    def _with_rack_name(self, key: str) -> str:
         rack, _, title = key.partition("\t")
         return f"{self.rack_name(rack)}\t{title}"
 
@@ -276,26 +281,26 @@
 
     def report(self) -> Response:
         """All that people are shown, over all gateways as far as this one has heard."""
-        verdict = self._look(self._window(KEPT))
+        verdict = self._compute_verdict(self._totals(KEPT))
         last = int(time.time() // WINDOW) + 1
         series = {}
         for w in range(last - KEPT, last):
             groups = self._groups(w, w + 1)
             if groups["rack"]:
-                series[str(int(w * WINDOW))] = _shown(groups)
+                series[str(int(w * WINDOW))] = _encode_groups(groups)
         told = {
             "gateway": self.name,
             "verdict": msgspec.to_builtins(verdict),
             "counts": self.tally.counts,
             "standing": msgspec.to_builtins(self.judge.verdict),
-            "groups": _shown(self._groups(last - KEPT, last)),
+            "groups": _encode_groups(self._groups(last - KEPT, last)),
             "series": series,
             "heard_of": sorted(self.tally.others),
         }
         return Response(200, [("Content-Type", "application/json")], msgspec.json.encode(told))
 
 
-def _shown(groups: dict[str, dict[str, Side]]) -> dict[str, dict[str, dict[str, Any]]]:
+def _encode_groups(groups: dict[str, dict[str, Side]]) -> dict[str, dict[str, dict[str, Any]]]:
     """Counts by kind and name; of start times the median and the 95th percentile, milliseconds."""
 
     def shown(side: Side) -> dict[str, Any]:
--- a/ledgehitch/gateway/roll.py
+++ b/ledgehitch/gateway/roll.py
@@ -10,10 +10,10 @@
 
 from ledgehitch.interface import Row
 
-AGAIN = 0.2, 1.0  # seconds until the stream is asked for again: at least, and more by chance
+RECONNECT_DELAY_S = 0.2, 1.0  # seconds until the stream is asked for again: at least, and more by chance
 
 
-class Line(msgspec.Struct, frozen=True):
+class HostEntry(msgspec.Struct, frozen=True):
     """One media host as the list service sends it. `started` is seconds of the wall clock, 0 unknown."""
 
     host: str
@@ -25,49 +25,49 @@
     state: str
     started: float = 0.0
 
-    def row(self, ahead: float) -> Row:
+    def to_row(self, ahead: float) -> Row:
         """As the module is told it; `ahead` is what the wall clock is ahead of the gateway's."""
         began = self.started - ahead if self.started else 0.0
         return Row(self.host, self.cell, self.weight, self.kind, self.zone, self.state, began)
 
 
-class News(msgspec.Struct, frozen=True):
+class HostListUpdate(msgspec.Struct, frozen=True):
     """What comes over the stream, and what is kept in the file for the next start."""
 
     epoch: str
     version: int
-    rows: list[Line]
+    rows: list[HostEntry]
 
 
-class Roll:
+class HostList:
     def __init__(self) -> None:
         self.epoch, self.version = "", -1
-        self.lines: dict[str, Line] = {}
-        self.refused = 0
+        self.entries: dict[str, HostEntry] = {}
+        self.stale_updates = 0
 
-    def total(self, news: News) -> Sequence[Line] | None:
+    def apply_full_list(self, news: HostListUpdate) -> Sequence[HostEntry] | None:
         """A complete list; None if it is older than what is known."""
         if news.epoch == self.epoch and news.version < self.version:
-            self.refused += 1
+            self.stale_updates += 1
             return None
         self.epoch, self.version = news.epoch, news.version
-        self.lines = {line.host: line for line in news.rows}
+        self.entries = {line.host: line for line in news.rows}
         return news.rows
 
-    def change(self, news: News) -> Sequence[Line] | None:
+    def apply_changes(self, news: HostListUpdate) -> Sequence[HostEntry] | None:
         """Changes; empty if they are known already, None if a complete list must be asked for."""
         if news.epoch == self.epoch and news.version <= self.version:
-            self.refused += 1
+            self.stale_updates += 1
             return ()
         if news.epoch != self.epoch or news.version != self.version + 1:
             return None
         self.version = news.version
         for line in news.rows:
-            self.lines[line.host] = line
+            self.entries[line.host] = line
             if line.state == "terminated":
-                del self.lines[line.host]
+                del self.entries[line.host]
         return news.rows
 
-    def kept(self) -> News:
+    def snapshot(self) -> HostListUpdate:
         """For the file: what the next start begins with."""
-        return News(self.epoch, self.version, list(self.lines.values()))
+        return HostListUpdate(self.epoch, self.version, list(self.entries.values()))
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -24,16 +24,16 @@
 from ledgehitch.door.decide import AdmissionController
 from ledgehitch.door.names import DEFAULT_ORDER
 from ledgehitch.gate import SendGuard
-from ledgehitch.gateway.carry import Carrier
-from ledgehitch.gateway.doorman import Doorman
-from ledgehitch.gateway.front import Front
-from ledgehitch.gateway.listing import Listing
-from ledgehitch.gateway.mind import Mind
-from ledgehitch.gateway.peers import Peers
+from ledgehitch.gateway.carry import Executor
+from ledgehitch.gateway.doorman import AdmissionService
+from ledgehitch.gateway.front import HttpFrontend
+from ledgehitch.gateway.listing import HostListClient
+from ledgehitch.gateway.mind import RecordedModule
+from ledgehitch.gateway.peers import PeerCodec
 from ledgehitch.gateway.record import Recorder
-from ledgehitch.gateway.reports import Reports, Tokens
-from ledgehitch.gateway.versions import Compiled, Versions
-from ledgehitch.gateway.watch import Watch
+from ledgehitch.gateway.reports import ReportService, TokenIssuer
+from ledgehitch.gateway.versions import CompiledSite, SiteReloader
+from ledgehitch.gateway.watch import HostMonitor
 from ledgehitch.http import Limits, Server
 from ledgehitch.keys.store import ring_in
 from ledgehitch.loop import Datagrams, Event, Loop, endpoint
@@ -41,12 +41,12 @@
 from ledgehitch.regions.facts import regions_of
 from ledgehitch.signalling import ViewingRegistry
 
-TOLD_EVERY = 5.0  # seconds between log lines with the loop's lag and the counters
-SWEEP = 1.0
+STATISTICS_INTERVAL_S = 5.0  # seconds between log lines with the loop's lag and the counters
+SWEEP_INTERVAL_S = 1.0
 log = structlog.get_logger("gateway")
 
 
-def peer_ring(site: Site) -> list[bytes]:
+def read_peer_keys(site: Site) -> list[bytes]:
     """The keys that gateways share, from a file that only its owner can read; none where none is named."""
     return ring_in(Path(site.peer_key_file)) if site.peer_key_file else []
 
@@ -65,7 +65,7 @@
     return part * share / WHOLE / len(names), own
 
 
-class Running:
+class RunningGateway:
     """A gateway that serves. `build` within a task; `stop` ends it."""
 
     def __init__(
@@ -83,36 +83,40 @@
         me = [g.name for g in site.gateways].index(name) if name in [g.name for g in site.gateways] else -1
         ladder, packages, fleet, terms = facts_of(site, name)
         here = site.gateways[me]
-        ring = peer_ring(site)
-        self.peers = Peers(ring, me, time.time_ns()) if ring and terms.may_tell else None
+        ring = read_peer_keys(site)
+        self.peer_codec = PeerCodec(ring, me, time.time_ns()) if ring and terms.may_tell else None
         brain = Gateway(seed, time.monotonic(), ladder, packages, fleet, terms)
-        self.versions: Versions | None = None
-        self.limited: Callable[[Site], None] = lambda site: None  # called where the site's limits are new
+        self.reloader: SiteReloader | None = None
+        self.on_limits_changed: Callable[[Site], None] = lambda site: (
+            None
+        )  # called where the site's limits are new
         self.recorder = Recorder(record) if record is not None else None
-        peer_socket = Datagrams(loop, endpoint(here.peer_at)) if self.peers and here.peer_at else None
+        peer_socket = Datagrams(loop, endpoint(here.peer_at)) if self.peer_codec and here.peer_at else None
         others = {
             i: endpoint(g.peer_via or g.peer_at)
             for i, g in enumerate(site.gateways)
             if i != me and (g.peer_via or g.peer_at)
         }
-        self.carrier = Carrier(
+        self.executor = Executor(
             loop,
-            Mind(brain, self.recorder),
+            RecordedModule(brain, self.recorder),
             ViewingRegistry(secrets.token_bytes(32)),
             SendGuard(terms.drain_grace),
-            Watch(random.Random(seed + 1)),
+            HostMonitor(random.Random(seed + 1)),
             name,
             self.boot,
             random.Random(seed + 2),
-            self.peers,
+            self.peer_codec,
             peer_socket,
             others,
             fleet.load_fields,
         )
-        self.carrier.home = loop.current
+        self.executor.owner_task = loop.current
         titles = {title: (t.first, t.spread) for title, t in site.titles.items()}
-        front = Front(loop, self.carrier, {p.name: p for p in packages}, titles, ladder.kb, self.state)
-        self.front = front
+        front = HttpFrontend(
+            loop, self.executor, {p.name: p for p in packages}, titles, ladder.kb, self.state
+        )
+        self.frontend = front
         others_at = {g.name: g.reports_at or g.at for i, g in enumerate(site.gateways) if i != me}
         if site.door.on:
             values = {p.name: p.value for p in packages}
@@ -128,45 +132,48 @@
                 gateways=terms.gateways,
             )
             kept_door = Keep(state_dir / f"{name}.door", private=True) if state_dir is not None else None
-            self.carrier.doorman = Doorman(door, kept_door, site.door.order or DEFAULT_ORDER)
-            self._limit(site)
-        front.tokens = Tokens(name, state_dir)
-        front.playing = self.playing
-        self.reports: Reports | None = None
+            self.executor.admission = AdmissionService(door, kept_door, site.door.order or DEFAULT_ORDER)
+            self._apply_limits(site)
+        front.token_issuer = TokenIssuer(name, state_dir)
+        front.playing_by_rack = self.playing_by_rack
+        self.reports: ReportService | None = None
         if here.reports_at:
             front.reports_at = f"http://{here.reports_at}"
         else:
-            self.reports = front.reports = Reports(
-                loop, name, others_at, state_dir, front.tokens.passes.check
+            self.reports = front.reports = ReportService(
+                loop, name, others_at, state_dir, front.token_issuer.passes.check
             )
             self.reports.rack_name = lambda rack: rack_name(self.rack_names, rack)
-            self.reports.playing = self.playing
+            self.reports.playing_by_rack = self.playing_by_rack
             self.reports.start()
         front.rack_of = self.rack_of
         self.rack_names = site.fleet.rack_names
         kept = state_dir / f"{name}.hosts.json" if state_dir is not None else None
-        self.listing = Listing(loop, self.carrier, site.list_at, name, kept)
-        self.server = Server(loop, endpoint(here.at), front.handle, limits or Limits(), _report)
-        loop.spawn(self.listing.run, name="list")
+        self.list_client = HostListClient(loop, self.executor, site.list_at, name, kept)
+        self.server = Server(loop, endpoint(here.at), front.handle, limits or Limits(), _log_task_failure)
+        loop.spawn(self.list_client.run, name="list")
         loop.spawn(self._sweep, name="sweep")
         if peer_socket is not None:
-            loop.spawn(self.carrier.hear_peers, name="peers")
+            loop.spawn(self.executor.receive_peer_messages, name="peers")
 
     def state(self) -> dict[str, Any]:
-        c = self.carrier
+        c = self.executor
         return {
-            "config": self.versions.reloads.state() if self.versions is not None else None,
+            "config": self.reloader.reloads.state() if self.reloader is not None else None,
             "name": self.name,
             "boot": self.boot,
             "version": __version__,
-            "draining": self.front.draining,
+            "draining": self.frontend.draining,
             "viewings": len(c.viewings),
             "counts": msgspec.to_builtins(c.counts),
-            "list": {"epoch": self.listing.roll.epoch, "version": self.listing.roll.version},
-            "door": c.doorman.state() if c.doorman is not None else None,
+            "list": {
+                "epoch": self.list_client.host_list.epoch,
+                "version": self.list_client.host_list.version,
+            },
+            "door": c.admission.state() if c.admission is not None else None,
             "hosts": {
                 h: {"in_service": gone is None, "viewings": len(c.playing_at.get(h, {}))}
-                for h, gone in c.gate.hosts.items()
+                for h, gone in c.send_guard.hosts.items()
             },
             "answers": {str(k): n for k, n in sorted(self.server.served.items())},
             "connections": len(self.server.open),
@@ -174,71 +181,73 @@
             "stood_still": self.loop.stood_still,
             "failed_tasks": self.loop.failed,
             "to_hosts": {"opened": c.client.opened, "reused": c.client.reused, "idle": c.client.idle()},
-            "peers_refused": dict(self.peers.refused) if self.peers else {},
+            "peers_refused": dict(self.peer_codec.rejected) if self.peer_codec else {},
         }
 
     def rack_of(self, host: str) -> str:
         """The number of the rack that a media host stands in, by its cell as the list names it."""
-        line = self.listing.roll.lines.get(host)
+        line = self.list_client.host_list.entries.get(host)
         return str(line.cell % max(1, self.site.fleet.racks)) if line is not None else "?"
 
-    def playing(self) -> dict[str, int]:
+    def playing_by_rack(self) -> dict[str, int]:
         """Viewings that play here now, by rack."""
         out: dict[str, int] = {}
-        for host, viewings in self.carrier.playing_at.items():
+        for host, viewings in self.executor.playing_at.items():
             rack = self.rack_of(host)
             out[rack] = out.get(rack, 0) + len(viewings)
         return out
 
-    def place(self, site: Site) -> None:
+    def apply_site(self, site: Site) -> None:
         """What a new version changes at once: where titles lie for new viewings, what racks are called."""
-        self.front.titles = {title: (t.first, t.spread) for title, t in site.titles.items()}
+        self.frontend.titles = {title: (t.first, t.spread) for title, t in site.titles.items()}
         if site.fleet.racks == self.site.fleet.racks:
             self.rack_names = site.fleet.rack_names
-        self._limit(site)
+        self._apply_limits(site)
 
-    def _limit(self, site: Site) -> None:
+    def _apply_limits(self, site: Site) -> None:
         """The door's limits, as the site has them now."""
-        d, doorman = site.door, self.carrier.doorman
+        d, doorman = site.door, self.executor.admission
         if doorman is not None:
-            doorman.limited(d.client_rate, d.client_burst, d.package_rates, d.set_ups)
-            if doorman.look is None:  # nobody's part is larger than what needs nobody, until a daemon borrows
+            doorman.set_limits(d.client_rate, d.client_burst, d.package_rates, d.set_ups)
+            if (
+                doorman.refresh_share is None
+            ):  # nobody's part is larger than what needs nobody, until a daemon borrows
                 rest, own = own_shares(site, self.name)
-                doorman.shared(time.monotonic(), rest, {}, 0.0, own)
-            self.limited(site)
-            self.carrier.stir()
+                doorman.set_share(time.monotonic(), rest, {}, 0.0, own)
+            self.on_limits_changed(site)
+            self.executor.wake()
 
-    def drain(self, draining: bool) -> None:
-        self.front.draining = draining
-        if self.versions is not None:
-            self.versions.drains(draining)
+    def set_draining(self, draining: bool) -> None:
+        self.frontend.draining = draining
+        if self.reloader is not None:
+            self.reloader.set_draining(draining)
 
     def _sweep(self) -> None:
         told = time.monotonic()
         while True:
-            self.loop.sleep(SWEEP)
-            self.carrier.client.sweep()
+            self.loop.sleep(SWEEP_INTERVAL_S)
+            self.executor.client.sweep()
             if self.recorder is not None:
                 self.recorder.flush()
-            if self.carrier.doorman is not None:
-                self.carrier.doorman.keep_now_and_then()
-            if time.monotonic() - told >= TOLD_EVERY:
+            if self.executor.admission is not None:
+                self.executor.admission.save_if_due()
+            if time.monotonic() - told >= STATISTICS_INTERVAL_S:
                 told = time.monotonic()
-                counts = msgspec.to_builtins(self.carrier.counts)
-                log.info("figures", viewings=len(self.carrier.viewings), **self.loop.lag.taken(), **counts)
+                counts = msgspec.to_builtins(self.executor.counts)
+                log.info("figures", viewings=len(self.executor.viewings), **self.loop.lag.taken(), **counts)
 
     def stop(self) -> None:
         self.server.close()
-        self.carrier.client.close()
+        self.executor.client.close()
         if self.reports is not None:
             self.reports.stop()
-        if self.carrier.doorman is not None:
-            self.carrier.doorman.write()
+        if self.executor.admission is not None:
+            self.executor.admission.save()
         if self.recorder is not None:
             self.recorder.close()
 
 
-def _report(name: str, error: BaseException) -> None:
+def _log_task_failure(name: str, error: BaseException) -> None:
     log.error("task failed", task=name, error=f"{type(error).__name__}: {error}", exc_info=error)
 
 
@@ -249,11 +258,11 @@
     state_dir: Path | None,
     record: Path | None,
     ready: Callable[[str], None] | None = None,
-    source: tuple[Path, Compiled, Path | None] | None = None,
+    source: tuple[Path, CompiledSite, Path | None] | None = None,
 ) -> int:
     """Runs until SIGTERM or SIGINT; SIGUSR1 drains, SIGHUP reloads where there is a `source` (the file, the
     version that runs, where the last good one is kept). `ready` is told the address once it serves."""
-    loop = Loop(_report)
+    loop = Loop(_log_task_failure)
     # Guards against pauses of the collector that grow with the viewings held: what is here at start stays,
     # and viewings are let go by count of references.
     gc.collect()
@@ -265,20 +274,20 @@
 
         def on(number: int) -> None:
             if number == signal.SIGUSR1:
-                running.drain(True)
+                running.set_draining(True)
                 log.info("drains")
             elif number == signal.SIGHUP:
-                if running.versions is not None:
-                    running.versions.reload()
+                if running.reloader is not None:
+                    running.reloader.reload()
             else:
                 over.set(number)
 
         restore = loop.on_signals([signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP], on)
         try:
-            running = Running(loop, site, name, seed, state_dir, record)
+            running = RunningGateway(loop, site, name, seed, state_dir, record)
             if source is not None:
-                running.versions = Versions(
-                    loop, *source, running.place, name, lambda: len(running.carrier.viewings)
+                running.reloader = SiteReloader(
+                    loop, *source, running.apply_site, name, lambda: len(running.executor.viewings)
                 )
         except OSError as problem:
             print(f"ledgehitch: {name}: {problem}", file=sys.stderr)
@@ -296,6 +305,6 @@
     return int(loop.run(main))
 
 
-def say_ready(address: str) -> None:
+def print_ready(address: str) -> None:
     """The line that whoever started us waits for."""
     print(json.dumps({"gateway": f"http://{address}"}), flush=True)
--- a/ledgehitch/gateway/versions.py
+++ b/ledgehitch/gateway/versions.py
@@ -16,11 +16,11 @@
 from ledgehitch.config.load import digest_of
 from ledgehitch.loop import Child, Loop, TimedOut
 
-CHECKED_WITHIN = 30.0  # seconds for a version to be read and checked
+CHECK_TIMEOUT_S = 30.0  # seconds for a version to be read and checked
 log = structlog.get_logger("config")
 
 
-class Compiled(msgspec.Struct):
+class CompiledSite(msgspec.Struct):
     """A checked version as the child writes it and as it is kept on disk."""
 
     digest: str = ""
@@ -29,61 +29,61 @@
     mistakes: list[str] = []
 
 
-def compiled_in_child(path: Path) -> list[str]:
+def compile_command(path: Path) -> list[str]:
     return [sys.executable, "-m", "ledgehitch", "--log-level", "error", "config", "compile", str(path)]
 
 
-class Versions:
+class SiteReloader:
     """One gateway's versions. `apply` is called with the site that new viewings go by."""
 
     def __init__(
         self,
         loop: Loop,
         source: Path,
-        first: Compiled,
+        first: CompiledSite,
         kept: Path | None,
         apply: Callable[[Site], None],
         gateway: str = "",
         held: Callable[[], int] = lambda: 0,
     ) -> None:
-        self.loop, self.source, self.kept, self.apply = loop, source, kept, apply
-        self.held = held
+        self.loop, self.source, self.last_good_path, self.apply = loop, source, kept, apply
+        self.viewing_count = held
         self.reloads = Reloads(Version(0, first.digest, first.data), gateway)
-        self._sites: dict[str, Compiled] = {first.digest: first}
+        self._sites: dict[str, CompiledSite] = {first.digest: first}
         self._serial = 0
-        self._keep(first)
+        self._save(first)
 
     def reload(self) -> None:
         """Starts a reload; several may be on their way, the last one asked for counts."""
         self._serial += 1
         self.loop.spawn(self._check, self._serial, name=f"reload {self._serial}")
 
-    def drains(self, draining: bool) -> None:
+    def set_draining(self, draining: bool) -> None:
         self.reloads.drains(draining)
         self._pull()
 
     def _check(self, serial: int) -> None:
         out = self.source.parent / f".{self.source.name}.{os.getpid()}.{serial}"
-        out = (self.kept.parent / out.name) if self.kept is not None else out
+        out = (self.last_good_path.parent / out.name) if self.last_good_path is not None else out
         try:
             descriptor = os.open(out, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
             try:
-                child = Child(self.loop, compiled_in_child(self.source), "check", descriptor, descriptor)
+                child = Child(self.loop, compile_command(self.source), "check", descriptor, descriptor)
             finally:
                 os.close(descriptor)
             try:
-                with self.loop.deadline(CHECKED_WITHIN):
+                with self.loop.deadline(CHECK_TIMEOUT_S):
                     child.wait()
             except TimedOut:
                 child.end(0.5)
-            found = msgspec.json.decode(out.read_bytes(), type=Compiled)
+            found = msgspec.json.decode(out.read_bytes(), type=CompiledSite)
         except (OSError, msgspec.MsgspecError) as problem:
-            found = Compiled(mistakes=[f"{self.source} could not be checked: {problem}"])
+            found = CompiledSite(mistakes=[f"{self.source} could not be checked: {problem}"])
         finally:
             out.unlink(missing_ok=True)
         if found.site is not None:
             self._sites[found.digest] = found
-        self.reloads.handed(Version(serial, found.digest, found.data), found.mistakes, self.held())
+        self.reloads.handed(Version(serial, found.digest, found.data), found.mistakes, self.viewing_count())
         self._pull()
 
     def _pull(self) -> None:
@@ -100,38 +100,40 @@
                         titles=[f"{step} {title}" for step, title in steps[:20]],
                     )
                 case Keep(version):
-                    self._keep(self._sites[version.digest])
+                    self._save(self._sites[version.digest])
                 case Refuse(digest, reason):
                     log.error("a version is refused, the one that runs stays", digest=digest[:16], why=reason)
         known = (self.reloads.running.digest, self.reloads.told.digest)
         self._sites = {digest: one for digest, one in self._sites.items() if digest in known}
 
-    def _keep(self, one: Compiled) -> None:
-        if self.kept is None:
+    def _save(self, one: CompiledSite) -> None:
+        if self.last_good_path is None:
             return
-        self.kept.parent.mkdir(parents=True, exist_ok=True)
-        partly = self.kept.with_suffix(".new")
+        self.last_good_path.parent.mkdir(parents=True, exist_ok=True)
+        partly = self.last_good_path.with_suffix(".new")
         partly.write_bytes(msgspec.json.encode(one))
-        os.replace(partly, self.kept)
+        os.replace(partly, self.last_good_path)
 
 
-def last_good(kept: Path | None) -> Compiled | None:
+def load_last_good(kept: Path | None) -> CompiledSite | None:
     """The version kept on disk, if it is whole: its digest is that of what it holds."""
     if kept is None:
         return None
     try:
-        one = msgspec.json.decode(kept.read_bytes(), type=Compiled)
+        one = msgspec.json.decode(kept.read_bytes(), type=CompiledSite)
     except (OSError, msgspec.MsgspecError):
         return None
     return one if one.site is not None and digest_of(one.data) == one.digest else None
 
 
-def first_version(source: Path, kept: Path | None, check: Callable[[Path], Compiled]) -> Compiled:
+def load_first_version(
+    source: Path, kept: Path | None, check: Callable[[Path], CompiledSite]
+) -> CompiledSite:
     """What a gateway starts with: its files, or loudly the last good version where they are broken."""
     found = check(source)
     if not found.mistakes and found.site is not None:
         return found
-    old = last_good(kept)
+    old = load_last_good(kept)
     if old is None:
         raise BadInput("\n".join(found.mistakes) or f"{source}: nothing there")
     log.error(
@@ -140,13 +142,13 @@
     return old
 
 
-def started_with(
+def load_start_version(
     source: Path, name: str | None, state_dir: Path | None
-) -> tuple[Site, str, tuple[Path, Compiled, Path | None]]:
+) -> tuple[Site, str, tuple[Path, CompiledSite, Path | None]]:
     """The site, the name of its gateway that this is (the first where none is given), and what versions begin
     with."""
     kept = state_dir / f"{name or 'gateway'}.site.json" if state_dir is not None else None
-    first = first_version(source, kept, checked)
+    first = load_first_version(source, kept, compile_site)
     site = first.site
     assert site is not None
     name = name if name is not None else site.gateways[0].name
@@ -157,7 +159,7 @@
     return site, name, (source, first, kept)
 
 
-def checked(source: Path) -> Compiled:
+def compile_site(source: Path) -> CompiledSite:
     """Reads and checks a version in this process."""
     from ledgehitch.config import read_site
     from ledgehitch.config.load import load
@@ -165,11 +167,11 @@
     if source.suffix != ".json":
         loaded = load(source)
         if loaded.mistakes or loaded.site is None:
-            return Compiled(mistakes=[m.told() for m in loaded.mistakes] or [f"{source}: nothing there"])
-        return Compiled(loaded.digest(), loaded.data, loaded.site)
+            return CompiledSite(mistakes=[m.told() for m in loaded.mistakes] or [f"{source}: nothing there"])
+        return CompiledSite(loaded.digest(), loaded.data, loaded.site)
     try:
         site = read_site(source)
     except BadInput as wrong:
-        return Compiled(mistakes=[str(wrong)])
+        return CompiledSite(mistakes=[str(wrong)])
     data = msgspec.to_builtins(site)
-    return Compiled(digest_of(data), data, site)
+    return CompiledSite(digest_of(data), data, site)
--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -14,8 +14,8 @@
 from ledgehitch.config import Day, Site
 from ledgehitch.config.site import facts_of
 from ledgehitch.door.decide import AdmissionController
-from ledgehitch.gateway.roll import AGAIN
-from ledgehitch.gateway.watch import FIRST, LOST
+from ledgehitch.gateway.roll import RECONNECT_DELAY_S
+from ledgehitch.gateway.watch import LOSS_TIMEOUT_S, MIN_RETRY_DELAY_S
 from ledgehitch.interface import Fleet, Ladder, Package, Row, Terms
 from ledgehitch.model.agenda import Agenda
 from ledgehitch.model.front import Front
@@ -79,7 +79,9 @@
     def open(self) -> None:
         self.away = False
         for front in self.ground.fronts.values():
-            self.ground.agenda.after(AGAIN[0] + AGAIN[1] * self.chance.random(), self._again, front)
+            self.ground.agenda.after(
+                RECONNECT_DELAY_S[0] + RECONNECT_DELAY_S[1] * self.chance.random(), self._again, front
+            )
 
     def _again(self, front: Front) -> None:
         if not self.away:
@@ -252,7 +254,9 @@
     def died(self, host: MediaHost, fronts: Sequence[Front]) -> None:
         """A host's process is gone: its gateways find out when they connect again."""
         for front in fronts:
-            self.agenda.after(FIRST * (1 + self.chance.random()), front.take, front.lost, host.name)
+            self.agenda.after(
+                MIN_RETRY_DELAY_S * (1 + self.chance.random()), front.take, front.lost, host.name
+            )
 
     # ---- the faults' stage ---------------------------------------------------------------------------------
 
@@ -324,7 +328,7 @@
         for name, host in self.hosts.items():
             if host.up and host.troubles.silent:
                 since = self._silent.setdefault(name, now)
-                if now - since >= LOST:
+                if now - since >= LOSS_TIMEOUT_S:
                     self._silent[name] = 1e18
                     for front in list(host.by_front):
                         self.send(front, front.lost, name)
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -13,7 +13,7 @@
 from ledgehitch.door.decide import AdmissionController, Admit
 from ledgehitch.door.names import client_name
 from ledgehitch.gate import SendForbidden, SendGuard
-from ledgehitch.gateway.carry import PATIENCE_FOR_ORDERS, PROBE_WITHIN
+from ledgehitch.gateway.carry import COMMAND_TIMEOUT_S, PROBE_TIMEOUT_S
 from ledgehitch.interface import Outcome, Package, Row
 from ledgehitch.model.media import Loads, MediaHost, Session
 from ledgehitch.model.spoilt import OpenGate
@@ -381,7 +381,7 @@
         else:
             silent = host.up and (host.troubles.hangs or host.troubles.silent)
             g.agenda.after(
-                PATIENCE_FOR_ORDERS if silent else g.hop,
+                COMMAND_TIMEOUT_S if silent else g.hop,
                 self.take,
                 self._rung_told,
                 viewing_id,
@@ -408,7 +408,7 @@
         if host is None or not host.up:
             g.send(self, self._probed, name, Outcome.CONNECT_FAILED, sent, {})
         elif host.troubles.silent:
-            g.agenda.at(sent + PROBE_WITHIN, self.take, self._probed, name, Outcome.TIMEOUT, sent, {})
+            g.agenda.at(sent + PROBE_TIMEOUT_S, self.take, self._probed, name, Outcome.TIMEOUT, sent, {})
         else:
             g.send(self, self._probed, name, Outcome.OK, sent, host.report())
 
--- a/ledgehitch/rehearsal/play.py
+++ b/ledgehitch/rehearsal/play.py
@@ -19,7 +19,7 @@
 import structlog
 
 from ledgehitch.config import BadInput, Day, Fault, Site
-from ledgehitch.gateway.reports import EXCHANGED_EVERY
+from ledgehitch.gateway.reports import EXCHANGE_INTERVAL_S
 from ledgehitch.http import Client, ConnectFailed, Interrupted
 from ledgehitch.loop import Child, Loop, TimedOut
 from ledgehitch.proof.check import Breach, check_tapes, rule_parameters
@@ -312,7 +312,7 @@
             result.service = json.loads((directory / "service.json").read_text())
         result.gateways = {g.name: stage.state_of(g.name) for g in stage.site.gateways}
         if day.reporting.every:
-            loop.sleep(EXCHANGED_EVERY + 1.0)
+            loop.sleep(EXCHANGE_INTERVAL_S + 1.0)
             result.quality = {g.name: stage.quality_of(g.name) for g in stage.site.gateways}
     finally:
         result.exits = stage.end()
--- a/ledgehitch/scale/hollow.py
+++ b/ledgehitch/scale/hollow.py
@@ -21,7 +21,7 @@
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.daemon.owning import Owning, Work
 from ledgehitch.door.rates import SET_UPS, offers_budget
-from ledgehitch.gateway.doorman import Doorman
+from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.http import Refused, Request, Response, Server
 from ledgehitch.keys.store import ring_in
 from ledgehitch.loop import Event, Loop, Task, endpoint
@@ -32,31 +32,31 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class StatedNeeds(Doorman):
+class StatedNeeds(AdmissionService):
     """Says for a gateway without viewers what its door would: always the same share of each whole limit."""
 
     def __init__(self, site: Site, share: float) -> None:
         """`share`: of the whole fleet's limits, what this one wants."""
-        self.look: Callable[[float], None] | None = None
+        self.refresh_share: Callable[[float], None] | None = None
         self.wanted = {offers_budget(package): share for package in site.door.package_rates}
         if site.door.set_ups:
             self.wanted[SET_UPS] = share
         self.part: dict[str, float] = {}
 
-    def needs(self, now: float) -> tuple[dict[str, float], dict[str, float]]:
-        return self.uses(), self.wanted
+    def demand(self, now: float) -> tuple[dict[str, float], dict[str, float]]:
+        return self.usage(), self.wanted
 
-    def needs_told(self) -> None:
+    def on_demand_reported(self) -> None:
         """Nothing is counted since."""
 
-    def uses(self) -> dict[str, float]:
+    def usage(self) -> dict[str, float]:
         return {
             name: min(share, self.part.get(name, 0.0))
             for name, share in self.wanted.items()
             if name == SET_UPS
         }
 
-    def shared(
+    def set_share(
         self,
         now: float,
         own: float,
@@ -191,7 +191,7 @@
                 slow = sum(one.membership.members.is_slow() for one in self.live.values())
                 refused: dict[str, int] = {}
                 for one in self.live.values():
-                    for why, n in one.membership.frames.refused.items():
+                    for why, n in one.membership.frames.rejected.items():
                         refused[why] = refused.get(why, 0) + n
                 return answer(
                     {
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ledgehitch.config import Day, Site
-from ledgehitch.gateway.serve import Running
+from ledgehitch.gateway.serve import RunningGateway
 from ledgehitch.http import Client, Feed, Limits, NoAnswer, Request, Response, Server
 from ledgehitch.http.events import event
 from ledgehitch.http.parse import ResponseReader
@@ -120,13 +120,15 @@
             }
             for record in self.site.hosts:
                 self.listed(record.name, "in_service")
-            self.gateway = Running(self.loop, self.site, "g0", 1, self.directory, self.record, self.limits)
+            self.gateway = RunningGateway(
+                self.loop, self.site, "g0", 1, self.directory, self.record, self.limits
+            )
             self.at = str(self.gateway.server.at)
             self.client = Client(self.loop)
-            self.until(lambda: len(self.gateway.carrier.gate.hosts) == len(self.site.hosts))
+            self.until(lambda: len(self.gateway.executor.send_guard.hosts) == len(self.site.hosts))
             self.until(lambda: all(h.feed for h in self.hosts.values()))
             # Long up, so that nothing is paced as cold.
-            self.gateway.carrier.mind.brain.doubts_until = 0.0
+            self.gateway.executor.module.gateway.doubts_until = 0.0
             try:
                 return call(self)
             finally:
@@ -185,7 +187,7 @@
         return stream
 
     def counts(self) -> Any:
-        return self.gateway.carrier.counts
+        return self.gateway.executor.counts
 
 
 def request(
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -21,7 +21,7 @@
 from ledgehitch.door.queue import CELL_CAPACITY, QUEUE_CAPACITY, REKEY_PERIOD_S, FairQueue, QueuedRequest
 from ledgehitch.door.rates import ClientRateLimits, PackageRateLimits
 from ledgehitch.door.returns import EARLY_S, LATE_S, ReturnSlots, ReturnTickets
-from ledgehitch.gateway.doorman import Doorman
+from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.http import Limits, Request, Response
 from ledgehitch.lab.facts import PORTS
 from ledgehitch.loop import connect, endpoint
@@ -392,7 +392,7 @@
 
 def test_the_gateway_lets_in_by_turns_and_turns_away_with_advice_and_a_ticket() -> None:
     def day(rig: Rig) -> None:
-        doorman = rig.gateway.carrier.doorman
+        doorman = rig.gateway.executor.admission
         assert doorman is not None
         some = doorman.door
         assert isinstance(some, AdmissionController)
@@ -422,7 +422,7 @@
 
 def test_who_hangs_up_at_the_door_is_never_handed_to_the_module() -> None:
     def day(rig: Rig) -> None:
-        doorman = rig.gateway.carrier.doorman
+        doorman = rig.gateway.executor.admission
         assert doorman is not None and isinstance(doorman.door, AdmissionController)
         doorman.door.limit = FixedLimit(0.0)
         stream = connect(rig.loop, endpoint(rig.at))
@@ -571,28 +571,28 @@
 
 
 def test_what_the_gateway_keeps_of_its_door_outlives_a_torn_file(tmp_path: Path) -> None:
-    first = Doorman(door(1), Keep(tmp_path / "g0.door", private=True))
+    first = AdmissionService(door(1), Keep(tmp_path / "g0.door", private=True))
     assert isinstance(first.door, AdmissionController)
     ticket = first.door.tickets.issue(1e6, b"client-1")
-    first.write()
-    later = Doorman(door(2), Keep(tmp_path / "g0.door", private=True))
+    first.save()
+    later = AdmissionService(door(2), Keep(tmp_path / "g0.door", private=True))
     assert isinstance(later.door, AdmissionController)
     assert later.secret == first.secret and later.door.tickets.redeem(1e6, ticket, b"client-1")
     newest = max(tmp_path.iterdir(), key=lambda p: p.stat().st_mtime_ns)
     newest.write_bytes(newest.read_bytes()[:-7])
-    torn = Doorman(door(3), Keep(tmp_path / "g0.door", private=True))
+    torn = AdmissionService(door(3), Keep(tmp_path / "g0.door", private=True))
     assert torn.secret == first.secret
     assert all(p.stat().st_mode & 0o077 == 0 for p in tmp_path.iterdir()), "keys are for nobody else to read"
     for path in tmp_path.iterdir():
         path.write_bytes(b"nonsense")
-    assert Doorman(door(4), Keep(tmp_path / "g0.door")).secret != first.secret
+    assert AdmissionService(door(4), Keep(tmp_path / "g0.door")).secret != first.secret
 
 
 def test_a_reload_changes_the_limits_of_a_gateway_that_runs() -> None:
     def day(rig: Rig) -> None:
         assert [rig.offer(n).status for n in range(4)] == [201] * 4
         limits = msgspec.structs.replace(rig.site.door, client_rate=0.5, client_burst=1.0)
-        rig.gateway.place(msgspec.structs.replace(rig.site, door=limits))
+        rig.gateway.apply_site(msgspec.structs.replace(rig.site, door=limits))
         answers = [rig.offer(n) for n in range(10, 13)]
         assert [a.status for a in answers] == [201, 503, 503]
         assert b"client rate limit exceeded" in answers[1].body and answers[1].header("retry-after") == "2"
@@ -630,9 +630,9 @@
 
 def test_a_repeated_offer_gets_the_answer_that_the_first_one_gets() -> None:
     def day(rig: Rig) -> None:
-        doorman = rig.gateway.carrier.doorman
+        doorman = rig.gateway.executor.admission
         assert doorman is not None and isinstance(doorman.door, AdmissionController)
-        doorman.limited(0.5, 1.0, {}, 0.0)  # the second would exceed its rate
+        doorman.set_limits(0.5, 1.0, {}, 0.0)  # the second would exceed its rate
         first, second = rig.ask(1, token="a"), rig.ask(1, token="a")
         both = [answer(first), answer(second)]
         assert [r.status for r in both] == [201, 201]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -941,15 +941,15 @@
 
 def test_a_gateway_that_drains_sends_viewers_elsewhere_and_ends_what_plays_at_its_limit() -> None:
     def day(rig: Rig) -> None:
-        rig.gateway.front.elsewhere = lambda: "127.0.0.1:9"
+        rig.gateway.frontend.other_gateway = lambda: "127.0.0.1:9"
         place = str(rig.offer(1).header("location"))
-        rig.gateway.drain(True)
+        rig.gateway.set_draining(True)
         moved = rig.offer(2)
         assert moved.status == 307 and moved.header("location") == "http://127.0.0.1:9/whep/recorded/clip-1"
         with rig.client.stream(rig.at, place + "/events") as (_, parts):
-            rig.gateway.carrier.end_all()
+            rig.gateway.executor.end_all()
             seen = b"".join(parts)
-        assert b"event: inactive" in seen and not rig.gateway.carrier.viewings
+        assert b"event: inactive" in seen and not rig.gateway.executor.viewings
         rig.until(lambda: any(host.deleted for host in rig.hosts.values()))
         assert rig.client.request(rig.at, "DELETE", place).status == 404
 
@@ -1047,7 +1047,7 @@
         fed.plan()
         fed.http()
         fed.certificate()
-    assert fed.receiver.refused["mac"] > 100 and len(fed.members.statuses()) == 7
+    assert fed.receiver.rejected["mac"] > 100 and len(fed.members.statuses()) == 7
     assert len(fed.owners._pending) < 1000 and all(v.term < 2**40 for v in fed.owners.durable.voters.values())
     assert len(fed.members._pending) < 100 and len(fed.members._indirect) < 400
 
@@ -1101,8 +1101,8 @@
     def day(rig: Rig) -> None:
         rig.offer(1)
         admin = Admin(rig.gateway, Life(time.monotonic(), 3.0), "", lambda: None)
-        viewing_id = next(iter(rig.gateway.carrier.viewings))
-        entry = rig.gateway.carrier.desk.entries[viewing_id]
+        viewing_id = next(iter(rig.gateway.executor.viewings))
+        entry = rig.gateway.executor.registry.entries[viewing_id]
         for which in (str(viewing_id), entry.resource):
             lines = json.loads(admin.handle(Request("GET", f"/v1/why/{which}", {}), "look").body)["lines"]
             assert "asked for clip-1 as recorded" in lines[0]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ledgehitch.gate import SendForbidden
-from ledgehitch.gateway.replay import replayed
+from ledgehitch.gateway.replay import replay_record
 from ledgehitch.http import Limits, NoAnswer, Request, Response
 from ledgehitch.http.parse import ResponseReader
 from ledgehitch.loop import connect, endpoint
@@ -169,8 +169,8 @@
     def day(rig: Rig) -> None:
         rig.ask().close()
         rig.until(lambda: rig.counts().left == 1)
-        rig.until(lambda: not rig.gateway.carrier.viewings and rig.out == 0)
-        assert not rig.gateway.carrier.mind.brain.viewings and not rig.gateway.carrier.desk.entries
+        rig.until(lambda: not rig.gateway.executor.viewings and rig.out == 0)
+        assert not rig.gateway.executor.module.gateway.viewings and not rig.gateway.executor.registry.entries
 
     Rig({"*": Host.silent}).run(day)
 
@@ -180,10 +180,10 @@
 
     def day(rig: Rig) -> None:
         # The hang-up is noticed by nobody before the answer is written.
-        rig.gateway.carrier.hung_up = lambda conn: None  # type: ignore[method-assign]
+        rig.gateway.executor.on_hang_up = lambda conn: None  # type: ignore[method-assign]
         rig.ask().close()
         rig.until(lambda: rig.counts().plays)
-        rig.until(lambda: not rig.gateway.carrier.viewings)
+        rig.until(lambda: not rig.gateway.executor.viewings)
         rig.until(lambda: any(h.deleted for h in rig.hosts.values()))
 
     def slow(host: Host, request: Request) -> Response:
@@ -245,14 +245,14 @@
     def day(rig: Rig) -> None:
         stream = rig.ask()
         rig.until(lambda: rig.set_ups)
-        resource = next(iter(rig.gateway.carrier.desk.entries.values())).resource
+        resource = next(iter(rig.gateway.executor.registry.entries.values())).resource
         early = rig.client.request(rig.at, "DELETE", f"/viewings/{resource}")
         assert early.status == 404, "it has no answer yet, so there is nothing to end"
         place = answer(stream).header("location")
         assert rig.client.request(rig.at, "DELETE", str(place)).status == 200
         assert rig.client.request(rig.at, "DELETE", str(place)).status == 404
         rig.until(lambda: any(h.deleted for h in rig.hosts.values()))
-        assert not rig.gateway.carrier.viewings and not rig.gateway.carrier.mind.brain.viewings
+        assert not rig.gateway.executor.viewings and not rig.gateway.executor.module.gateway.viewings
 
     Rig({"*": slow}).run(day)
 
@@ -268,7 +268,7 @@
         host = rig.set_ups[0][0]
         rig.listed(host, "terminating")
         assert answer(stream).status == 201, "what was out when it was told may come about"
-        rig.until(lambda: rig.gateway.carrier.gate.hosts[host] is not None)
+        rig.until(lambda: rig.gateway.executor.send_guard.hosts[host] is not None)
         for n in range(2, 12):
             assert rig.offer(n, token=f"t{n}").status == 201
         assert [h for h, _ in rig.set_ups].count(host) == 1
@@ -278,13 +278,13 @@
 
 def test_the_gate_stops_what_the_module_should_never_send() -> None:
     def day(rig: Rig) -> None:
-        gate, now = rig.gateway.carrier.gate, time.monotonic()
+        gate, now = rig.gateway.executor.send_guard, time.monotonic()
         with pytest.raises(SendForbidden, match="never asked"):
             gate.check_send(now, 99, "h0", 0.1)
         rig.listed("h0", "terminating")
         rig.until(lambda: gate.hosts["h0"] is not None)
         gate.hosts["h0"] = now - 10
-        package = next(iter(rig.gateway.front.packages.values()))
+        package = next(iter(rig.gateway.frontend.packages.values()))
         gate.on_viewing_request(5, package, now + 3)
         with pytest.raises(SendForbidden, match="rule 3"):
             gate.check_send(now, 5, "h0", 0.1)
@@ -339,7 +339,7 @@
         rig.loop.poll = StoodStill(poll, 0.7)  # type: ignore[assignment]
         statuses = [answer(stream).status for stream in streams]
         assert rig.loop.stood_still >= 1
-        asked = [v.asked_at for v in rig.gateway.carrier.mind.brain.viewings.values()]
+        asked = [v.asked_at for v in rig.gateway.executor.module.gateway.viewings.values()]
         assert statuses and set(statuses) <= {201, 503, 504}
         assert all(at <= entered + 0.6 for at in asked), "asked before the stop was over"
 
@@ -446,13 +446,13 @@
 def test_top_comes_from_the_query_or_the_offers_bandwidth() -> None:
     def day(rig: Rig) -> None:
         tops: list[int] = []
-        asked = rig.gateway.carrier.ask
+        asked = rig.gateway.executor.on_offer
 
         def spy(*args):  # type: ignore[no-untyped-def]
             tops.append(args[5])
             return asked(*args)
 
-        rig.gateway.carrier.ask = spy  # type: ignore[method-assign]
+        rig.gateway.executor.on_offer = spy  # type: ignore[method-assign]
         for path, body in (
             ("/whep/recorded/clip-1?top=1", offer_of(1)),
             ("/whep/recorded/clip-1", offer_of(2).replace(b"a=mid:1\r\n", b"b=AS:5000\r\na=mid:1\r\n")),
@@ -471,7 +471,7 @@
     def day(rig: Rig) -> None:
         place = str(rig.offer().header("location"))
         host = rig.hosts[rig.set_ups[0][0]]
-        viewing_id = next(iter(rig.gateway.carrier.viewings))
+        viewing_id = next(iter(rig.gateway.executor.viewings))
         with rig.client.stream(rig.at, place + "/events") as (response, parts):
             assert response.status == 200
             seen = next(parts)
@@ -485,7 +485,7 @@
             assert seen.startswith(b"event: active") and seen.rstrip().endswith(b"data: {}")
             assert b"event: inactive" in seen
         assert rig.client.request(rig.at, "DELETE", place).status == 404
-        assert not rig.gateway.carrier.viewings
+        assert not rig.gateway.executor.viewings
 
     Rig().run(day)
 
@@ -497,7 +497,7 @@
         assert host.feed is not None
         host.boot = "another"
         host.feed.close()
-        rig.until(lambda: not rig.gateway.carrier.viewings)
+        rig.until(lambda: not rig.gateway.executor.viewings)
         assert rig.counts().ended == 1
 
     Rig().run(day)
@@ -512,7 +512,7 @@
         old.close()
         rig.until(lambda: host.feed is not old)
         rig.loop.sleep(0.05)
-        assert len(rig.gateway.carrier.viewings) == 1
+        assert len(rig.gateway.executor.viewings) == 1
 
     Rig().run(day)
 
@@ -530,15 +530,15 @@
 
     rig.run(day)
     assert rig.record is not None
-    verdict = replayed(rig.record)
+    verdict = replay_record(rig.record)
     assert verdict.difference == "" and verdict.same_module and verdict.decisions > 50
     whole = next(rig.directory.glob("record.*"))
     cut = rig.directory / "cut"
     cut.write_bytes(whole.read_bytes()[:-7])
-    assert replayed(cut).difference == "", "a crash leaves what was whole"
+    assert replay_record(cut).difference == "", "a crash leaves what was whole"
     monkeypatch.setattr("ledgehitch.brain.LOWEST_RUNG_MAX_USE", 0.0)
     monkeypatch.setattr("ledgehitch.brain.MIN_TIMEOUT_S", 0.4)
-    assert "was ['TuneIn'" in replayed(rig.record).difference
+    assert "was ['TuneIn'" in replay_record(rig.record).difference
 
 
 def test_a_gateway_starts_with_the_list_it_kept() -> None:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -10,7 +10,7 @@
 from cryptography.hazmat.primitives.serialization import Encoding
 
 from ledgehitch.config import BadInput
-from ledgehitch.gateway.peers import Peers, Refusal
+from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Request, Response, Server
 from ledgehitch.keys.contexts import context
 from ledgehitch.keys.judge import Refused, shown, taken
@@ -80,25 +80,25 @@
     keys = Keys(tmp_path)
     assert keys.add() == 1
     ring = ring_in(keys.ring)
-    old = Peers(ring, 0, 1)
+    old = PeerCodec(ring, 0, 1)
     assert keys.add() == 2
     with pytest.raises(BadInput, match="a change is under way"):
         keys.add()
-    added = Peers(ring_in(keys.ring), 1, 1)
-    assert added.words(NOW, old.frame(NOW, 1, b"a")) == (0, b"a")
-    said = Peers(ring, 0, 1).words(NOW, added.frame(NOW, 0, b"b"))
+    added = PeerCodec(ring_in(keys.ring), 1, 1)
+    assert added.unframe(NOW, old.frame(NOW, 1, b"a")) == (0, b"a")
+    said = PeerCodec(ring, 0, 1).unframe(NOW, added.frame(NOW, 0, b"b"))
     assert said == (1, b"b"), "it still signs with the old one"
     keys.use()
-    used = Peers(ring_in(keys.ring), 2, 1)
-    assert added.words(NOW, used.frame(NOW, 1, b"c")) == (2, b"c")
-    assert used.words(NOW, added.frame(NOW, 2, b"d")) == (1, b"d")
-    with pytest.raises(Refusal, match="mac"):
-        old.words(NOW, used.frame(NOW, 0, b"e"))
+    used = PeerCodec(ring_in(keys.ring), 2, 1)
+    assert added.unframe(NOW, used.frame(NOW, 1, b"c")) == (2, b"c")
+    assert used.unframe(NOW, added.frame(NOW, 2, b"d")) == (1, b"d")
+    with pytest.raises(DatagramRejected, match="mac"):
+        old.unframe(NOW, used.frame(NOW, 0, b"e"))
     keys.drop()
-    dropped = Peers(ring_in(keys.ring), 3, 1)
-    assert dropped.words(NOW, used.frame(NOW, 3, b"f")) == (2, b"f")
-    with pytest.raises(Refusal, match="mac"):
-        dropped.words(NOW, added.frame(NOW, 3, b"g"))
+    dropped = PeerCodec(ring_in(keys.ring), 3, 1)
+    assert dropped.unframe(NOW, used.frame(NOW, 3, b"f")) == (2, b"f")
+    with pytest.raises(DatagramRejected, match="mac"):
+        dropped.unframe(NOW, added.frame(NOW, 3, b"g"))
     keys.ring.chmod(0o640)
     with pytest.raises(BadInput, match="chmod 600"):
         ring_in(keys.ring)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -159,7 +159,7 @@
             if first.members.counts["answered"] and second.members.counts["answered"]:
                 break
         assert first.told()["g1"] == second.told()["g0"] == "alive"
-        assert first.frames.refused.get("mac", 0) + second.frames.refused.get("mac", 0) > 0
+        assert first.frames.rejected.get("mac", 0) + second.frames.rejected.get("mac", 0) > 0
         assert stranger.members.counts["answered"] == 0
         first.leave(back_soon=False)
         for _ in range(200):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,11 +11,25 @@
 
 from ledgehitch.config import BadInput, Day, facts_of, read_day, read_site
 from ledgehitch.config.site import check
-from ledgehitch.gateway.peers import FRESH, MOST, Peers, Refusal
-from ledgehitch.gateway.record import BadRecord, Recorder, entries, frozen, segments, thawed
-from ledgehitch.gateway.replay import replayed
-from ledgehitch.gateway.roll import Line, News, Roll
-from ledgehitch.gateway.watch import LOST, SILENT, Follow, Lost, Unfollow, Watch
+from ledgehitch.gateway.peers import MAX_CLOCK_DIFFERENCE_S, MAX_DATAGRAM_BYTES, DatagramRejected, PeerCodec
+from ledgehitch.gateway.record import (
+    BadRecord,
+    Recorder,
+    dump_checkpoint,
+    load_checkpoint,
+    read_entries,
+    segment_paths,
+)
+from ledgehitch.gateway.replay import replay_record
+from ledgehitch.gateway.roll import HostEntry, HostList, HostListUpdate
+from ledgehitch.gateway.watch import (
+    LOSS_TIMEOUT_S,
+    SILENCE_TIMEOUT_S,
+    Follow,
+    HostLost,
+    HostMonitor,
+    Unfollow,
+)
 from ledgehitch.signalling import (
     AbandonViewing,
     Answer,
@@ -174,7 +188,7 @@
 # ---- watch, roll, peers ------------------------------------------------------------------------------------
 
 
-def decisions(watch: Watch, now: float) -> list[Any]:
+def decisions(watch: HostMonitor, now: float) -> list[Any]:
     out = []
     while (decision := watch.decide(now)) is not None:
         out.append(decision)
@@ -182,113 +196,115 @@
 
 
 def test_a_host_is_lost_when_it_refuses_is_another_process_is_silent_or_gone() -> None:
-    watch = Watch(random.Random(1))
-    watch.listed(0.0, "h", False)
+    watch = HostMonitor(random.Random(1))
+    watch.on_host_listed(0.0, "h", False)
     assert decisions(watch, 0.0) == [Follow("h")]
-    watch.hello(0.1, "h", "a")
-    watch.broke(1.0, "h", refused=False)
+    watch.on_stream_opened(0.1, "h", "a")
+    watch.on_stream_ended(1.0, "h", refused=False)
     assert decisions(watch, 1.0) == []
     assert decisions(watch, 1.3) == [Follow("h")]
-    watch.hello(1.4, "h", "a")
+    watch.on_stream_opened(1.4, "h", "a")
     assert decisions(watch, 1.4) == [], "the same process: nothing is lost"
-    watch.broke(2.0, "h", refused=True)
-    watch.broke(2.0, "h", refused=True)
-    assert decisions(watch, 2.0) == [Lost("h")], "once"
+    watch.on_stream_ended(2.0, "h", refused=True)
+    watch.on_stream_ended(2.0, "h", refused=True)
+    assert decisions(watch, 2.0) == [HostLost("h")], "once"
     assert decisions(watch, 3.0) == [Follow("h")]
-    watch.hello(3.0, "h", "b")
+    watch.on_stream_opened(3.0, "h", "b")
     assert decisions(watch, 3.0) == [], "its loss was told already"
-    watch.hello(3.5, "h", "c")
-    assert decisions(watch, 3.5) == [Lost("h")]
-    watch.sign(4.0, "h")
-    assert not watch.silent(4.0 + SILENT, "h") and watch.silent(4.1 + SILENT, "h")
-    watch.broke(8.0, "h", refused=False)
-    assert Lost("h") not in decisions(watch, 8.0)
-    assert Lost("h") in decisions(watch, 4.1 + LOST)
-    watch.listed(20.0, "h", True)
-    assert decisions(watch, 20.0) == [Lost("h"), Unfollow("h")] and watch.wake_at() == float("inf")
+    watch.on_stream_opened(3.5, "h", "c")
+    assert decisions(watch, 3.5) == [HostLost("h")]
+    watch.on_activity(4.0, "h")
+    assert not watch.is_silent(4.0 + SILENCE_TIMEOUT_S, "h") and watch.is_silent(4.1 + SILENCE_TIMEOUT_S, "h")
+    watch.on_stream_ended(8.0, "h", refused=False)
+    assert HostLost("h") not in decisions(watch, 8.0)
+    assert HostLost("h") in decisions(watch, 4.1 + LOSS_TIMEOUT_S)
+    watch.on_host_listed(20.0, "h", True)
+    assert decisions(watch, 20.0) == [HostLost("h"), Unfollow("h")] and watch.wake_at() == float("inf")
 
 
-def line(host: str, state: str = "in_service") -> Line:
-    return Line(host, "127.0.0.1:1", 0, 1.0, "std", "", state)
+def line(host: str, state: str = "in_service") -> HostEntry:
+    return HostEntry(host, "127.0.0.1:1", 0, 1.0, "std", "", state)
 
 
 def test_lists_out_of_order_or_with_gaps_are_never_guessed_at() -> None:
-    roll = Roll()
-    assert roll.change(News("e", 1, [line("a")])) is None, "a change before any list"
-    assert roll.total(News("e", 5, [line("a"), line("b")]))
-    assert roll.change(News("e", 6, [line("b", "terminated")])) and set(roll.lines) == {"a"}
-    assert roll.change(News("e", 6, [line("b")])) == (), "one that came twice"
-    assert roll.change(News("e", 4, [line("c")])) == () and roll.refused == 2
-    assert roll.change(News("e", 8, [line("c")])) is None, "a gap"
-    assert roll.total(News("e", 3, [])) is None, "an older list"
-    assert roll.change(News("f", 9, [line("c")])) is None, "another life of the service"
-    assert roll.total(News("f", 1, [line("c")])) and roll.kept().version == 1
+    roll = HostList()
+    assert roll.apply_changes(HostListUpdate("e", 1, [line("a")])) is None, "a change before any list"
+    assert roll.apply_full_list(HostListUpdate("e", 5, [line("a"), line("b")]))
+    assert roll.apply_changes(HostListUpdate("e", 6, [line("b", "terminated")])) and set(roll.entries) == {
+        "a"
+    }
+    assert roll.apply_changes(HostListUpdate("e", 6, [line("b")])) == (), "one that came twice"
+    assert roll.apply_changes(HostListUpdate("e", 4, [line("c")])) == () and roll.stale_updates == 2
+    assert roll.apply_changes(HostListUpdate("e", 8, [line("c")])) is None, "a gap"
+    assert roll.apply_full_list(HostListUpdate("e", 3, [])) is None, "an older list"
+    assert roll.apply_changes(HostListUpdate("f", 9, [line("c")])) is None, "another life of the service"
+    assert roll.apply_full_list(HostListUpdate("f", 1, [line("c")])) and roll.snapshot().version == 1
 
 
 def test_datagrams_are_taken_once_from_who_has_the_key_and_only_fresh() -> None:
     key = bytes(range(32))
-    a, b = Peers([key], 0, 100), Peers([key], 1, 100)
+    a, b = PeerCodec([key], 0, 100), PeerCodec([key], 1, 100)
 
     def refused(data: bytes, wall: float = 1000.0) -> str:
-        with pytest.raises(Refusal) as why:
-            b.words(wall, data)
+        with pytest.raises(DatagramRejected) as why:
+            b.unframe(wall, data)
         return str(why.value)
 
     frames = [a.frame(1000.0, 1, b"%d" % n) for n in range(80)]
-    assert b.words(1000.0, frames[3]) == (0, b"3")
-    assert b.words(1000.0, frames[1]) == (0, b"1"), "overtaken, not lost"
+    assert b.unframe(1000.0, frames[3]) == (0, b"3")
+    assert b.unframe(1000.0, frames[1]) == (0, b"1"), "overtaken, not lost"
     assert refused(frames[3]) == refused(frames[1]) == "replayed"
-    assert b.words(1000.0, frames[79])[1] == b"79"
+    assert b.unframe(1000.0, frames[79])[1] == b"79"
     assert refused(frames[2]) == "replayed", "too old for the window"
-    assert refused(frames[50], wall=1000.1 + FRESH) == "stale"
+    assert refused(frames[50], wall=1000.1 + MAX_CLOCK_DIFFERENCE_S) == "stale"
     assert refused(a.frame(1000.0, 2, b"x")) == "address"
     assert refused(frames[60][:-1] + bytes([frames[60][-1] ^ 1])) == "mac"
-    assert refused(Peers([bytes(32)], 0, 100).frame(1000.0, 1, b"")) == "mac"
-    assert refused(b"short") == refused(bytes(MOST + 1)) == "size"
-    newer = Peers([key], 0, 101)
-    assert b.words(1000.0, newer.frame(1000.0, 1, b"again"))[1] == b"again"
+    assert refused(PeerCodec([bytes(32)], 0, 100).frame(1000.0, 1, b"")) == "mac"
+    assert refused(b"short") == refused(bytes(MAX_DATAGRAM_BYTES + 1)) == "size"
+    newer = PeerCodec([key], 0, 101)
+    assert b.unframe(1000.0, newer.frame(1000.0, 1, b"again"))[1] == b"again"
     assert refused(a.frame(1000.0, 1, b"old life")) == "former life"
     with pytest.raises(ValueError, match="do not fit"):
-        a.frame(0.0, 1, bytes(MOST))
+        a.frame(0.0, 1, bytes(MAX_DATAGRAM_BYTES))
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.binary(max_size=200), st.integers(0, 250), st.integers(0, 255))
 def test_no_bytes_make_a_peer_believe_them(data: bytes, at: int, flip: int) -> None:
     key = bytes(range(32))
-    b = Peers([key], 1, 1)
-    frame = bytearray(Peers([key], 0, 1).frame(0.0, 1, b"words" * 20))
+    b = PeerCodec([key], 1, 1)
+    frame = bytearray(PeerCodec([key], 0, 1).frame(0.0, 1, b"words" * 20))
     if flip:
         frame[at % len(frame)] ^= flip
-        with pytest.raises(Refusal):
-            b.words(0.0, bytes(frame))
-    with pytest.raises(Refusal):
-        b.words(0.0, data)
+        with pytest.raises(DatagramRejected):
+            b.unframe(0.0, bytes(frame))
+    with pytest.raises(DatagramRejected):
+        b.unframe(0.0, data)
 
 
 # ---- records -----------------------------------------------------------------------------------------------
 
 
 def test_a_record_rotates_and_each_segment_replays_from_its_own_checkpoint(tmp_path: Path) -> None:
-    from ledgehitch.gateway.mind import Mind
+    from ledgehitch.gateway.mind import RecordedModule
 
-    mind = Mind(gateway(), Recorder(tmp_path / "r", segment=20000, keep=3))
+    mind = RecordedModule(gateway(), Recorder(tmp_path / "r", segment_bytes=20000, max_segments=3))
     for n in range(300):
         mind.on_viewing_request(200 + n / 10, n, "plain", "t1", 0, 6, 3, 203 + n / 10)
-        list(mind.pulled(200 + n / 10))
+        list(mind.decisions(200 + n / 10))
         mind.on_tune_in_success(200.05 + n / 10, n, "h0", 0, 0.05)
         mind.on_report(200.05 + n / 10, n, "h0", 3, 0.5)
-        list(mind.pulled(200.05 + n / 10))
+        list(mind.decisions(200.05 + n / 10))
     assert mind.recorder is not None
     mind.recorder.close()
-    kept = segments(tmp_path / "r")
+    kept = segment_paths(tmp_path / "r")
     assert len(kept) == 3 and not kept[0].name.endswith("000001")
-    verdict = replayed(tmp_path / "r")
+    verdict = replay_record(tmp_path / "r")
     assert verdict.difference == "" and verdict.decisions > 20
     for size in range(0, 3000, 37):
         cut = tmp_path / f"cut{size}"
         cut.write_bytes(kept[0].read_bytes()[: 20 + size])
-        list(entries(cut))
+        list(read_entries(cut))
 
 
 def test_a_record_from_elsewhere_runs_nothing() -> None:
@@ -299,14 +315,14 @@
             return print, ("pwned",)
 
     with pytest.raises(BadRecord, match="is not one of ours"):
-        thawed(pickle.dumps(Evil()))
+        load_checkpoint(pickle.dumps(Evil()))
     with pytest.raises(BadRecord):
-        thawed(b"\x80\x04N.")
-    again = thawed(frozen(gateway()))
+        load_checkpoint(b"\x80\x04N.")
+    again = load_checkpoint(dump_checkpoint(gateway()))
     again.on_host_list(200.0, "total", rows())
     assert len(again.hosts) == 6
     with pytest.raises(BadRecord, match="no record there"):
-        replayed(Path("/nonexistent/record"))
+        replay_record(Path("/nonexistent/record"))
 
 
 # ---- sites and days ----------------------------------------------------------------------------------------
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -304,7 +304,7 @@
         return real(desk, now) if isinstance(decision, Answer) else decision
 
     monkeypatch.setattr(ViewingRegistry, "decide", mute)
-    monkeypatch.setattr("ledgehitch.gateway.front.LAST", 30.0)
+    monkeypatch.setattr("ledgehitch.gateway.front.ANSWER_GRACE_S", 30.0)
     taped = Taped(tmp_path)
     rig = Rig(
         {"*": taped.host(Host.plays)}, packages=[{"name": "recorded", "join_target": 0.1, "patience": 0.3}]
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -15,7 +15,7 @@
 
 from benchmarks.worlds import each_alone, ours, scored, world
 from ledgehitch.config import read_day
-from ledgehitch.gateway.reports import KeysOf, Reports, Tokens
+from ledgehitch.gateway.reports import KeyFileVerifier, ReportService, TokenIssuer
 from ledgehitch.http import Response
 from ledgehitch.loop import Loop, connect, endpoint
 from ledgehitch.quality.facts import Report, Seen, reports_in
@@ -275,7 +275,7 @@
 
 def test_what_another_version_kept_starts_the_count_anew(tmp_path: Path) -> None:
     Keep(tmp_path / "g0.quality").write({"of": "another version"})
-    reports = Reports(Loop(), "g0", {}, tmp_path, Tokens("g0", tmp_path).passes.check)
+    reports = ReportService(Loop(), "g0", {}, tmp_path, TokenIssuer("g0", tmp_path).passes.check)
     assert reports.tally.source == "g0" and reports.tally.counts.taken == 0
 
 
@@ -305,15 +305,17 @@
 def test_a_token_carries_what_the_gateway_saw_and_its_keys_are_read_by_the_process_beside(
     tmp_path: Path,
 ) -> None:
-    tokens, beside = Tokens("g0", tmp_path), KeysOf("g0", tmp_path)
-    token = tokens.admitted("v1", "2", "clip", 0.25, 0.8, "live")
+    tokens, beside = TokenIssuer("g0", tmp_path), KeyFileVerifier("g0", tmp_path)
+    token = tokens.issue("v1", "2", "clip", 0.25, 0.8, "live")
     seen = beside.check(time.time(), token, "v1")
     assert seen is not None and (seen.rack, seen.title, seen.package) == ("2", "clip", "live")
     assert seen.answered_at - seen.asked_at == pytest.approx(0.25)
     t = Tally("beside", 1)
     word = t.reported(seen.answered_at + 1, "v1", report(0, 7, msd=200), seen)
     assert word == "taken" and "2\tclip" in t.total(0, 10**9)
-    assert Tokens("g0", tmp_path).passes.check(time.time(), token, "v1") == seen, "keys outlive a restart"
+    assert TokenIssuer("g0", tmp_path).passes.check(time.time(), token, "v1") == seen, (
+        "keys outlive a restart"
+    )
     spoilt = token[:-30] + ("A" if token[-30] != "A" else "B") + token[-29:]
     for wrong in (spoilt, Passes(bytes(32), 0.0).issue(time.time(), "v1")):
         with pytest.raises(BadPass):
@@ -406,7 +408,7 @@
         statuses = [post(place, token, flood) for _ in range(2)]
         assert statuses[1].status == 429 and int(str(statuses[1].header("retry-after"))) >= 1
 
-        tokens = rig.gateway.front.tokens
+        tokens = rig.gateway.frontend.token_issuer
         assert tokens is not None
         issue = tokens.passes.issue
 
@@ -416,14 +418,14 @@
             return issue(now, viewing, msgspec.structs.replace(seen, answered_at=seen.answered_at - 5.0))
 
         tokens.passes.issue = issued_earlier  # type: ignore[method-assign]
-        titles = sorted(rig.gateway.front.titles)
+        titles = sorted(rig.gateway.frontend.titles)
         nth: Counter[tuple[str, str]] = Counter()
         for n in range(1, 361):
             title = titles[n % 3]
             plays = rig.offer(n, token=f"t{n}", title=title)
             assert plays.status == 201
-            viewing_id = max(rig.gateway.carrier.viewings)
-            rack = rig.gateway.rack_of(rig.gateway.carrier.viewings[viewing_id].host)
+            viewing_id = max(rig.gateway.executor.viewings)
+            rack = rig.gateway.rack_of(rig.gateway.executor.viewings[viewing_id].host)
             faulty = (rack == "1") * 3 + (title == titles[1]) * 3
             # By their order within rack and title: by number alone the share that stalls on a rack swings
             # with where timing places them, and 30 of 114 is one too few for a verdict.
@@ -443,7 +445,7 @@
         assert tables and tables[0]["source"] == "g0"
         # A reload calls the rack otherwise: what was counted is still its own, under the new name.
         fleet = msgspec.structs.replace(rig.site.fleet, rack_names=["east", "west", "north"])
-        rig.gateway.place(msgspec.structs.replace(rig.site, fleet=fleet))
+        rig.gateway.apply_site(msgspec.structs.replace(rig.site, fleet=fleet))
         again = json.loads(rig.client.request(rig.at, "GET", "/quality/report").body)
         assert {(c["kind"], c["name"]) for c in again["verdict"]["culprits"]} == {
             ("rack", "west"),
@@ -455,7 +457,7 @@
         )
         # A rack whose viewings play and say nothing is named.
         assert rig.gateway.reports is not None
-        rig.gateway.reports.playing = lambda: {"1": 40, "2": 3, "7": 40}
+        rig.gateway.reports.playing_by_rack = lambda: {"1": 40, "2": 3, "7": 40}
         silent = json.loads(rig.client.request(rig.at, "GET", "/quality/report").body)
         assert silent["verdict"]["unclear"] == ["rack rack-7 sent no report"]
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -18,8 +18,8 @@
 
 from ledgehitch.config import KINDS, BadInput, Day, Fault, Site, read_day
 from ledgehitch.config.load import digest_of
-from ledgehitch.gateway.replay import replayed
-from ledgehitch.gateway.versions import checked, first_version, last_good
+from ledgehitch.gateway.replay import replay_record
+from ledgehitch.gateway.versions import compile_site, load_first_version, load_last_good
 from ledgehitch.loop import Loop
 from ledgehitch.proof.check import check_tapes, rule_parameters
 from ledgehitch.rehearsal.imported import KINDS_HERE, imported
@@ -57,8 +57,8 @@
     assert told["service"]["joined"] > 200 and set(told["exits"].values()) == {0}
     records = sorted((tmp_path / "d" / "record").iterdir())
     assert len(records) >= 5, "one a life of a gateway"
-    assert sum(replayed(r).decisions for r in records) > 300
-    assert [replayed(r).difference for r in records] == [""] * len(records)
+    assert sum(replay_record(r).decisions for r in records) > 300
+    assert [replay_record(r).difference for r in records] == [""] * len(records)
     again = run("check-tape", str(tmp_path / "d"), "--json")
     assert again.returncode == 0 and json.loads(again.stdout)["tape"] == held
     # The same tape with one answer taken out is found to be broken, by the command too.
@@ -362,15 +362,15 @@
     assert "ladder" in told["config"]["last_refusal"], "refused with the checker's words"
     service = json.loads((tmp_path / "s.json").read_text())
     assert service["joined_in_time"] == service["joined"] > 80, "joins stay within the target"
-    kept = last_good(tmp_path / "state" / "g0.site.json")
+    kept = load_last_good(tmp_path / "state" / "g0.site.json")
     assert kept is not None and kept.digest == told["config"]["runs"]
     # The files are broken at the next start: the last good version is used, and said loudly.
     (tmp_path / "site.json").write_text("{")
-    found = first_version(tmp_path / "site.json", tmp_path / "state" / "g0.site.json", checked)
+    found = load_first_version(tmp_path / "site.json", tmp_path / "state" / "g0.site.json", compile_site)
     assert found.digest == kept.digest
     (tmp_path / "state" / "g0.site.json").write_bytes(msgspec.json.encode(kept).replace(b"new-49", b"new-77"))
     with pytest.raises(BadInput, match="not JSON"):
-        first_version(tmp_path / "site.json", tmp_path / "state" / "g0.site.json", checked)
+        load_first_version(tmp_path / "site.json", tmp_path / "state" / "g0.site.json", compile_site)
 
 
 def test_config_commands_end_with_their_codes(tmp_path: Path) -> None:
