--- a/ledgehitch/brain.py
+++ b/ledgehitch/brain.py
@@ -49,7 +49,7 @@
 # and overloads more often.
 LOWEST_RUNG_MAX_USE = 0.9
 HOLDER_WAIT_SHARE = 0.4  # share of the join target that a viewing may wait for a holder before it is blocked
-# Limit of a recorded use, so that a media host that stands still is tried again within useful time.
+# Limit of a recorded use, so that a media host that stalled is tried again within useful time.
 MAX_RECORDED_USE = 3.0
 # Factor on the part by which a gateway may step down while delivery is short. More drops deeper and sooner.
 SHORT_DELIVERY_STEP_FACTOR = 1.5
@@ -61,8 +61,8 @@
 TYPICAL_USE_PRIOR = 0.3
 # Number of holders with a recent reading from which on no other is probed, and how long an answer is awaited.
 ENOUGH_READINGS, PROBE_TIMEOUT_S = 6, 0.1
-MAX_RECENT_CHANGES = 64  # own changes kept since the last reading. More account better for a crowded second
-UNREAD_SAMPLE_SIZE = 3  # holders without a recent reading that are considered. More find an emptier one
+MAX_RECENT_CHANGES = 64  # own changes kept since a reading; a larger number tracks a crowded second better
+UNREAD_SAMPLE_SIZE = 3  # holders without a recent reading that are compared; more find an emptier one
 FRESH_REPORT_INTERVALS = 1.5  # age in report intervals above which a reading fades into the guess
 LOAD_REPORT_DELAY_S, READING_EXPIRY_S = 0.3, 10.0  # age of a load report on arrival; oldest reading averaged
 # An uplink is blamed when several hosts fall short within this time, or a lone one that still delivers more
@@ -87,11 +87,11 @@
 WARM_HOST_USE = 0.3  # with this much of its link used by other gateways, a media host did not just start
 LIST_RETRY_S, LIST_RETRY_JITTER_S = 1.0, 5.0  # delay of a new request for a lost list, and random part
 PLACEMENT_INTERVAL_S = 0.05  # time between two placement rounds while viewings wait
-# Up to this many waiting viewings are placed at any event. More find room sooner, and cost more when there is
-# none.
+# Up to this many waiting viewings are tried again at any event. A larger number finds room sooner, and costs
+# more when there is none.
 FEW_WAITING = 8
 RATE_CHANGE = struct.Struct(">Hh")  # a change sent to other gateways: key of the media host, kB a second
-PEER_FANOUT = 2  # gateways that each message goes to. More spread it wider and cost as many times as much
+PEER_FANOUT = 2  # gateways that each message goes to; each further one costs as much again
 PATIENCE_MARGIN_S = 0.03  # time kept free before patience ends
 
 
@@ -237,7 +237,7 @@
         fleet: Fleet,
         terms: Terms,
     ) -> None:
-        self.chance = random.Random(seed)
+        self.chance = random.Random(seed)  # source of all random choices
         self.started = now
         self.doubts_until = now + min(terms.warm_up, MAX_LIST_LAG_S)  # end of the time with doubted hosts
         self.rates = ladder.kb or (1.0,)
@@ -260,9 +260,8 @@
         # What a kB of each step up earns, and the most that a kB of any step earns.
         self.gains = [(w2 - w1) / max(1e-9, kb2 - kb1) for kb1, kb2, w1, w2 in steps]
         self.best = max((p.value * g / max(1e-9, p.scale) for p in packages for g in self.gains), default=1.0)
-        self.stale = max(
-            1.0, FRESH_REPORT_INTERVALS * (fleet.told_every or 2.0)
-        )  # age from which on a reading is stale
+        # Age from which on a reading is stale.
+        self.stale = max(1.0, FRESH_REPORT_INTERVALS * (fleet.told_every or 2.0))
         self.x1 = "x1" in fleet.load_fields  # whether the use of uplinks is reported
         self.must_probe = fleet.reports == "pull" and terms.may_probe
         # Probes before a set-up are sent only where an answer states the use of a link. Elsewhere each
@@ -557,7 +556,7 @@
     def _record_short_delivery(self, now: float, at: float, host: MediaHost, share: float) -> None:
         """Records a use of 1 / share for whichever of link and uplink is the bottleneck.
 
-        One media host that stands still must not make its uplink look smaller. So the uplink is blamed only
+        One media host that stalls must not make its uplink look smaller. So the uplink is blamed only
         when it is reported fuller than the link, when two hosts of the rack are short whose links have room,
         or when the host is the only one of the rack in use and still delivers a fair share.
         """
@@ -729,7 +728,7 @@
                 h for h in candidates if h.link.at >= read_since and not self._cold_budget_spent(now, h)
             ]
             # Gateways that know little would otherwise all choose the same media host, or one that is full,
-            # stands still or just started. So where probes are allowed, a holder without a reading is probed
+            # stalls or just started. So where probes are allowed, a holder without a reading is probed
             # first. Where no holder answers or has a reading, the viewing must not spend its patience on
             # probes: it probes up to its join target, well before patience ends, and then some holders are
             # tried unread, at random.
--- a/ledgehitch/gate.py
+++ b/ledgehitch/gate.py
@@ -33,7 +33,7 @@
     """Knows which viewings are open and which media hosts are in service, and checks each tune-in by that."""
 
     def __init__(self, drain_grace_s: float) -> None:
-        self.drain_grace_s = drain_grace_s  # time for which tune-ins may follow the news that a host drains
+        self.drain_grace_s = drain_grace_s  # time in which a host that drains may still be sent tune-ins
         self.viewings: dict[int, _GuardedViewing] = {}
         self.hosts: dict[str, float | None] = {}  # when it became known that a host drains or is gone
         self.refused = 0  # number of tune-ins refused
--- a/ledgehitch/interface.py
+++ b/ledgehitch/interface.py
@@ -78,7 +78,7 @@
     gateways: int = 1
     tune_ins: int = 1  # most tune-ins of a viewing
     answer_slack: float = 0.0  # rule 1: time after the end of patience in which an answer still counts
-    drain_grace: float = 0.0  # rule 3: time for which tune-ins may follow the news that a host drains
+    drain_grace: float = 0.0  # rule 3: time in which a host that drains may still be sent tune-ins
     ask_within: float = (
         0.0  # rule 3: time after the loss of the list from which on its changes count as heard
     )
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -266,9 +266,8 @@
 def test_gateway_that_stalled_blocks_overdue_viewings_at_once() -> None:
     gateway = make_gateway()
     gateway.on_viewing_request(NOW, 1, "plain", "t1", 0, 6, 3, NOW - 0.5)  # its patience has ended already
-    gateway.on_viewing_request(
-        NOW, 2, "plain", "t1", 0, 0, 3, NOW + 1.9
-    )  # no holder, and the viewer asked 1.1 s ago
+    # No holder, and the viewer's request is 1.1 s old.
+    gateway.on_viewing_request(NOW, 2, "plain", "t1", 0, 0, 3, NOW + 1.9)
     assert decisions(gateway, NOW) == [interface.Block(1, 0.0), interface.Block(2, 0.0)]
     gateway.on_viewing_handover(NOW, 3, "plain", "t1", 0, 6, 3, "h0")
     assert len(decisions(gateway, NOW + 30.0)) <= 2, "one round of steps, however late the timer"
@@ -331,7 +330,7 @@
     assert least <= min(waits) < max(waits) <= most, "requests are spread out, and none is late"
 
 
-def run(text: str) -> tuple[int, str, str]:
+def run_simulator(text: str) -> tuple[int, str, str]:
     out, err = io.BytesIO(), io.StringIO()
     code = main(io.BytesIO(text.replace(" ", "\t").encode()), out, err)
     return code, out.getvalue().decode(), err.getvalue()
@@ -347,7 +346,7 @@
 def test_simulator_messages_pass_in_both_directions() -> None:
     text = f"batch 1000.5 1\nend\nbatch 2000 2\nat 3\n{CREATE}\n{LIST}"
     text += "query 9 5000 aa 0 1 - t 0 1 - p\nend\n"
-    code, out, err = run(text + "batch 2010 3\nat 4\nwithdrawn 7\nend\n")
+    code, out, err = run_simulator(text + "batch 2010 3\nat 4\nwithdrawn 7\nend\n")
     assert (code, err) == (0, "")
     assert out.splitlines()[:4] == ["ack\t1", "source\t3", "step_to\t9\t1", "forward\t9\ta:1\t450.000"]
     assert out.splitlines()[-1] == "ack\t3"
@@ -355,7 +354,9 @@
 
 def test_row_without_a_cell_is_accepted_from_the_simulator() -> None:
     two = LIST.replace("rows 0 1", "rows 0 2").replace("row 0", "row - 1 k b:1 z in_service -\nrow 0", 1)
-    code, out, err = run(f"batch 2000 1\nat 3\n{CREATE}\n{two}query 9 5000 aa 0 1 - t 0 1 - p\nend\n")
+    code, out, err = run_simulator(
+        f"batch 2000 1\nat 3\n{CREATE}\n{two}query 9 5000 aa 0 1 - t 0 1 - p\nend\n"
+    )
     assert (code, err) == (0, "") and "forward\t9\ta:1\t450.000" in out
 
 
@@ -363,7 +364,7 @@
     "line", ["nonsense 1", "withdrawn", "withdrawn x", "view total 1 7", "snapshot_rows 0 2\nat 1"]
 )
 def test_malformed_line_is_reported_and_nothing_is_written(line: str) -> None:
-    code, out, err = run(f"batch 1 1\nat 3\n{CREATE}\n{line}\nend\n")
+    code, out, err = run_simulator(f"batch 1 1\nat 3\n{CREATE}\n{line}\nend\n")
     assert code != 0 and out == "" and err.startswith("ledgehitch.simhost: line ") and err.count("\n") == 1
 
 
