--- a/ledgehitch/http/__init__.py
+++ b/ledgehitch/http/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 over the loop: a server, a client with pools of connections, event streams, problem documents.
+"""HTTP/1.1 on the event loop: a server, a client with connection pools, event streams, problem documents.
 
-It never knows what a path means, and never sends a request twice: what may be repeated is decided above.
-Start reading at `message.py`; `parse.py` and `events.py` are free of I/O.
+It does not interpret paths and never retries a request: the caller decides what may be repeated. Start
+reading at `message.py`; `parse.py` and `events.py` are free of I/O.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -31,7 +31,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """The server is loaded where it is used, TLS with it: the platform's gateway has no room."""
+    """Loads the server, and TLS with it, on first use, to save memory in the platform's gateway."""
     if name in ("Limits", "Server"):
         from ledgehitch.http import server
 
--- a/ledgehitch/http/client.py
+++ b/ledgehitch/http/client.py
@@ -1,4 +1,4 @@
-"""The client: keeps connections open for each address, closes idle ones, never sends a request twice."""
+"""HTTP client with a pool of connections for each address. It never retries a request."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
@@ -14,24 +14,24 @@
 
     from ledgehitch.loop import AnyStream, TlsStream
 
-IDLE = 10.0  # seconds that a connection is kept unused: less than servers keep theirs
-KEPT = 64  # unused connections kept for one address
-MOST_BODY = 1 << 20
-TLS = "tls:"  # before an address that is spoken to over TLS
+IDLE_TIMEOUT_S = 10.0  # shorter than the idle time-out of servers
+MAX_IDLE_CONNECTIONS = 64  # for each address
+MAX_BODY_BYTES = 1 << 20
+TLS = "tls:"  # prefix of an address that uses TLS
 
 
 class ConnectFailed(Exception):
-    """No connection came about: the request certainly was not sent."""
+    """The connection could not be established, so the request was certainly not sent."""
 
 
 class Interrupted(Exception):
-    """The connection broke after the request may have been sent: it may have been carried out."""
+    """The connection broke after the request may have been sent, so it may have been executed."""
 
 
 class Client:
-    """Requests to addresses such as `127.0.0.1:80`. Bound each call with `loop.deadline`.
+    """Sends requests to addresses such as `127.0.0.1:80`. Callers limit the time with `loop.deadline`.
 
-    A call that is cut short by its deadline closes its connection: the other side sees it end.
+    A call that is interrupted by its deadline closes its connection, which the server can notice.
     """
 
     def __init__(
@@ -40,8 +40,11 @@
         tls: "ssl.SSLContext | None" = None,
         judge: Callable[[str, bytes], None] = lambda address, shown: None,
     ) -> None:
-        """`tls` is for addresses such as `tls:127.0.0.1:80`; `judge` is shown each one's certificate (DER)
-        and raises an error that says why it is not the one that is meant."""
+        """Starts without connections.
+
+        `tls` is used for addresses such as `tls:127.0.0.1:80`. `judge` is called with the address and the
+        certificate (DER) of each server, and raises an error to reject it.
+        """
         self.loop, self.tls, self.judge = loop, tls, judge
         self._pools: dict[str, deque[tuple[float, AnyStream]]] = {}
         self._endpoints: dict[str, Endpoint] = {}
@@ -55,29 +58,32 @@
         headers: list[tuple[str, str]] | None = None,
         body: bytes = b"",
     ) -> Response:
-        """The response, or `ConnectFailed` (never sent), `Interrupted` (may have run), `ValueError`
-        (what came back is no HTTP)."""
+        """Sends a request and returns the response.
+
+        Raises `ConnectFailed` if it was not sent, `Interrupted` if it may have been executed, and
+        `ValueError` if the response is not valid HTTP.
+        """
         stream = self._stream(address)
-        fine = False
+        reusable = False
         try:
-            reader = ResponseReader(most_body=MOST_BODY)
+            reader = ResponseReader(max_body=MAX_BODY_BYTES)
             try:
-                stream.send(_written(address, method, target, headers or [], body))
+                stream.send(_encode_request(address, method, target, headers or [], body))
                 response = None
                 while response is None:
                     data = stream.receive(likely_empty=True)
                     if not data:
                         response = reader.at_end()
                         if response is None:
-                            raise Interrupted("it hung up before its answer was whole")
+                            raise Interrupted("connection closed before the response was complete")
                         break
                     response = reader.feed(data)
             except OSError as problem:
                 raise Interrupted(str(problem)) from None
-            fine = reader.keep and not reader.extra
+            reusable = reader.keep_alive and not reader.extra
             return response
         finally:
-            if fine:
+            if reusable:
                 self._keep(address, stream)
             else:
                 stream.close()
@@ -91,8 +97,11 @@
         within: float = 2.0,
         connect_within: float | None = None,
     ) -> Iterator[tuple[Response, Iterator[bytes]]]:
-        """A response whose body comes bit by bit; its head must come within so many seconds, the connection
-        too where nothing else is said."""
+        """Requests a streamed response and yields it with an iterator over the parts of its body.
+
+        The head of the response must arrive `within` seconds, and the connection be established `within` or
+        `connect_within` seconds.
+        """
         with self.loop.deadline(within if connect_within is None else connect_within):
             stream = self._connect(address)
         try:
@@ -100,17 +109,17 @@
             response = None
             try:
                 with self.loop.deadline(within):
-                    stream.send(_written(address, "GET", target, headers or [], b""))
+                    stream.send(_encode_request(address, "GET", target, headers or [], b""))
                     while response is None:
                         data = stream.receive()
                         if not data:
-                            raise Interrupted("it hung up before its answer")
+                            raise Interrupted("connection closed before the response")
                         response = reader.feed(data)
             except OSError as problem:
                 raise Interrupted(str(problem)) from None
 
             def parts() -> Iterator[bytes]:
-                if first := reader.taken():
+                if first := reader.take_body():
                     yield first
                 while True:
                     try:
@@ -120,7 +129,7 @@
                     if not data:
                         return
                     reader.feed(data)
-                    if more := reader.taken():
+                    if more := reader.take_body():
                         yield more
 
             yield response, parts()
@@ -131,8 +140,8 @@
         pool = self._pools.get(address)
         while pool:
             _, stream = pool.pop()
-            # Guards against sending into a connection that the other side has closed, or that holds an
-            # answer nobody asked for (a second one to an earlier request).
+            # A pooled connection may have been closed by the server, or hold an unsolicited response, such as
+            # a second one to an earlier request.
             if stream.is_idle():
                 self.reused += 1
                 return stream
@@ -154,30 +163,30 @@
     def _wrapped(self, address: str, stream: Stream) -> "TlsStream":
         if self.tls is None:
             stream.close()
-            raise ConnectFailed(f"{address} asks for a certificate, and none is given")
-        from ledgehitch.loop import TlsStream  # here: most gateways on small machines speak none
+            raise ConnectFailed(f"no TLS certificate configured for {address}")
+        from ledgehitch.loop import TlsStream  # imported here: gateways on small machines rarely use TLS
 
         wrapped = TlsStream(stream, self.tls, False)
-        fine = False
+        accepted = False
         try:
             wrapped.handshake()
             self.judge(address, wrapped.certificate())
-            fine = True
+            accepted = True
             return wrapped
         except OSError as problem:
-            raise ConnectFailed(f"no TLS with {address}: {problem}") from None
+            raise ConnectFailed(f"TLS handshake with {address} failed: {problem}") from None
         finally:
-            if not fine:
+            if not accepted:
                 stream.close()
 
     def _keep(self, address: str, stream: "AnyStream") -> None:
         pool = self._pools.setdefault(address, deque())
-        if len(pool) >= KEPT:
+        if len(pool) >= MAX_IDLE_CONNECTIONS:
             pool.popleft()[1].close()
-        pool.append((self.loop.now + IDLE, stream))
+        pool.append((self.loop.now + IDLE_TIMEOUT_S, stream))
 
     def sweep(self) -> None:
-        """Closes what was idle too long; run now and then."""
+        """Closes connections that are broken or were idle too long; to be called periodically."""
         for address in list(self._pools):
             pool = self._pools[address]
             while pool and (pool[0][0] <= self.loop.now or not pool[0][1].is_idle()):
@@ -192,11 +201,13 @@
         self._pools.clear()
 
     def idle(self) -> int:
-        """How many unused connections are held."""
+        """Returns the number of idle connections."""
         return sum(map(len, self._pools.values()))
 
 
-def _written(address: str, method: str, target: str, headers: list[tuple[str, str]], body: bytes) -> bytes:
+def _encode_request(
+    address: str, method: str, target: str, headers: list[tuple[str, str]], body: bytes
+) -> bytes:
     host = "localhost" if address.startswith("unix:") else address.removeprefix(TLS)
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers]
--- a/ledgehitch/http/events.py
+++ b/ledgehitch/http/events.py
@@ -1,15 +1,15 @@
-"""Server-sent events: written, and read from bytes as they come. After the HTML standard, section 9.2."""
+"""Server-sent events: encoding and incremental parsing, after section 9.2 of the HTML standard."""
 
 from collections import deque
 from collections.abc import Callable, Iterator
 
 from ledgehitch.loop import Channel, Loop
 
-MOST_LINE = 1 << 20  # bytes of one line; a stream with a longer one is broken
+MAX_LINE_BYTES = 1 << 20  # a stream with a longer line is invalid
 
 
 def event(data: str, name: str = "", number: str = "") -> bytes:
-    """One event as it goes over the wire."""
+    """Returns the encoding of one event; `number` is its id."""
     lines = [f"event: {name}"] if name else []
     lines += [f"id: {number}"] if number else []
     lines += [f"data: {line}" for line in data.split("\n")]
@@ -17,7 +17,7 @@
 
 
 class Events:
-    """Feed it bytes; `feed` gives (name, number, data) of each event that became whole."""
+    """An incremental parser: `feed` takes bytes and yields (name, id, data) of each complete event."""
 
     def __init__(self) -> None:
         self._rest = b""
@@ -26,8 +26,8 @@
 
     def feed(self, data: bytes) -> Iterator[tuple[str, str, str]]:
         *lines, self._rest = (self._rest + data).replace(b"\r\n", b"\n").split(b"\n")
-        if len(self._rest) > MOST_LINE:
-            raise ValueError("a line of the event stream is too long")
+        if len(self._rest) > MAX_LINE_BYTES:
+            raise ValueError(f"line of the event stream is longer than {MAX_LINE_BYTES} bytes")
         for raw in lines:
             line = raw.decode("utf-8", "replace")
             if not line:
@@ -46,20 +46,21 @@
 
 
 def events_from(parts: Iterator[bytes]) -> Iterator[tuple[str, str, str]]:
+    """Yields (name, id, data) of each event in a stream of bytes."""
     reader = Events()
     for part in parts:
         yield from reader.feed(part)
 
 
 class Feed:
-    """What is to be sent to one reader of a stream: bounded; a reader too slow is cut off, not waited for."""
+    """A bounded queue of data for one reader of a stream. A reader that is too slow is disconnected."""
 
     def __init__(self, loop: Loop, room: int = 4096) -> None:
         self._channel: Channel[bytes] = Channel(loop, room)
         self.cut = False
 
     def tell(self, data: bytes) -> bool:
-        """Whether the reader still keeps up."""
+        """Queues data for the reader; returns False if the reader is too slow and is disconnected."""
         if not self._channel.try_put(data):
             self.cut = True
             self._channel.close()
@@ -69,7 +70,7 @@
         self._channel.close()
 
     def send_all(self, send: Callable[[bytes], None]) -> None:
-        """Runs as a response's stream until closed; joins what has gathered into one write."""
+        """Serves as the stream of a response until it is closed; joins queued data into one write."""
         while True:
             parts: deque[bytes] = deque([self._channel.take()])
             while len(self._channel) and len(parts) < 256:
--- a/ledgehitch/http/message.py
+++ b/ledgehitch/http/message.py
@@ -38,7 +38,7 @@
 
 
 class Request:
-    """What was asked. Header names are lower case; of a field sent twice the values are joined by ", "."""
+    """A request. Header names are in lower case; the values of a repeated field are joined by ", "."""
 
     __slots__ = (
         "method",
@@ -61,14 +61,15 @@
         self.method, self.target, self.headers, self.body, self.keep = method, target, headers, body, keep
         path, _, self._query = target.partition("?")
         self.path = unquote(path) if "%" in path else path
-        self.arrived = 0.0  # the earliest time at which it can have come
+        self.arrived = 0.0  # the earliest time at which it can have arrived
+        # Registers a callback for when the client disconnects; None removes it.
         self.hung_up: Callable[[Callable[[], None] | None], None] = lambda _: None
-        self.reset: Callable[[], None] = lambda: None  # ends its connection so that the client sees a reset
+        self.reset: Callable[[], None] = lambda: None  # closes its connection with a TCP reset
         self.peer = ""
-        self.certificate = b""  # what the client showed over TLS (DER)
+        self.certificate = b""  # the client's TLS certificate (DER)
 
     def query(self, name: str) -> str | None:
-        """The first value of a query parameter."""
+        """Returns the first value of a query parameter, or None."""
         return parse_qs(self._query, keep_blank_values=True).get(name, [None])[0] if self._query else None
 
     def media_type(self) -> str:
@@ -76,7 +77,7 @@
 
 
 class Response:
-    """What is answered: a body at once, or a `stream` that is called with a function that sends bytes."""
+    """A response with a `body`, or with a `stream` that is called with a function that sends bytes."""
 
     __slots__ = ("status", "headers", "body", "stream", "after")
 
@@ -88,13 +89,14 @@
         stream: Callable[[Callable[[bytes], None]], None] | None = None,
     ) -> None:
         self.status, self.headers, self.body, self.stream = status, headers or [], body, stream
-        self.after: Callable[[bool], None] | None = None  # told whether the answer was written whole
+        self.after: Callable[[bool], None] | None = None  # called with whether it was sent completely
 
     def header(self, name: str) -> str | None:
-        """The first value of a header field, by its name in lower case."""
+        """Returns the first value of a header field, by its name in lower case, or None."""
         return next((value for n, value in self.headers if n.lower() == name), None)
 
     def written(self, keep: bool, head_only: bool = False) -> bytes:
+        """Returns the encoded response, or its head only; `keep` keeps the connection alive."""
         lines = [f"HTTP/1.1 {self.status} {REASONS.get(self.status, 'Status')}"]
         lines += [f"{name}: {value}" for name, value in self.headers]
         if self.stream is None and self.status != 204:
@@ -106,7 +108,7 @@
 
 
 class Refused(Exception):
-    """A request that is answered with a problem document and nothing else."""
+    """A rejected request: it is answered with a problem document."""
 
     def __init__(self, status: int, detail: str, headers: list[tuple[str, str]] | None = None) -> None:
         super().__init__(detail)
@@ -114,7 +116,7 @@
 
 
 class NoAnswer(Exception):
-    """Raised by a handler for a request that gets no answer: its connection is closed."""
+    """Raised by a handler to close the connection without a response."""
 
 
 def problem(
@@ -124,7 +126,7 @@
     kind: str = "about:blank",
     **more: Any,
 ) -> Response:
-    """A problem document: what went wrong (`detail`), of which `kind`, with further members."""
+    """Returns a problem document (RFC 9457) with `detail`, the type `kind` and further members."""
     body = {"type": kind, "title": REASONS.get(status, "Status"), "status": status, "detail": detail, **more}
     fields = [("Content-Type", PROBLEM), *(headers or [])]
     return Response(status, fields, json.dumps(body).encode())
--- a/ledgehitch/http/parse.py
+++ b/ledgehitch/http/parse.py
@@ -1,6 +1,6 @@
-"""Bytes into requests and responses, by `httptools`, with limits; free of I/O.
+"""Parsers for requests and responses, with size limits. Free of I/O.
 
-`httptools` was chosen by measuring it against `h11` (`benchmarks/parsing.py`, figures in `docs/gateway.md`).
+They use `httptools`, which is faster than `h11` (`benchmarks/parsing.py`, figures in `docs/gateway.md`).
 """
 
 from typing import Any
@@ -9,51 +9,51 @@
 
 from ledgehitch.http.message import Refused, Request, Response
 
-MOST_FIELDS = 100
+MAX_FIELDS = 100  # header fields of one message
 
 
-class _Parts:
-    """The callbacks that `httptools` makes, and the limits they hold."""
+class _MessageCollector:
+    """The callbacks of `httptools`, which collect a message and enforce the limits."""
 
-    def __init__(self, most_head: int, most_body: int) -> None:
-        self.most_head, self.most_body = most_head, most_body
-        self.fresh()
+    def __init__(self, max_head: int, max_body: int) -> None:
+        self.max_head, self.max_body = max_head, max_body
+        self.reset()
 
-    def fresh(self) -> None:
+    def reset(self) -> None:
         self.url = b""
         self.headers: dict[str, str] = {}
         self.body: list[bytes] = []
         self.head_size = self.body_size = 0
-        self.begun = self.headed = self.complete = False
+        self.started = self.head_complete = self.complete = False
 
     def on_message_begin(self) -> None:
-        self.fresh()
-        self.begun = True
+        self.reset()
+        self.started = True
 
     def on_url(self, part: bytes) -> None:
         self.url += part
-        self._head(len(part))
+        self._add_to_head(len(part))
 
-    def _head(self, more: int) -> None:
+    def _add_to_head(self, more: int) -> None:
         self.head_size += more
-        if self.head_size > self.most_head or len(self.headers) > MOST_FIELDS:
-            raise Refused(431, f"the head is larger than {self.most_head} bytes or {MOST_FIELDS} fields")
+        if self.head_size > self.max_head or len(self.headers) > MAX_FIELDS:
+            raise Refused(431, f"head exceeds {self.max_head} bytes or {MAX_FIELDS} fields")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._head(len(name) + len(value) + 4)
+        self._add_to_head(len(name) + len(value) + 4)
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
-        held = self.headers.get(key)
-        if held is not None and key in ("content-length", "host", "authorization") and held != text:
-            raise Refused(400, f"the field {key} came twice with different values")
-        self.headers[key] = text if held is None else f"{held}, {text}"
+        previous = self.headers.get(key)
+        if previous is not None and key in ("content-length", "host", "authorization") and previous != text:
+            raise Refused(400, f"header field {key} is repeated with different values")
+        self.headers[key] = text if previous is None else f"{previous}, {text}"
 
     def on_headers_complete(self) -> None:
-        self.headed = True
+        self.head_complete = True
 
     def on_body(self, part: bytes) -> None:
         self.body_size += len(part)
-        if self.body_size > self.most_body:
-            raise Refused(413, f"the body is larger than {self.most_body} bytes")
+        if self.body_size > self.max_body:
+            raise Refused(413, f"body exceeds {self.max_body} bytes")
         self.body.append(part)
 
     def on_message_complete(self) -> None:
@@ -66,26 +66,31 @@
 
 
 class RequestReader:
-    """Feed it bytes as they come; `feed` gives the requests that became whole.
+    """An incremental parser: `feed` takes bytes and returns the requests that are complete.
 
-    Raises `Refused` for what cannot be a request or is over a limit; nothing can be read after that.
+    Raises `Refused` if the bytes are not a request or exceed a limit; the reader is unusable after that.
     """
 
-    def __init__(self, most_head: int = 16384, most_body: int = 65536) -> None:
-        self._done: list[Request] = []
-        self._parts = _Requests(most_head, most_body, self._done)
-        self._parser = self._parts.parser = httptools.HttpRequestParser(self._parts)
+    def __init__(self, max_head: int = 16384, max_body: int = 65536) -> None:
+        self._requests: list[Request] = []
+        self._collector = _RequestCollector(max_head, max_body, self._requests)
+        self._parser = self._collector.parser = httptools.HttpRequestParser(self._collector)
 
     @property
-    def within(self) -> bool:
-        """Whether a request has begun and is not whole."""
-        return self._parts.begun and not self._parts.complete
+    def in_request(self) -> bool:
+        """Whether a request has started and is incomplete."""
+        return self._collector.started and not self._collector.complete
 
     @property
     def waits_for_100(self) -> bool:
-        """Whether the client holds its body back until it is told to go on."""
-        p = self._parts
-        return p.headed and not p.complete and not p.body and "100-continue" in p.headers.get("expect", "")
+        """Whether the client waits for a 100 response before it sends the body."""
+        parts = self._collector
+        return (
+            parts.head_complete
+            and not parts.complete
+            and not parts.body
+            and "100-continue" in parts.headers.get("expect", "")
+        )
 
     def feed(self, data: bytes) -> list[Request]:
         try:
@@ -93,112 +98,113 @@
         except Refused:
             raise
         except httptools.HttpParserUpgrade:
-            raise Refused(501, "this server changes to no other protocol") from None
+            raise Refused(501, "protocol upgrade is not supported") from None
         except httptools.HttpParserError as error:
             raise _cause(error) or Refused(400, f"not an HTTP request: {error}") from None
-        done = self._done[:]
-        self._done.clear()
-        return done
+        requests = self._requests[:]
+        self._requests.clear()
+        return requests
 
 
-class _Requests(_Parts):
+class _RequestCollector(_MessageCollector):
     parser: Any
 
-    def __init__(self, most_head: int, most_body: int, done: list[Request]) -> None:
-        super().__init__(most_head, most_body)
-        self.done = done
+    def __init__(self, max_head: int, max_body: int, requests: list[Request]) -> None:
+        super().__init__(max_head, max_body)
+        self.requests = requests
 
     def on_message_complete(self) -> None:
         super().on_message_complete()
         method = self.parser.get_method().decode("latin-1")
         target = self.url.decode("latin-1")
         keep = bool(self.parser.should_keep_alive())
-        self.done.append(Request(method, target, self.headers, b"".join(self.body), keep))
+        self.requests.append(Request(method, target, self.headers, b"".join(self.body), keep))
 
 
-class _Responses(_Parts):
-    """A first final response; whatever comes behind it is `extra` and touches it not."""
+class _ResponseCollector(_MessageCollector):
+    """Collects the first final response; sets `extra` if more data follows, and ignores it."""
 
     parser: Any
-    over = keep = extra = False
+    finished = keep_alive = extra = False
     status = 0
 
     def on_message_begin(self) -> None:
-        if self.over:
+        if self.finished:
             self.extra = True
         else:
             super().on_message_begin()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self.over:
+        if not self.finished:
             super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        if not self.over:
+        if not self.finished:
             self.status = self.parser.get_status_code()
-            self.headed = self.status >= 200
+            self.head_complete = self.status >= 200
 
     def on_body(self, part: bytes) -> None:
-        if not self.over:
+        if not self.finished:
             super().on_body(part)
 
     def on_message_complete(self) -> None:
-        if not self.over and self.status >= 200:
+        if not self.finished and self.status >= 200:
             super().on_message_complete()
-            self.over = True
-            self.keep = bool(self.parser.should_keep_alive())
+            self.finished = True
+            self.keep_alive = bool(self.parser.should_keep_alive())
 
 
 class ResponseReader:
-    """Feed it bytes as they come; `feed` gives the response once it is whole (or its head, for a stream).
+    """An incremental parser: `feed` returns the response once it is complete, or its head for a stream.
 
-    Raises `ValueError` for what cannot be a response. `extra` tells that more came than was asked for.
+    Raises `ValueError` if the bytes are not a response. `extra` is set if more data follows the response.
     """
 
-    def __init__(self, most_head: int = 16384, most_body: int = 65536, stream: bool = False) -> None:
-        self._parts = _Responses(most_head, most_body)
-        self._parser = self._parts.parser = httptools.HttpResponseParser(self._parts)
-        self._stream, self._told = stream, False
+    def __init__(self, max_head: int = 16384, max_body: int = 65536, stream: bool = False) -> None:
+        self._collector = _ResponseCollector(max_head, max_body)
+        self._parser = self._collector.parser = httptools.HttpResponseParser(self._collector)
+        self._stream, self._returned = stream, False
 
     @property
-    def keep(self) -> bool:
-        return self._parts.keep
+    def keep_alive(self) -> bool:
+        return self._collector.keep_alive
 
     @property
     def extra(self) -> bool:
-        return self._parts.extra
+        return self._collector.extra
 
-    def taken(self) -> bytes:
-        """The body's bytes so far, of a stream; they are forgotten here."""
-        data = b"".join(self._parts.body)
-        self._parts.body.clear()
-        self._parts.body_size = 0
+    def take_body(self) -> bytes:
+        """Removes and returns the bytes of a streamed body that have arrived so far."""
+        data = b"".join(self._collector.body)
+        self._collector.body.clear()
+        self._collector.body_size = 0
         return data
 
     def feed(self, data: bytes) -> Response | None:
-        parts = self._parts
-        if parts.over:
+        """Parses more bytes; returns the response once, when it is complete."""
+        parts = self._collector
+        if parts.finished:
             parts.extra = True
             return None
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, Refused) as error:
-            if not parts.over:
+            if not parts.finished:
                 cause = error if isinstance(error, Refused) else _cause(error)
                 raise ValueError(str(cause) if cause else f"not an HTTP response: {error}") from None
             parts.extra = True
-        if self._told or not (parts.over or self._stream and parts.headed):
+        if self._returned or not (parts.finished or self._stream and parts.head_complete):
             return None
-        return self._made(b"" if self._stream else b"".join(parts.body))
+        return self._response(b"" if self._stream else b"".join(parts.body))
 
     def at_end(self) -> Response | None:
-        """The response whose end is the end of the connection, if it is one of those."""
-        parts = self._parts
+        """Returns the response if it is delimited by the end of the connection, or None."""
+        parts = self._collector
         framed = "content-length" in parts.headers or "transfer-encoding" in parts.headers
-        if self._told or not parts.headed or framed:
+        if self._returned or not parts.head_complete or framed:
             return None
-        return self._made(b"".join(parts.body))
+        return self._response(b"".join(parts.body))
 
-    def _made(self, body: bytes) -> Response:
-        self._told = True
-        return Response(self._parts.status, list(self._parts.headers.items()), body)
+    def _response(self, body: bytes) -> Response:
+        self._returned = True
+        return Response(self._collector.status, list(self._collector.headers.items()), body)
--- a/ledgehitch/http/server.py
+++ b/ledgehitch/http/server.py
@@ -1,4 +1,4 @@
-"""The server: a task for each connection, limits on what a client may hold up."""
+"""HTTP server with one task for each connection and limits on the resources of a client."""
 
 import ssl
 from collections.abc import Callable
@@ -12,20 +12,20 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What one client may hold up. Sizes in bytes, times in seconds."""
+    """Limits on the resources that clients may use. Sizes are in bytes, times in seconds."""
 
     head: int = 16384
     body: int = 65536
     connections: int = 4096
     request_within: float = 5.0  # from the first byte of a request to its last
     idle: float = 30.0  # between requests
-    send_within: float = 5.0  # for one answer to be taken off
+    send_within: float = 5.0  # for the client to receive one response
 
 
 class Server:
-    """Serves `handler(request)`, which may wait; what it raises as `Refused` is answered as a problem.
+    """Answers requests with `handler(request)`, which may wait; `Refused` becomes a problem document.
 
-    `served` counts answers by status, `turned_away` connections over the limit.
+    `served` counts responses by status, `turned_away` the connections over the limit.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
             while True:
                 stream = self.listener.accept()
                 if len(self.open) >= self.limits.connections:
-                    # Refusal is cheaper than acceptance: one write, no task.
+                    # Rejecting takes one write and no task, so it is cheaper than accepting.
                     self.turned_away += 1
                     try:
                         busy = problem(503, "too many connections", [("Retry-After", "1")])
@@ -70,7 +70,7 @@
             self.listener.close()
 
     def close(self) -> None:
-        """Stops listening; connections end with the answer that they are at."""
+        """Stops listening; open connections finish their current response."""
         self.listener.close()
         self.task.cancel()
 
@@ -99,7 +99,7 @@
                     first = False
                 except Refused as refused:
                     self._send(stream, self._refusal(refused).written(keep=False))
-                    # Guards against a reset that takes the answer with it: what still comes is read off.
+                    # Closing with unread data would reset the connection and lose the response.
                     self._drain(stream)
                     return
                 if not requests:
@@ -126,22 +126,22 @@
         except TimedOut:
             return []
         since = stream.earliest_arrival
-        told = False
+        sent_continue = False
         requests: list[Request] = reader.feed(data) if data else []
         if data and not requests:
             try:
                 with self.loop.deadline(self.limits.request_within):
                     while data and not requests:
-                        if reader.waits_for_100 and not told:
-                            told = True
+                        if reader.waits_for_100 and not sent_continue:
+                            sent_continue = True
                             stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
                         data = stream.receive()
                         requests = reader.feed(data) if data else []
             except TimedOut:
                 self.slow += 1
-                raise Refused(408, f"the request was not whole in {self.limits.request_within:g} s") from None
+                raise Refused(408, f"request incomplete after {self.limits.request_within:g} s") from None
         for request in requests:
-            request.arrived = since if told is False and len(requests) else stream.earliest_arrival
+            request.arrived = since if sent_continue is False and len(requests) else stream.earliest_arrival
         return requests
 
     def _answer(self, stream: AnyStream, request: Request) -> bool:
@@ -153,20 +153,20 @@
             return False
         except Exception as error:
             self.report(f"{request.method} {request.path}", error)
-            response = problem(500, "a fault of this server; it is in its log")
+            response = problem(500, "internal error; see the server's log")
         finally:
             self._on_hang_up(stream, None)
         self.served[response.status] = self.served.get(response.status, 0) + 1
-        whole = False
+        complete = False
         try:
             self._send(stream, response.written(request.keep, request.method == "HEAD"))
-            # Guards against an answer that went into the buffers of a connection whose client had left.
-            whole = not stream.peer_closed()
+            # The response may have gone into the buffers of a connection that the client had closed.
+            complete = not stream.peer_closed()
         finally:
             if response.after is not None:
-                response.after(whole)
+                response.after(complete)
         if response.stream is not None:
-            # A reader that goes away is noticed though nothing is sent to it.
+            # Notices a reader that disconnects while there is nothing to send.
             task: Any = self.loop.current
             self._on_hang_up(stream, task.cancel)
             try:
@@ -187,7 +187,7 @@
                     stream.send(rest)
         except TimedOut:
             self.slow += 1
-            raise OSError("the client does not take its answer") from None
+            raise OSError("client does not receive its response") from None
 
     def _drain(self, stream: AnyStream) -> None:
         try:
@@ -198,16 +198,16 @@
             pass
 
     def _on_hang_up(self, stream: AnyStream, call: Callable[[], None] | None) -> None:
-        """Calls once if the client hangs up while its request is at work; None withdraws it."""
+        """Calls once if the client disconnects while its request is processed; None removes the callback."""
         if stream.fd < 0:
             return
         if call is None:
             self.loop.on_readable(stream.fd, None)
             return
 
-        def look() -> None:
+        def check() -> None:
             if stream.peer_closed():
                 call()
-            # Bytes of a next request: a client that is still there. It is read when this one is answered.
+            # Otherwise the bytes belong to the next request, which is read once this one is answered.
 
-        self.loop.on_readable(stream.fd, look)
+        self.loop.on_readable(stream.fd, check)
