--- a/benchmarks/doorway.py
+++ b/benchmarks/doorway.py
@@ -40,7 +40,7 @@
         nonlocal free_at
         free_at = max(time.monotonic(), free_at) + 1.0 / a_second
         gone = Event(loop)
-        request.hung_up(lambda: gone.set())
+        request.on_disconnect(lambda: gone.set())
         try:
             with loop.deadline(max(SETUP, free_at - time.monotonic())):
                 gone.wait()
--- a/benchmarks/echo.py
+++ b/benchmarks/echo.py
@@ -7,7 +7,7 @@
 from ledgehitch.http.message import Response
 from ledgehitch.loop import Listener, Loop, Stream, endpoint
 
-ANSWERED = Response(201, [("Content-Type", "application/sdp"), ("Location", "/v/1")], ANSWER).written(True)
+ANSWERED = Response(201, [("Content-Type", "application/sdp"), ("Location", "/v/1")], ANSWER).encode(True)
 
 
 def main(at: str) -> None:
--- a/benchmarks/parsing.py
+++ b/benchmarks/parsing.py
@@ -14,7 +14,7 @@
     b"POST /whep/recorded/clip-1?top=3 HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nContent-Type: application/sdp\r\n"
     b"Authorization: Bearer viewer-1-1\r\nPrefer: wait=3\r\nContent-Length: %d\r\n\r\n" % len(BODY)
 ) + BODY
-RESPONSE = Response(201, [("Content-Type", "application/sdp"), ("Location", "/sessions/1")], BODY).written(
+RESPONSE = Response(201, [("Content-Type", "application/sdp"), ("Location", "/sessions/1")], BODY).encode(
     True
 )
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -44,7 +44,7 @@
             )
         if request.path.startswith("/events"):
             feed = Feed(loop)
-            feed.tell(b": here\n\n")
+            feed.send(b": here\n\n")
             feeds.append(feed)
             return Response(200, [("Boot", "b")], stream=feed.send_all)
         return Response(200)
@@ -59,7 +59,7 @@
         def listing(request: Request) -> Response:
             feed = Feed(loop)
             told = {"epoch": "e", "version": 1, "rows": lines}
-            feed.tell(event(msgspec.json.encode(told).decode(), "total"))
+            feed.send(event(msgspec.json.encode(told).decode(), "total"))
             return Response(200, [], stream=feed.send_all)
 
         Server(loop, endpoint(site.list_at), listing)
@@ -67,7 +67,7 @@
         while True:
             loop.sleep(1.0)
             for feed in feeds:
-                feed.tell(b": here\n\n")
+                feed.send(b": here\n\n")
 
     loop.run(main)
 
--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -142,7 +142,7 @@
             request.headers.get("return-ticket", ""),
             request.peer.rpartition(":")[0],
         )
-        request.hung_up(lambda: self.executor.on_hang_up(conn))
+        request.on_disconnect(lambda: self.executor.on_hang_up(conn))
         try:
             with self.loop.deadline(max(0.0, patience - self.loop.now) + ANSWER_GRACE_S):
                 viewing_id = event.wait()
@@ -220,7 +220,7 @@
                 ABORTED_PROBLEM,
                 answer="aborted",
             )
-        response.after = lambda whole: self._on_answer_written(conn, whole)
+        response.on_sent = lambda whole: self._on_answer_written(conn, whole)
         return response
 
     def _on_answer_written(self, conn: int, whole: bool) -> None:
@@ -289,7 +289,7 @@
 
         def tell(name: str, data: dict[str, Any]) -> None:
             if name in only:
-                feed.tell(event(msgspec.json.encode(data).decode(), name))
+                feed.send(event(msgspec.json.encode(data).decode(), name))
             if name == "inactive":
                 feed.close()
 
--- a/ledgehitch/http/client.py
+++ b/ledgehitch/http/client.py
@@ -38,17 +38,17 @@
         self,
         loop: Loop,
         tls: "ssl.SSLContext | None" = None,
-        judge: Callable[[str, bytes], None] = lambda address, shown: None,
+        verify: Callable[[str, bytes], None] = lambda address, certificate: None,
     ) -> None:
         """Starts without connections.
 
-        `tls` is used for addresses such as `tls:127.0.0.1:80`. `judge` is called with the address and the
+        `tls` is used for addresses such as `tls:127.0.0.1:80`. `verify` is called with the address and the
         certificate (DER) of each server, and raises an error to reject it.
         """
-        self.loop, self.tls, self.judge = loop, tls, judge
+        self.loop, self.tls, self.verify = loop, tls, verify
         self._pools: dict[str, deque[tuple[float, AnyStream]]] = {}
         self._endpoints: dict[str, Endpoint] = {}
-        self.opened = self.reused = self.dirty = 0
+        self.opened = self.reused = self.unusable = 0
 
     def request(
         self,
@@ -145,7 +145,7 @@
             if stream.is_idle():
                 self.reused += 1
                 return stream
-            self.dirty += 1
+            self.unusable += 1
             stream.close()
         return self._connect(address)
 
@@ -170,7 +170,7 @@
         accepted = False
         try:
             wrapped.handshake()
-            self.judge(address, wrapped.certificate())
+            self.verify(address, wrapped.certificate())
             accepted = True
             return wrapped
         except OSError as problem:
--- a/ledgehitch/http/events.py
+++ b/ledgehitch/http/events.py
@@ -27,7 +27,7 @@
     def feed(self, data: bytes) -> Iterator[tuple[str, str, str]]:
         *lines, self._rest = (self._rest + data).replace(b"\r\n", b"\n").split(b"\n")
         if len(self._rest) > MAX_LINE_BYTES:
-            raise ValueError(f"line of the event stream is longer than {MAX_LINE_BYTES} bytes")
+            raise ValueError("line of the event stream is too long")
         for raw in lines:
             line = raw.decode("utf-8", "replace")
             if not line:
@@ -57,14 +57,14 @@
 
     def __init__(self, loop: Loop, room: int = 4096) -> None:
         self._channel: Channel[bytes] = Channel(loop, room)
-        self.cut = False
+        self.overflowed = False
 
-    def tell(self, data: bytes) -> bool:
+    def send(self, data: bytes) -> bool:
         """Queues data for the reader; returns False if the reader is too slow and is disconnected."""
         if not self._channel.try_put(data):
-            self.cut = True
+            self.overflowed = True
             self._channel.close()
-        return not self.cut
+        return not self.overflowed
 
     def close(self) -> None:
         self._channel.close()
--- a/ledgehitch/http/message.py
+++ b/ledgehitch/http/message.py
@@ -47,23 +47,29 @@
         "_query",
         "headers",
         "body",
-        "keep",
+        "keep_alive",
         "arrived",
-        "hung_up",
+        "on_disconnect",
         "reset",
         "peer",
         "certificate",
     )
 
     def __init__(
-        self, method: str, target: str, headers: dict[str, str], body: bytes = b"", keep: bool = True
+        self, method: str, target: str, headers: dict[str, str], body: bytes = b"", keep_alive: bool = True
     ) -> None:
-        self.method, self.target, self.headers, self.body, self.keep = method, target, headers, body, keep
+        self.method, self.target, self.headers, self.body, self.keep_alive = (
+            method,
+            target,
+            headers,
+            body,
+            keep_alive,
+        )
         path, _, self._query = target.partition("?")
         self.path = unquote(path) if "%" in path else path
         self.arrived = 0.0  # the earliest time at which it can have arrived
         # Registers a callback for when the client disconnects; None removes it.
-        self.hung_up: Callable[[Callable[[], None] | None], None] = lambda _: None
+        self.on_disconnect: Callable[[Callable[[], None] | None], None] = lambda _: None
         self.reset: Callable[[], None] = lambda: None  # closes its connection with a TCP reset
         self.peer = ""
         self.certificate = b""  # the client's TLS certificate (DER)
@@ -79,7 +85,7 @@
 class Response:
     """A response with a `body`, or with a `stream` that is called with a function that sends bytes."""
 
-    __slots__ = ("status", "headers", "body", "stream", "after")
+    __slots__ = ("status", "headers", "body", "stream", "on_sent")
 
     def __init__(
         self,
@@ -89,19 +95,19 @@
         stream: Callable[[Callable[[bytes], None]], None] | None = None,
     ) -> None:
         self.status, self.headers, self.body, self.stream = status, headers or [], body, stream
-        self.after: Callable[[bool], None] | None = None  # called with whether it was sent completely
+        self.on_sent: Callable[[bool], None] | None = None  # called with whether it was sent completely
 
     def header(self, name: str) -> str | None:
         """Returns the first value of a header field, by its name in lower case, or None."""
         return next((value for n, value in self.headers if n.lower() == name), None)
 
-    def written(self, keep: bool, head_only: bool = False) -> bytes:
-        """Returns the encoded response, or its head only; `keep` keeps the connection alive."""
+    def encode(self, keep_alive: bool, head_only: bool = False) -> bytes:
+        """Returns the encoded response, or its head only; `keep_alive` keeps the connection alive."""
         lines = [f"HTTP/1.1 {self.status} {REASONS.get(self.status, 'Status')}"]
         lines += [f"{name}: {value}" for name, value in self.headers]
         if self.stream is None and self.status != 204:
             lines.append(f"Content-Length: {len(self.body)}")
-        if not keep or self.stream is not None:
+        if not keep_alive or self.stream is not None:
             lines.append("Connection: close")
         head = "\r\n".join(lines).encode("latin-1", "replace") + b"\r\n\r\n"
         return head if head_only else head + self.body
--- a/ledgehitch/http/server.py
+++ b/ledgehitch/http/server.py
@@ -56,7 +56,7 @@
                     self.turned_away += 1
                     try:
                         busy = problem(503, "too many connections", [("Retry-After", "1")])
-                        stream.sock.send(busy.written(keep=False))
+                        stream.sock.send(busy.encode(keep_alive=False))
                     except OSError:
                         pass
                     stream.close()
@@ -98,7 +98,7 @@
                     requests = self._read(stream, reader, first)
                     first = False
                 except Refused as refused:
-                    self._send(stream, self._refusal(refused).written(keep=False))
+                    self._send(stream, self._refusal(refused).encode(keep_alive=False))
                     # Closing with unread data would reset the connection and lose the response.
                     self._drain(stream)
                     return
@@ -106,9 +106,9 @@
                     return
                 for request in requests:
                     request.peer, request.certificate = stream.peer, certificate
-                    request.hung_up = lambda call: self._on_hang_up(stream, call)
+                    request.on_disconnect = lambda call: self._on_hang_up(stream, call)
                     request.reset = stream.reset
-                    keep = self._answer(stream, request) and request.keep
+                    keep = self._answer(stream, request) and request.keep_alive
                     if not keep:
                         return
         except (OSError, Closed):
@@ -159,12 +159,12 @@
         self.served[response.status] = self.served.get(response.status, 0) + 1
         complete = False
         try:
-            self._send(stream, response.written(request.keep, request.method == "HEAD"))
+            self._send(stream, response.encode(request.keep_alive, request.method == "HEAD"))
             # The response may have gone into the buffers of a connection that the client had closed.
             complete = not stream.peer_closed()
         finally:
-            if response.after is not None:
-                response.after(complete)
+            if response.on_sent is not None:
+                response.on_sent(complete)
         if response.stream is not None:
             # Notices a reader that disconnects while there is nothing to send.
             task: Any = self.loop.current
--- a/ledgehitch/standins/lists.py
+++ b/ledgehitch/standins/lists.py
@@ -51,7 +51,7 @@
         if old is not None:
             old.close()
         feed = self.feeds[gateway] = Feed(self.loop)
-        feed.tell(self._news("total", list(self.lines.values())))
+        feed.send(self._news("total", list(self.lines.values())))
         first = {line["host"]: line["state"] for line in self.lines.values()}
 
         def stream(send: Callable[[bytes], None]) -> None:
@@ -86,5 +86,5 @@
             self.lines[host] = line
         news = self._news("incr", [line])
         for gateway, feed in list(self.feeds.items()):
-            feed.tell(news)
+            feed.send(news)
             self.tape.write("told", gateway=gateway, host=host, state=line["state"])
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -148,7 +148,7 @@
 
     def _forever(self, request: Request) -> None:
         gone = Event(self.loop)
-        request.hung_up(lambda: gone.set())
+        request.on_disconnect(lambda: gone.set())
         gone.wait()
         raise NoAnswer("the other side gave up")
 
@@ -170,7 +170,7 @@
             rung=rung,
         )
         gone = Event(self.loop)
-        request.hung_up(lambda: gone.set("gone"))
+        request.on_disconnect(lambda: gone.set("gone"))
         try:
             response, drop = self._setting_up(request, now, id, key, gateway, package, title, rung, gone)
         except (Cancelled, NoAnswer):
@@ -231,8 +231,8 @@
             return None, None
         if t.silent or t.hangs:
             silent = Event(self.loop)
-            request.hung_up(None)
-            request.hung_up(lambda: silent.set())
+            request.on_disconnect(None)
+            request.on_disconnect(lambda: silent.set())
             silent.wait()
             return None, None
         viewing_id = int(key.split(".")[2]) if key.count(".") == 3 else 0
@@ -252,8 +252,8 @@
                 request.reset()
                 return response, "its answer was lost with the connection"
             silent = Event(self.loop)
-            request.hung_up(None)
-            request.hung_up(lambda: silent.set())
+            request.on_disconnect(None)
+            request.on_disconnect(lambda: silent.set())
             silent.wait()
             return response, "its answer was lost"
         if self.chance.random() < t.bad:
@@ -264,7 +264,7 @@
         """In turn: a wrong SDP, half an answer, the answer twice, a reset after the answer."""
         self._bad_turn += 1
         way = self._bad_turn % 4
-        whole = response.written(keep=True)
+        whole = response.encode(keep_alive=True)
         if way == 0:
             response.body = b"v=0\r\nthis is no description\r\n"
         elif way == 1:
@@ -333,7 +333,7 @@
             old.close()
         feed = self.feeds[gateway] = Feed(self.loop)
         self.unfollowed.pop(gateway, None)
-        feed.tell(b": here\n\n")
+        feed.send(b": here\n\n")
 
         def stream(send: Callable[[bytes], None]) -> None:
             try:
@@ -380,7 +380,7 @@
         feed = self.feeds.get(gateway)
         if feed is not None and not self.troubles.silent:
             data = msgspec.json.encode({"vw": viewing_id, "kind": kind, "value": round(value, 4)}).decode()
-            feed.tell(event(data, name))
+            feed.send(event(data, name))
 
     def consented(self, id: str) -> tuple[float, int] | None:
         """A sign of a viewer: the share delivered to it and its rung; None if nothing plays there."""
@@ -393,7 +393,7 @@
     def alive(self) -> None:
         for feed in list(self.feeds.values()):
             if not self.troubles.silent:
-                feed.tell(b": here\n\n")
+                feed.send(b": here\n\n")
 
     def sweep(self) -> None:
         """Ends what nobody watches, or whose gateway is gone."""
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -62,7 +62,7 @@
                 self.rig.out -= 1
         if request.path == "/events":
             self.feed = Feed(self.rig.loop)
-            self.feed.tell(b": here\n\n")
+            self.feed.send(b": here\n\n")
             return Response(200, [("Boot", self.boot)], stream=self.feed.send_all)
         if request.method == "DELETE":
             self.deleted.append(request.path)
@@ -80,7 +80,7 @@
     def silent(self, request: Request) -> Response:
         """Takes it and says nothing until the gateway gives up."""
         gone = Event(self.rig.loop)
-        request.hung_up(lambda: gone.set())
+        request.on_disconnect(lambda: gone.set())
         gone.wait()
         raise NoAnswer
 
@@ -230,6 +230,6 @@
 
 def notice(host: Host, name: str, viewing_id: int, kind: int, value: float = 0.0) -> None:
     assert host.feed is not None
-    host.feed.tell(
+    host.feed.send(
         event(msgspec.json.encode({"vw": viewing_id, "kind": kind, "value": value}).decode(), name)
     )
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -110,7 +110,7 @@
     def twice(host: Host, request: Request) -> Response:
         response = host.plays(request)
         response.headers.append(("Content-Length", str(len(response.body))))
-        second = host.plays(request).written(keep=True)
+        second = host.plays(request).encode(keep_alive=True)
         body = response.body
 
         def stream(send) -> None:  # type: ignore[no-untyped-def]
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -139,7 +139,7 @@
     seen: list[str] = []
 
     def wait(request: Request) -> Response:
-        request.hung_up(lambda: seen.append(request.path))
+        request.on_disconnect(lambda: seen.append(request.path))
         loops[0].sleep(0.1)
         return Response(204)
 
@@ -195,9 +195,9 @@
 
 
 def test_a_first_answer_stands_whatever_comes_behind_it() -> None:
-    one = Response(201, [], b"first").written(keep=True)
+    one = Response(201, [], b"first").encode(keep_alive=True)
     reader = ResponseReader()
-    got = reader.feed(b"HTTP/1.1 103 Early Hints\r\n\r\n" + one + Response(500, [], b"second").written(True))
+    got = reader.feed(b"HTTP/1.1 103 Early Hints\r\n\r\n" + one + Response(500, [], b"second").encode(True))
     assert got is not None and (got.status, got.body) == (201, b"first") and reader.extra
     broken = ResponseReader()
     got = broken.feed(one + b"garbage")
