--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -11,7 +11,7 @@
 
 from ledgehitch.config import read_site
 from ledgehitch.http import Feed, Request, Response, Server
-from ledgehitch.http.events import event
+from ledgehitch.http.events import encode_event
 from ledgehitch.http.parse import ResponseReader
 from ledgehitch.loop import Loop, Stream, TimedOut, connect, endpoint
 from ledgehitch.standins.viewers import offer_of, reports_to
@@ -59,7 +59,7 @@
         def listing(request: Request) -> Response:
             feed = Feed(loop)
             told = {"epoch": "e", "version": 1, "rows": lines}
-            feed.send(event(msgspec.json.encode(told).decode(), "total"))
+            feed.send(encode_event(msgspec.json.encode(told).decode(), "total"))
             return Response(200, [], stream=feed.send_all)
 
         Server(loop, endpoint(site.list_at), listing)
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -24,7 +24,7 @@
 from ledgehitch.gateway.roll import HostEntry
 from ledgehitch.gateway.watch import Follow, HostLost, HostMonitor, Unfollow
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Response
-from ledgehitch.http.events import events_from
+from ledgehitch.http.events import parse_events
 from ledgehitch.interface import Outcome, Package
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, Task, TimedOut
 from ledgehitch.loop.pump import Pump
@@ -530,7 +530,7 @@
                 if response.status != 200 or not boot:
                     return
                 self.monitor.on_stream_opened(time.monotonic(), host, boot)
-                events = events_from(self._read_monitored(host, parts))
+                events = parse_events(self._read_monitored(host, parts))
                 for name, _, data in events:
                     self._on_host_event(host, name, data)
         except ConnectFailed:
--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -20,7 +20,7 @@
 from ledgehitch.gateway.carry import LAYER_RELATION, Executor, Viewing
 from ledgehitch.gateway.reports import REPORTS_RELATION, ReportService, TokenIssuer
 from ledgehitch.http import Feed, NoAnswer, Refused, Request, Response, problem
-from ledgehitch.http.events import event
+from ledgehitch.http.events import encode_event
 from ledgehitch.interface import Package
 from ledgehitch.loop import Loop, TimedOut
 from ledgehitch.signalling import BadSdp, Offer, parse_fragment, parse_sdp
@@ -130,7 +130,7 @@
         digest.update(request.body)
         viewing = Viewing(token, method, sold, title, request.body, offer, asked_at=request.arrived)
         patience = request.arrived + wait
-        event = self.executor.on_offer(
+        encode_event = self.executor.on_offer(
             conn,
             digest.digest(16),
             viewing_id,
@@ -145,7 +145,7 @@
         request.on_disconnect(lambda: self.executor.on_hang_up(conn))
         try:
             with self.loop.deadline(max(0.0, patience - self.loop.now) + ANSWER_GRACE_S):
-                viewing_id = event.wait()
+                viewing_id = encode_event.wait()
         except TimedOut:
             self.executor.on_overdue(conn, viewing_id)
         if viewing_id is None:
@@ -289,7 +289,7 @@
 
         def tell(name: str, data: dict[str, Any]) -> None:
             if name in only:
-                feed.send(event(msgspec.json.encode(data).decode(), name))
+                feed.send(encode_event(msgspec.json.encode(data).decode(), name))
             if name == "inactive":
                 feed.close()
 
--- a/ledgehitch/gateway/listing.py
+++ b/ledgehitch/gateway/listing.py
@@ -10,7 +10,7 @@
 
 from ledgehitch.gateway.carry import Executor
 from ledgehitch.gateway.roll import RECONNECT_DELAY_S, HostList, HostListUpdate
-from ledgehitch.http import ConnectFailed, Interrupted, events_from
+from ledgehitch.http import ConnectFailed, Interrupted, parse_events
 from ledgehitch.loop import Loop, TimedOut
 
 log = structlog.get_logger("list")
@@ -32,7 +32,7 @@
                     parts,
                 ):
                     if response.status == 200:
-                        for name, _, data in events_from(parts):
+                        for name, _, data in parse_events(parts):
                             if not self._on_event(name, data):
                                 break
             except (ConnectFailed, Interrupted, TimedOut, ValueError) as why:
--- a/ledgehitch/http/__init__.py
+++ b/ledgehitch/http/__init__.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ledgehitch.http.client import Client, ConnectFailed, Interrupted
-from ledgehitch.http.events import Feed, event, events_from
+from ledgehitch.http.events import Feed, encode_event, parse_events
 from ledgehitch.http.message import NoAnswer, Refused, Request, Response, problem
 
 if TYPE_CHECKING:
@@ -24,8 +24,8 @@
     "Request",
     "Response",
     "Server",
-    "event",
-    "events_from",
+    "encode_event",
+    "parse_events",
     "problem",
 ]
 
--- a/ledgehitch/http/events.py
+++ b/ledgehitch/http/events.py
@@ -8,7 +8,7 @@
 MAX_LINE_BYTES = 1 << 20  # a stream with a longer line is invalid
 
 
-def event(data: str, name: str = "", number: str = "") -> bytes:
+def encode_event(data: str, name: str = "", number: str = "") -> bytes:
     """Returns the encoding of one event; `number` is its id."""
     lines = [f"event: {name}"] if name else []
     lines += [f"id: {number}"] if number else []
@@ -16,7 +16,7 @@
     return ("\n".join(lines) + "\n\n").encode()
 
 
-class Events:
+class EventParser:
     """An incremental parser: `feed` takes bytes and yields (name, id, data) of each complete event."""
 
     def __init__(self) -> None:
@@ -45,9 +45,9 @@
                 self._number = value
 
 
-def events_from(parts: Iterator[bytes]) -> Iterator[tuple[str, str, str]]:
+def parse_events(parts: Iterator[bytes]) -> Iterator[tuple[str, str, str]]:
     """Yields (name, id, data) of each event in a stream of bytes."""
-    reader = Events()
+    reader = EventParser()
     for part in parts:
         yield from reader.feed(part)
 
--- a/ledgehitch/platform/journal.py
+++ b/ledgehitch/platform/journal.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ledgehitch.http import Client, ConnectFailed, Interrupted, events_from
+from ledgehitch.http import Client, ConnectFailed, Interrupted, parse_events
 from ledgehitch.loop.kernel import Loop, Task, TimedOut
 from ledgehitch.platform.carry import Controller
 from ledgehitch.platform.log import log
@@ -63,7 +63,7 @@
         ):
             if response.status != 200:
                 raise ValueError(f"the journal service answered {response.status}, expected 200")
-            for _, number, data in events_from(self._lines_in_time(parts)):
+            for _, number, data in parse_events(self._lines_in_time(parts)):
                 self._on_event(number, data)
         raise Interrupted("the stream ended")
 
--- a/ledgehitch/standins/lists.py
+++ b/ledgehitch/standins/lists.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ledgehitch.http import Feed, Refused, Request, Response, Server
-from ledgehitch.http.events import event
+from ledgehitch.http.events import encode_event
 from ledgehitch.loop import Endpoint, Loop
 from ledgehitch.proof.tape import Tape
 
@@ -67,7 +67,7 @@
 
     def _news(self, name: str, rows: list[Line]) -> bytes:
         told = {"epoch": self.epoch, "version": self.version, "rows": rows}
-        return event(msgspec.json.encode(told).decode(), name, str(self.version))
+        return encode_event(msgspec.json.encode(told).decode(), name, str(self.version))
 
     def set(self, line: Line, at_once: bool = False) -> None:
         """A host has a new state, of which the list learns after its delay."""
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ledgehitch.http import Feed, NoAnswer, Refused, Request, Response, Server
-from ledgehitch.http.events import event
+from ledgehitch.http.events import encode_event
 from ledgehitch.loop import Cancelled, Endpoint, Event, Loop
 from ledgehitch.proof.tape import Tape
 from ledgehitch.signalling import BadSdp, parse_sdp
@@ -380,7 +380,7 @@
         feed = self.feeds.get(gateway)
         if feed is not None and not self.troubles.silent:
             data = msgspec.json.encode({"vw": viewing_id, "kind": kind, "value": round(value, 4)}).decode()
-            feed.send(event(data, name))
+            feed.send(encode_event(data, name))
 
     def consented(self, id: str) -> tuple[float, int] | None:
         """A sign of a viewer: the share delivered to it and its rung; None if nothing plays there."""
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,7 +11,7 @@
 from ledgehitch.config import Day, Site
 from ledgehitch.gateway.serve import RunningGateway
 from ledgehitch.http import Client, Feed, Limits, NoAnswer, Request, Response, Server
-from ledgehitch.http.events import event
+from ledgehitch.http.events import encode_event
 from ledgehitch.http.parse import ResponseReader
 from ledgehitch.loop import Event, Loop, Stream, connect, endpoint
 from ledgehitch.proof.tape import Tape
@@ -231,5 +231,5 @@
 def notice(host: Host, name: str, viewing_id: int, kind: int, value: float = 0.0) -> None:
     assert host.feed is not None
     host.feed.send(
-        event(msgspec.json.encode({"vw": viewing_id, "kind": kind, "value": value}).decode(), name)
+        encode_event(msgspec.json.encode({"vw": viewing_id, "kind": kind, "value": value}).decode(), name)
     )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 
 from ledgehitch import hostline, rtsp
 from ledgehitch.facts import ConnectionSettings, read_settings
-from ledgehitch.http.events import event
+from ledgehitch.http.events import encode_event
 from ledgehitch.loop import Listener, Loop, Stream, TimedOut, endpoint
 from ledgehitch.platform.__main__ import RunningGateway, load_configuration
 from ledgehitch.platform.bounds import limits_for
@@ -515,7 +515,7 @@
         loop.sleep(0.2)
         members = [{**harness.members((host, "ready"))[0], "up_since_ms": int(time.time() * 1000)}]
         entry = {"pos": 3, "hosts": {"revision": 3, "complete": False, "members": members}}
-        feed.send(event(json.dumps(entry), number="3"))
+        feed.send(encode_event(json.dumps(entry), number="3"))
         loop.sleep(0.1)
         held.accept(harness, host)
         harness.until(lambda: any(setups_sent(harness, n) for n in range(1, 9)), 8.0)
@@ -934,7 +934,7 @@
             viewer.set_up(n)
             assert viewer.answer()[0] == "200" and setups_sent(harness, n) == [harness.hosts[1].name]
         # One that can never be read delays those that follow by a few calls only.
-        malformed = event('{"pos":4,"hosts":7}', number="4")
+        malformed = encode_event('{"pos":4,"hosts":7}', number="4")
         for index in range(3):
             feed = harness.until(lambda index=index: harness.feeds[1 + index :])[0]  # type: ignore[misc]
             feed.send(malformed + harness.host_event(5, (harness.hosts[1], "gone")))
@@ -1149,7 +1149,7 @@
         entry = harness.members((slow, "ready"))
         gone = harness.members((harness.hosts[0], "draining"), (harness.hosts[1], "draining"))
         change = {"pos": 2, "hosts": {"revision": 2, "complete": False, "members": [*gone, *entry]}}
-        feed.send(event(json.dumps(change), number="2"))
+        feed.send(encode_event(json.dumps(change), number="2"))
         loop.sleep(0.1)
         viewer.set_up(3)  # connecting
         loop.sleep(0.1)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Limits, Refused, Request, Response, Server
-from ledgehitch.http.events import Events, event
+from ledgehitch.http.events import EventParser, encode_event
 from ledgehitch.http.parse import RequestReader, ResponseReader
 from ledgehitch.loop import Loop, TimedOut, connect, endpoint
 
@@ -186,8 +186,8 @@
     st.lists(st.integers(1, 30), max_size=20), st.lists(st.text("ab:\n ", max_size=8), min_size=1, max_size=4)
 )
 def test_events_read_the_same_however_the_bytes_fall(cuts: list[int], texts: list[str]) -> None:
-    data = b": here\n\n" + b"".join(event(text, "note", str(i)) for i, text in enumerate(texts))
-    reader, found, at = Events(), list[tuple[str, str, str]](), 0
+    data = b": here\n\n" + b"".join(encode_event(text, "note", str(i)) for i, text in enumerate(texts))
+    reader, found, at = EventParser(), list[tuple[str, str, str]](), 0
     for cut in [*cuts, len(data)]:
         found += reader.feed(data[at : at + cut])
         at += cut
@@ -211,7 +211,7 @@
 
     def stream(send) -> None:  # type: ignore[no-untyped-def]
         try:
-            send(event("one"))
+            send(encode_event("one"))
             loops[0].sleep(60)
         finally:
             ended.append("ended")
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -19,7 +19,7 @@
 import pytest
 
 from ledgehitch import hostline, rtsp
-from ledgehitch.http.events import event
+from ledgehitch.http.events import encode_event
 from ledgehitch.loop import Datagrams, Listener, Loop, Stream, TimedOut, connect, endpoint
 from ledgehitch.rehearsal.play import free_ports
 from tests.test_platform import SETTINGS
@@ -296,7 +296,7 @@
     def host_event(self, pos: int, *changes: tuple[FakeMediaHost, str]) -> bytes:
         """Returns a journal event that changes the phase of media hosts."""
         hosts = {"revision": pos, "complete": False, "members": self.members(*changes)}
-        return event(json.dumps({"pos": pos, "hosts": hosts}), number=str(pos))
+        return encode_event(json.dumps({"pos": pos, "hosts": hosts}), number=str(pos))
 
     def connect(self) -> ViewerClient:
         return ViewerClient(self)
