--- a/ledgehitch/http/server.py
+++ b/ledgehitch/http/server.py
@@ -14,18 +14,18 @@
 class Limits:
     """Limits on the resources that clients may use. Sizes are in bytes, times in seconds."""
 
-    head: int = 16384
-    body: int = 65536
-    connections: int = 4096
-    request_within: float = 5.0  # from the first byte of a request to its last
-    idle: float = 30.0  # between requests
-    send_within: float = 5.0  # for the client to receive one response
+    max_head: int = 16384
+    max_body: int = 65536
+    max_connections: int = 4096
+    request_timeout_s: float = 5.0  # from the first byte of a request to its last
+    idle_timeout_s: float = 30.0  # between requests
+    send_timeout_s: float = 5.0  # for the client to receive one response
 
 
 class Server:
     """Answers requests with `handler(request)`, which may wait; `Refused` becomes a problem document.
 
-    `served` counts responses by status, `turned_away` the connections over the limit.
+    `served` counts responses by status, `rejected_connections` the connections over the limit.
     """
 
     def __init__(
@@ -44,16 +44,16 @@
         self.report = report or loop.report
         self.open: dict[AnyStream, None] = {}
         self.served: dict[int, int] = {}
-        self.turned_away = self.slow = self.refused_handshakes = 0
+        self.rejected_connections = self.timeouts = self.failed_handshakes = 0
         self.task = loop.spawn(self._accept, name=f"listen {self.at}")
 
     def _accept(self) -> None:
         try:
             while True:
                 stream = self.listener.accept()
-                if len(self.open) >= self.limits.connections:
+                if len(self.open) >= self.limits.max_connections:
                     # Rejecting takes one write and no task, so it is cheaper than accepting.
-                    self.turned_away += 1
+                    self.rejected_connections += 1
                     try:
                         busy = problem(503, "too many connections", [("Retry-After", "1")])
                         stream.sock.send(busy.encode(keep_alive=False))
@@ -80,17 +80,17 @@
         if self.tls is not None:
             wrapped = stream = TlsStream(plain, self.tls, True)
             try:
-                with self.loop.deadline(self.limits.request_within):
+                with self.loop.deadline(self.limits.request_timeout_s):
                     wrapped.handshake()
                 certificate = wrapped.certificate()
             except (OSError, TimedOut):
-                self.refused_handshakes += 1
+                self.failed_handshakes += 1
                 self.open.pop(plain, None)
                 plain.close()
                 return
             self.open.pop(plain, None)
             self.open[stream] = None
-        reader = RequestReader(self.limits.head, self.limits.body)
+        reader = RequestReader(self.limits.max_head, self.limits.max_body)
         try:
             keep = first = True
             while keep:
@@ -114,14 +114,14 @@
         except (OSError, Closed):
             pass
         except TimedOut:
-            self.slow += 1
+            self.timeouts += 1
         finally:
             self.open.pop(stream, None)
             stream.close()
 
     def _read(self, stream: AnyStream, reader: RequestReader, first: bool) -> list[Request]:
         try:
-            with self.loop.deadline(self.limits.idle):
+            with self.loop.deadline(self.limits.idle_timeout_s):
                 data = stream.receive(likely_empty=not first)
         except TimedOut:
             return []
@@ -130,7 +130,7 @@
         requests: list[Request] = reader.feed(data) if data else []
         if data and not requests:
             try:
-                with self.loop.deadline(self.limits.request_within):
+                with self.loop.deadline(self.limits.request_timeout_s):
                     while data and not requests:
                         if reader.waits_for_100 and not sent_continue:
                             sent_continue = True
@@ -138,8 +138,8 @@
                         data = stream.receive()
                         requests = reader.feed(data) if data else []
             except TimedOut:
-                self.slow += 1
-                raise Refused(408, f"request incomplete after {self.limits.request_within:g} s") from None
+                self.timeouts += 1
+                raise Refused(408, f"request incomplete after {self.limits.request_timeout_s:g} s") from None
         for request in requests:
             request.arrived = since if sent_continue is False and len(requests) else stream.earliest_arrival
         return requests
@@ -183,10 +183,10 @@
         try:
             rest = stream.send_nowait(data)
             if rest:
-                with self.loop.deadline(self.limits.send_within):
+                with self.loop.deadline(self.limits.send_timeout_s):
                     stream.send(rest)
         except TimedOut:
-            self.slow += 1
+            self.timeouts += 1
             raise OSError("client does not receive its response") from None
 
     def _drain(self, stream: AnyStream) -> None:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -609,10 +609,10 @@
         assert [rig.offer(n, token=f"c{n}").status for n in range(5)] == [201] * 5
         state = rig.gateway.state()
         assert state["door"]["let_in"] == 5 and state["door"]["waiting"] == 0
-        rig.until(lambda: rig.gateway.server.slow >= 100)
+        rig.until(lambda: rig.gateway.server.timeouts >= 100)
         rig.until(lambda: len(rig.gateway.server.open) <= 5)
 
-    Rig(limits=Limits(request_within=0.3), door={"on": True}).run(day)
+    Rig(limits=Limits(request_timeout_s=0.3), door={"on": True}).run(day)
 
 
 def test_the_bad_day_with_a_narrow_door_keeps_the_rules_in_the_model() -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -207,10 +207,10 @@
         assert rig.offer().status == 201
         sent.wait()
         response = answer(slow)
-        assert response.status == 408 and rig.gateway.server.slow == 1
+        assert response.status == 408 and rig.gateway.server.timeouts == 1
         slow.close()
 
-    Rig(limits=Limits(request_within=0.4)).run(day)
+    Rig(limits=Limits(request_timeout_s=0.4)).run(day)
 
 
 def test_two_requests_in_one_segment_are_both_answered_in_order() -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -85,7 +85,7 @@
         assert told["status"] == status and told["detail"]
         assert client.request(at, "GET", "/").status == 200
 
-    served(hello, call, Limits(request_within=0.2))
+    served(hello, call, Limits(request_timeout_s=0.2))
 
 
 def test_over_the_limit_of_connections_refusal_is_one_write() -> None:
@@ -93,13 +93,13 @@
         held = [connect(loop, endpoint(at)) for _ in range(2)]
         loop.sleep(0.02)
         assert raw(loop, at, b"").startswith(b"HTTP/1.1 503")
-        assert server.turned_away == 1
+        assert server.rejected_connections == 1
         for stream in held:
             stream.close()
         loop.sleep(0.02)
         assert client.request(at, "GET", "/").status == 200
 
-    served(hello, call, Limits(connections=2))
+    served(hello, call, Limits(max_connections=2))
 
 
 def test_a_client_that_takes_no_answer_is_let_go() -> None:
@@ -110,9 +110,9 @@
         stream = connect(loop, endpoint(at))
         stream.send(GET)
         loop.sleep(0.6)
-        assert server.slow == 1 and not server.open
+        assert server.timeouts == 1 and not server.open
 
-    served(big, call, Limits(send_within=0.2))
+    served(big, call, Limits(send_timeout_s=0.2))
 
 
 def test_what_breaks_off_is_told_apart_from_what_never_left() -> None:
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -150,7 +150,7 @@
             while plain.receive():
                 pass
         silent = connect(loop, server.at)
-        assert len(seen) == 3 and server.refused_handshakes >= 2
+        assert len(seen) == 3 and server.failed_handshakes >= 2
         silent.close()
         client.close()
         server.close()
@@ -171,14 +171,14 @@
 
     def main() -> None:
         tls = context(store.ca, store.directory / "g0.pem", True)
-        limits = Limits(request_within=0.2)
+        limits = Limits(request_timeout_s=0.2)
         server = Server(loop, endpoint("127.0.0.1:0"), lambda _: Response(200), limits, tls=tls)
         streams = [connect(loop, server.at) for _ in range(20)]
         for _ in range(300):
             loop.sleep(0.02)
-            if server.refused_handshakes == 20:
+            if server.failed_handshakes == 20:
                 break
-        assert server.refused_handshakes == 20 and not server.open
+        assert server.failed_handshakes == 20 and not server.open
         for stream in streams:
             stream.close()
         with pytest.raises(TimedOut), loop.deadline(0.01):
