--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -126,7 +126,7 @@
     on_loop(lambda loop: test(loop, *args))()
 
 
-STAGES = ["waits", "dials", "sent", "refused"]
+STAGES = ["waiting", "connecting", "sent", "refused"]
 
 
 @pytest.mark.parametrize("depart", DEPARTURES)
@@ -136,7 +136,11 @@
     stage: str, shared: bool, depart: Departure
 ) -> None:
     def play(loop: Loop) -> None:
-        package = {"onTime": 5000, "deadline": 6000, "effect": "once" if stage == "dials" else "repeatable"}
+        package = {
+            "onTime": 5000,
+            "deadline": 6000,
+            "effect": "once" if stage == "connecting" else "repeatable",
+        }
         with running_gateway(loop, package=package, connectTimeout=5000) as (harness, other):
             report_loads(harness, other)
             leave_at_stage(harness, stage, depart, shared)
@@ -149,12 +153,12 @@
     loop, (first, second) = harness.loop, harness.hosts
     feed = harness.until(lambda: harness.feeds)[0]
     first.answer = second.answer = no_answer
-    held = BlockedListener()
+    blocked = BlockedListener()
     ids = [1, 2] if shared else [1]
     leaving = ids[0]
-    if stage == "dials":
-        first.at = held.at
-    phase = "draining" if stage == "waits" else "ready"
+    if stage == "connecting":
+        first.at = blocked.at
+    phase = "draining" if stage == "waiting" else "ready"
     feed.send(harness.host_event(2, (first, phase), (second, "draining")))
     loop.sleep(0.1)
     viewer = harness.connect()
@@ -177,8 +181,8 @@
     sent, cancelled = setups_sent(harness, leaving), 1 if stage == "sent" else 0
     assert len(sent) == (1 if stage in ("sent", "refused") else 0), depart
     assert finish_count(harness, leaving) == cancelled, "a set-up in flight is cancelled once"
-    if stage == "dials":
-        held.accept(harness, first)
+    if stage == "connecting":
+        blocked.accept(harness, first)
     elif stage == "sent":
         harness.log.append(("end", session_id(leaving), first.name))
         first.streams[-1].send(hostline.encode("FINISH", session_id(leaving), {}, ERROR))
@@ -193,8 +197,8 @@
     else:
         loop.sleep(0.3)
     assert setups_sent(harness, leaving) == sent and finish_count(harness, leaving) == cancelled, depart
-    if stage != "dials":
-        held.accept(harness, FakeMediaHost(harness, "s-9"))
+    if stage != "connecting":
+        blocked.accept(harness, FakeMediaHost(harness, "s-9"))
 
 
 @pytest.mark.parametrize("depart", DEPARTURES)
@@ -202,7 +206,7 @@
 def test_no_tune_in_begins_for_a_viewer_gone_from_a_slowed_connection(
     depart: Departure, shared: bool
 ) -> None:
-    """A connection was not read for up to a second after faults, so its end was noticed as late."""
+    """Regression: after faults a connection was not read for up to a second, so its end was noticed late."""
 
     def play(loop: Loop) -> None:
         with running_gateway(loop) as (harness, _):
@@ -238,7 +242,7 @@
 
 @pytest.mark.parametrize("depart", DEPARTURES)
 def test_no_tune_in_begins_when_the_ends_of_viewer_and_tune_in_are_read_together(depart: Departure) -> None:
-    """Decisions were executed before the module was told which viewers had hung up."""
+    """Regression: decisions were executed before the decision module knew which viewers had hung up."""
 
     def play(loop: Loop) -> None:
         with running_gateway(loop) as (harness, other):
@@ -265,7 +269,7 @@
 
 @pytest.mark.parametrize("depart", DEPARTURES)
 def test_no_tune_in_begins_in_a_long_turn_for_a_viewer_whose_departure_is_unread(depart: Departure) -> None:
-    """In a flood a turn takes long, and decisions were executed before data that came meanwhile was read."""
+    """Regression: in a flood, where a turn takes long, decisions preceded the reading of arrived data."""
 
     def play(loop: Loop) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -326,8 +330,8 @@
             gateway = RunningGateway(loop, load_configuration(str(harness.path)), str(harness.path))
             gateway.start()
             controller, viewer = gateway.controller, harness.wait_ready()
-            held = BlockedListener()
-            controller.hosts.on_host_listed("s-0", held.at, False)
+            blocked = BlockedListener()
+            controller.hosts.on_host_listed("s-0", blocked.at, False)
             viewer.set_up(1)
             harness.until(lambda: controller.hosts.connections.get("s-0"))
             (connection,) = controller.hosts.connections["s-0"]
@@ -339,14 +343,14 @@
             assert controller.confirm_delayed_send(time.monotonic(), session_id(1), connection) is None
             loop.sleep(0.1)
             assert not controller.sessions.pending and not controller.viewings and not setups_sent(harness, 1)
-            held.accept(harness, harness.hosts[0])
+            blocked.accept(harness, harness.hosts[0])
 
     run_on_loop(play)
 
 
 @pytest.mark.parametrize("depart", [close, reset])
 def test_a_release_that_crosses_the_end_of_its_connection_goes_out_on_another(depart: Departure) -> None:
-    """It was written to the connection that had ended, and lost."""
+    """Regression: the release was written to the connection that had ended, and lost."""
 
     def play(loop: Loop) -> None:
         with running_gateway(loop) as (harness, other):
@@ -375,7 +379,7 @@
 
 @on_loop
 def test_a_release_goes_to_no_other_clients_connection_where_its_viewer_has_one(loop: Loop) -> None:
-    """It went out on the connection of the latest set-up, whichever client that belonged to."""
+    """Regression: the release went out on the connection of the latest set-up, of whichever client."""
     with running_gateway(loop) as (harness, usual):
         report_loads(harness, usual)
         viewer, other_client = harness.connect(), harness.connect()
@@ -401,7 +405,7 @@
 
 @on_loop
 def test_requests_that_cross_a_release_do_not_slow_a_connection_down(loop: Loop) -> None:
-    """Each counted as a fault, and faults never expired: later set-ups on the connection waited up to 1 s."""
+    """Regression: each was a fault, and faults never expired; later set-ups there waited up to 1 s."""
     with running_gateway(loop) as (harness, viewer):
         for n in range(1, 13):
             viewer.set_up(n)
@@ -449,11 +453,11 @@
 
 @pytest.mark.parametrize("drains", [True, False])
 def test_a_set_up_queued_for_a_slow_connection_is_sent_only_if_still_allowed(drains: bool) -> None:
-    """Set-ups queued on a connection that was being opened were sent once it was established, whatever had
-    changed meanwhile. One that was never sent is refused, also where set-ups may not be repeated."""
+    """Regression: set-ups queued on a connection that was being opened were sent once it was established,
+    whatever had changed meanwhile. One that was never sent is refused, also where it may not be repeated."""
 
     def play(loop: Loop) -> None:
-        held = BlockedListener()
+        blocked = BlockedListener()
         rules = {"stopSendingWithin": 200}
         with running_gateway(loop, hosts=1, package=ONCE, rules=rules, connectTimeout=5000) as (
             harness,
@@ -461,7 +465,7 @@
         ):
             host = harness.hosts[0]
             feed = harness.until(lambda: harness.feeds)[0]
-            host.at, original = held.at, host.at
+            host.at, original = blocked.at, host.at
             feed.send(harness.host_event(2, (host, "ready")))
             loop.sleep(0.1)
             for n in (1, 2):
@@ -473,7 +477,7 @@
             if drains:
                 feed.send(harness.host_event(3, (host, "draining")))
                 loop.sleep(0.4)  # longer than the drain grace
-            held.accept(harness, host)
+            blocked.accept(harness, host)
             if drains:
                 assert sorted(viewer.answer()[:2] for _ in "12") == [
                     ("453", session_id(1)),
@@ -487,14 +491,14 @@
                     ("200", session_id(2)),
                 ]
                 assert not setups_sent(harness, 3) and not finish_count(harness, 3)
-            assert original != held.at
+            assert original != blocked.at
 
     run_on_loop(play)
 
 
 @on_loop
 def test_a_host_that_restarted_while_it_was_connected_to_gets_no_burst(loop: Loop) -> None:
-    held = BlockedListener()
+    blocked = BlockedListener()
     rules = {"warmUp": 12000}
     settings = {**ONCE, "deadline": 8000}
     with running_gateway(loop, hosts=1, package=settings, rules=rules, connectTimeout=6000) as (
@@ -507,7 +511,7 @@
         viewer.set_up(50, "home:0;copies:6;top:2;at:s-0")
         harness.log.pop()
         harness.until(lambda: host.streams)
-        host.at = held.at
+        host.at = blocked.at
         feed.send(harness.host_event(2, (host, "ready")))
         loop.sleep(0.1)
         for n in range(1, 9):
@@ -517,7 +521,7 @@
         entry = {"pos": 3, "hosts": {"revision": 3, "complete": False, "members": members}}
         feed.send(event(json.dumps(entry), number="3"))
         loop.sleep(0.1)
-        held.accept(harness, host)
+        blocked.accept(harness, host)
         harness.until(lambda: any(setups_sent(harness, n) for n in range(1, 9)), 8.0)
         loop.sleep(0.5)
         sent = sum(len(setups_sent(harness, n)) for n in range(1, 9))
@@ -545,7 +549,7 @@
 
 @pytest.mark.parametrize("left", [None, 0.5])
 def test_a_set_up_queued_for_a_host_that_does_not_read_is_checked_when_it_is_sent(left: float | None) -> None:
-    """Such set-ups were buffered as bytes and sent when the host read again, whatever had changed by then."""
+    """Regression: it was buffered as bytes and sent when the host read again, whatever had changed."""
 
     def play(loop: Loop) -> None:
         controller, fields = StubHostEvents(3.0), {"class": "clip", "left": "3000"}
@@ -590,7 +594,7 @@
 
 @on_loop
 def test_a_late_duplicate_of_an_end_does_not_end_the_next_tune_in(loop: Loop) -> None:
-    """It came on the connection on which the same id was in flight again, and a third tune-in was sent."""
+    """Regression: it came on a connection where the id was in flight again, and a third tune-in was sent."""
     with running_gateway(loop, hosts=1) as (harness, viewer):
         host = harness.hosts[0]
         answers = [hostline.encode("FINISH", session_id(1), {}, ERROR)]
@@ -679,7 +683,7 @@
 @pytest.mark.parametrize("has_sent", [False, True])
 @pytest.mark.parametrize("how", ["sweep", "room"])
 def test_an_unread_set_up_keeps_its_connection(has_sent: bool, how: str) -> None:
-    """After a stall the sweep, or the eviction for a new connection, ran before the reading."""
+    """Regression: after a stall the sweep, or the eviction for a new connection, ran before the reading."""
 
     def play(loop: Loop) -> None:
         ladder, packages, fleet, _ = facts_from(SETTINGS)
@@ -758,7 +762,7 @@
 
 
 def test_an_evicted_connection_is_closed_at_once_and_accepts_no_more_data() -> None:
-    """Its task ran later in the turn: requests that the kernel accepted meanwhile were lost unread."""
+    """Regression: its task ran later in the turn, and requests that the kernel had accepted were lost."""
 
     def play(loop: Loop) -> None:
         ladder, packages, fleet, _ = facts_from(SETTINGS)
@@ -847,7 +851,7 @@
 
 @on_loop
 def test_sigterm_waits_for_a_stalled_reader_until_shortly_before_sigkill(loop: Loop) -> None:
-    """Data buffered for such a reader was dropped once no viewing was pending or playing."""
+    """Regression: data buffered for such a reader was dropped once no viewing was pending or playing."""
     with running_gateway(loop) as (harness, viewer):
         description = "x" * 12000
         for host in harness.hosts:
@@ -916,7 +920,7 @@
 
 @on_loop
 def test_a_malformed_event_is_requested_again(loop: Loop) -> None:
-    """It was skipped, and its change was lost for good once the next event was accepted."""
+    """Regression: the event was skipped, and its change was lost once the next one was accepted."""
     with running_gateway(loop) as (harness, viewer):
         first = harness.until(lambda: harness.feeds)[0]
         first.send(b'id: 2\ndata: {"pos":2,"hosts":{"members":[{"id":\n\n')
@@ -959,7 +963,7 @@
 
 @on_loop
 def test_the_journal_is_called_again_while_idle_viewers_hold_all_their_descriptors(loop: Loop) -> None:
-    """With small limits the shares of viewers and media hosts together exceeded the descriptors."""
+    """Regression: with small limits the shares of viewers and media hosts exceeded all descriptors."""
     with running_gateway(loop, sockets=24) as (harness, viewer):
         resource.prlimit(harness.process.pid, resource.RLIMIT_NOFILE, (24, 24))
         for n in range(1, 4):
@@ -993,13 +997,13 @@
 
 @on_loop
 def test_the_journal_moves_during_a_connect_and_only_the_last_address_is_followed(loop: Loop) -> None:
-    held = BlockedListener()
+    blocked = BlockedListener()
     with running_gateway(loop) as (harness, viewer):
         first, good = harness.until(lambda: harness.feeds)[0], harness.journal
-        harness.journal = held  # type: ignore[assignment]
+        harness.journal = blocked  # type: ignore[assignment]
         harness.write_config()
         harness.process.send_signal(signal.SIGHUP)
-        harness.until(lambda: f"reloaded journal={held.at}" in harness.errors.read_text())
+        harness.until(lambda: f"reloaded journal={blocked.at}" in harness.errors.read_text())
         first.close()
         loop.sleep(0.2)  # the call to the blocked address is connecting
         others = [harness.serve_journal() for _ in range(2)]
@@ -1023,7 +1027,7 @@
         assert open_feeds == 1, "a call to a former address is still open"
         viewer.set_up(1)
         assert viewer.answer()[0] == "200" and setups_sent(harness, 1) == [harness.hosts[1].name]
-        held.accept(harness, harness.hosts[0])
+        blocked.accept(harness, harness.hosts[0])
         for journal in (good, *others):
             journal.close()
 
@@ -1130,7 +1134,7 @@
 
 @on_loop
 def test_sigterm_at_each_stage_of_a_session_with_late_set_ups(loop: Loop) -> None:
-    held = BlockedListener()
+    blocked = BlockedListener()
     with running_gateway(loop, hosts=2, connectTimeout=3000, package=ONCE | {"deadline": 3000}) as (
         harness,
         viewer,
@@ -1143,7 +1147,7 @@
         viewer.set_up(2)
         host_of(harness, 2)  # sent
         slow = FakeMediaHost(harness, "s-5")
-        slow.at = held.at
+        slow.at = blocked.at
         entry = harness.members((slow, "ready"))
         gone = harness.members((harness.hosts[0], "draining"), (harness.hosts[1], "draining"))
         change = {"pos": 2, "hosts": {"revision": 2, "complete": False, "members": [*gone, *entry]}}
@@ -1180,7 +1184,7 @@
         } and not broken_rule(harness.log)
         harness.until(lambda: harness.process.poll() is not None, 3.7 - (time.monotonic() - began))
         assert harness.process.returncode == 0 and not setups_sent(harness, 3) and not setups_sent(harness, 4)
-        held.accept(harness, slow)
+        blocked.accept(harness, slow)
 
 
 # ---- other settings ----------------------------------------------------------------------------------------
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -128,11 +128,11 @@
             harness,
             viewer,
         ):
-            host, held = harness.hosts[0], BlockedListener()
+            host, blocked = harness.hosts[0], BlockedListener()
             report_loads(harness, viewer)
             if state == "connecting":
                 feed = harness.until(lambda: harness.feeds)[0]
-                host.at = held.at
+                host.at = blocked.at
                 feed.send(harness.host_event(2, (host, "ready")))
                 loop.sleep(0.1)
             else:
@@ -148,7 +148,7 @@
             for n in (1, 2):
                 assert got[n][0] == ("500" if ran and effect == "once" else "453")
             if state == "connecting":
-                held.accept(harness, FakeMediaHost(harness, "s-9"))
+                blocked.accept(harness, FakeMediaHost(harness, "s-9"))
 
     run_on_loop(play)
 
@@ -261,7 +261,7 @@
 
 
 def test_accepted_set_ups_are_answered_though_malformed_bytes_follow() -> None:
-    """The connection was closed at once, and the responses to the accepted set-ups were lost with it."""
+    """Regression: the connection was closed at once, and the responses to accepted set-ups were lost."""
 
     def play(loop: Loop) -> None:
         with running_gateway(loop, hosts=1, package=package_with_long_tune_ins("once")) as (harness, viewer):
@@ -301,7 +301,7 @@
 
 
 def test_a_request_on_a_slowed_connection_has_its_response_in_time() -> None:
-    """Its deadline was counted from when it was read, up to a second after its arrival."""
+    """Regression: its deadline was counted from the read, up to a second after its arrival."""
 
     def play(loop: Loop) -> None:
         with running_gateway(loop, hosts=1, package=package_with_long_tune_ins("once")) as (harness, viewer):
@@ -421,7 +421,7 @@
 
 
 def test_a_request_that_arrived_in_a_long_turn_has_its_response_in_time() -> None:
-    """Its deadline was counted from the end of the turn in which it had arrived."""
+    """Regression: its deadline was counted from the end of the turn in which it had arrived."""
 
     def play(loop: Loop) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -452,7 +452,7 @@
 
 @on_loop
 def test_no_request_goes_out_on_a_connection_that_is_being_closed(loop: Loop) -> None:
-    """Such a set-up was reported as reset at once, and so counted as one that may have run."""
+    """Regression: such a set-up was reported as reset at once, and so counted as one that may have run."""
     hosts = HostConnections(loop, Reach(1.0, 30.0, 1000), FailureDetector(0.0), 8, 1 << 20, ())
     hosts.controller, hosts.owner = StubHostEvents(3.0), loop.first
     listener = Listener(loop, endpoint("127.0.0.1:0"))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -306,7 +306,7 @@
 
 
 def test_a_host_that_came_back_gets_a_connection_though_an_earlier_one_ends_late() -> None:
-    """The number of connections being opened became negative, and none was ever opened again."""
+    """Regression: the number of connections being opened became negative, and none was ever opened again."""
     for late_end in ("failed", "opened and broke"):
         detector = FailureDetector(3.0)
         detector.on_host_listed(0.0, "h", False, 0.0)
@@ -323,17 +323,17 @@
 
 
 def test_the_send_guard_forgets_hosts_that_take_no_more_sends() -> None:
-    gate = SendGuard(1.0)
+    guard = SendGuard(1.0)
     for n in range(50):
-        gate.on_host_state(n, f"h{n}", True)
-        gate.on_host_state(n + 0.5, f"h{n}", False)
-    assert list(gate.hosts) == ["h48", "h49"]
-    gate.on_viewing_request(1, Package("p", 0.8, 3.0), 60.0)
-    gate.check_send(50.4, 1, "h49", 1.0)  # within the grace
-    gate.on_viewing_request(2, Package("p", 0.8, 3.0), 60.0)
+        guard.on_host_state(n, f"h{n}", True)
+        guard.on_host_state(n + 0.5, f"h{n}", False)
+    assert list(guard.hosts) == ["h48", "h49"]
+    guard.on_viewing_request(1, Package("p", 0.8, 3.0), 60.0)
+    guard.check_send(50.4, 1, "h49", 1.0)  # within the grace
+    guard.on_viewing_request(2, Package("p", 0.8, 3.0), 60.0)
     for host in ("h49", "h7"):
         with pytest.raises(SendForbidden):
-            gate.check_send(50.6, 2, host, 1.0)
+            guard.check_send(50.6, 2, host, 1.0)
 
 
 class FakeConnection:
