--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -23,26 +23,26 @@
 from ledgehitch.budgets.facts import (
     WHOLE,
     Budget,
+    budgets_digest,
     budgets_of,
-    digest_of,
-    loan_of,
+    loan_duration,
     parts_used,
     parts_wanted,
 )
 from ledgehitch.budgets.lender import Lender
-from ledgehitch.budgets.units import may_be_lent, own_parts
-from ledgehitch.budgets.words import FIRST, Words, read, written
-from ledgehitch.door.decide import ROOM
-from ledgehitch.door.limits import Asked
-from ledgehitch.door.part import Part
-from ledgehitch.door.rates import SET_UPS, PackageRates, budget_of
+from ledgehitch.budgets.units import lendable, own_parts
+from ledgehitch.budgets.words import FIRST_KIND, LoanMessage, decode, encode
+from ledgehitch.door.decide import DEMAND_HEADROOM
+from ledgehitch.door.limits import RequestRate
+from ledgehitch.door.part import BudgetShare
+from ledgehitch.door.rates import SET_UPS, PackageRateLimits, offers_budget
 from ledgehitch.owners.facts import BUDGETS
-from ledgehitch.owners.words import NOBODY
+from ledgehitch.owners.words import NO_MEMBER
 from ledgehitch.rehearsal.fleet import FleetRig
 from tests.explore_budgets import CORNERS, explored, walked
 
 PACKAGE = "live"
-UNIT = Budget(budget_of(PACKAGE), "rate")
+UNIT = Budget(offers_budget(PACKAGE), "rate")
 TAKES = 0.05  # seconds of a set-up
 
 
@@ -62,24 +62,24 @@
         """`set_ups`: at once, of all; 0: no limit. One takes `TAKES` seconds, and nobody waits for one."""
         names = tuple(f"g{n}" for n in range(members))
         self.budgets = tuple(b for b in budgets_of({PACKAGE: a_second}, set_ups, TAKES))
-        self.digest = digest_of(self.budgets, own_part, names)
-        self.pool = [may_be_lent(b, own_part) for b in self.budgets]
+        self.digest = budgets_digest(self.budgets, own_part, names)
+        self.pool = [lendable(b, own_part) for b in self.budgets]
         each = [own_parts(b, own_part, names) for b in self.budgets]
         self.own = {n: tuple(own[name] for own in each) for n, name in enumerate(names)}
         self.set_ups, self.out = set_ups, dict[int, list[float]]()  # ends of set-ups, by gateway
         self.most = dict.fromkeys(range(members), 0)  # set-ups wanted at once since it asked last
         self.static, self.a_second = static, a_second
         self.borrowers: dict[int, Borrower] = {}
-        self.parts: dict[int, Part] = {}
-        self.rates_of: dict[int, PackageRates] = {}
-        self.asked: dict[int, Asked] = {}
+        self.parts: dict[int, BudgetShare] = {}
+        self.rates_of: dict[int, PackageRateLimits] = {}
+        self.asked: dict[int, RequestRate] = {}
         self.lenders: dict[int, Lender] = {}
         self.load = [1.0] * members  # relative, of each member
         self.offers = 3.0 * a_second  # a second, of all
         self.let: list[tuple[float, int]] = []
         self.best: list[float] = []  # when one that sees all would have let in
-        self.single, self.all_of_it = PackageRates(), Part(1.0)
-        self.single.changed({PACKAGE: a_second})
+        self.single, self.all_of_it = PackageRateLimits(), BudgetShare(1.0)
+        self.single.set_limits({PACKAGE: a_second})
         self.largest = 0
         self.seconds = 0.0  # of this machine's CPU, in lenders
         self.over = 0.0  # the most that parts came to
@@ -93,12 +93,14 @@
         super().start(n, disk)
         if n not in self.borrowers:
             life = self.chance.getrandbits(32)
-            self.borrowers[n] = Borrower(self.budgets, self.own[n], life, [self.digest], loan_of(self.lease))
-            self.parts[n] = Part(1.0 / self.n)
+            self.borrowers[n] = Borrower(
+                self.budgets, self.own[n], life, [self.digest], loan_duration(self.lease)
+            )
+            self.parts[n] = BudgetShare(1.0 / self.n)
             if not self.static:
                 self._tell(n)
-            self.rates_of[n], self.asked[n] = PackageRates(), Asked()
-            self.rates_of[n].changed({PACKAGE: self.a_second})
+            self.rates_of[n], self.asked[n] = PackageRateLimits(), RequestRate()
+            self.rates_of[n].set_limits({PACKAGE: self.a_second})
 
     def stop(self, n: int) -> None:
         super().stop(n)
@@ -113,17 +115,17 @@
         while self.spent > 0.0 and live:
             self.spent -= self.chance.expovariate(1.0)
             n = self.chance.choices(live, weights)[0]
-            self.asked[n].asked(self.now)
-            if not self.single.wait(self.now, PACKAGE, self.all_of_it):
+            self.asked[n].on_request(self.now)
+            if not self.single.acquire(self.now, PACKAGE, self.all_of_it):
                 self.best.append(self.now)
-            if not self.rates_of[n].wait(self.now, PACKAGE, self.parts[n]) and self._set_up(n):
+            if not self.rates_of[n].acquire(self.now, PACKAGE, self.parts[n]) and self._set_up(n):
                 self.let.append((self.now, n))
         if self.static:
             return
         for n in live:
             self._asks(n)
         for budget in self.budgets:
-            parts = sum(b.part(self.now, budget.name) for b in self.borrowers.values())
+            parts = sum(b.available(self.now, budget.name) for b in self.borrowers.values())
             self.over = max(self.over, parts / WHOLE)
 
     def _set_up(self, n: int) -> bool:
@@ -132,7 +134,7 @@
             return True
         out = self.out[n] = [end for end in self.out.get(n, []) if end > self.now]
         self.most[n] = max(self.most[n], len(out) + 1)
-        if len(out) >= self.parts[n].things(self.now, SET_UPS, self.set_ups):
+        if len(out) >= self.parts[n].whole_units(self.now, SET_UPS, self.set_ups):
             return False
         out.append(self.now + TAKES)
         return True
@@ -141,27 +143,27 @@
         b = self.borrowers[n]
         lent = {x.name: b.loans[i] / WHOLE for i, x in enumerate(self.budgets)}
         own = {x.name: b.own[i] / WHOLE for i, x in enumerate(self.budgets)}
-        self.parts[n].told(0.0, lent, b.until, own)
+        self.parts[n].update(0.0, lent, b.loan_until, own)
 
     def _asks(self, n: int) -> None:
         one, b = self.all[n], self.borrowers[n]
         assert one is not None
         owner, term = one.owner_of(self.now, BUDGETS)
         if owner == n and (n not in self.lenders or self.lenders[n].term != term):
-            loan = loan_of(self.lease)
+            loan = loan_duration(self.lease)
             self.lenders[n] = Lender(
                 self.now, term, self.budgets, self.own, self.pool, range(self.n), [self.digest], loan
             )
-        if owner == NOBODY:
+        if owner == NO_MEMBER:
             return
-        wanted = {UNIT.name: min(WHOLE, int(self.asked[n].at(self.now) / self.a_second * WHOLE))}
+        wanted = {UNIT.name: min(WHOLE, int(self.asked[n].rate_at(self.now) / self.a_second * WHOLE))}
         used = dict[str, int]()
         if self.set_ups:
-            most = self.most[n] * ROOM + 1.0 if self.most[n] else 0.0
+            most = self.most[n] * DEMAND_HEADROOM + 1.0 if self.most[n] else 0.0
             wanted[SET_UPS] = parts_wanted(self.budgets[1], min(1.0, most / self.set_ups))
             out = sum(end > self.now for end in self.out.get(n, []))
             used[SET_UPS] = parts_used(self.budgets[1], out / self.set_ups)
-        words = b.asks(self.now, term, used, wanted)
+        words = b.next_request(self.now, term, used, wanted)
         if words is None:
             return
         self.most[n] = 0
@@ -170,33 +172,33 @@
         else:
             self._says(n, owner, words)
 
-    def _says(self, sender: int, to: int, words: Words) -> None:
-        data = written(words)
+    def _says(self, sender: int, to: int, words: LoanMessage) -> None:
+        data = encode(words)
         self.largest = max(self.largest, len(data) + FRAME)
         self._carry(sender, to, data)
 
-    def _answer(self, lender: int, member: int, words: Words) -> Words | None:
+    def _answer(self, lender: int, member: int, words: LoanMessage) -> LoanMessage | None:
         one = self.all[lender]
         assert one is not None
-        term = one.owns(self.now, BUDGETS)
+        term = one.owned_term(self.now, BUDGETS)
         if not term or lender not in self.lenders or self.lenders[lender].term != term:
             return None
         began = time.perf_counter()
-        answer = self.lenders[lender].wants(self.now, member, words)
+        answer = self.lenders[lender].on_request(self.now, member, words)
         self.seconds += time.perf_counter() - began
         return answer
 
-    def _taken(self, n: int, words: Words | None) -> None:
+    def _taken(self, n: int, words: LoanMessage | None) -> None:
         b = self.borrowers[n]
-        if words is not None and b.lent(self.now, words):
-            self.rates_of[n].gather(self.now, self.parts[n])
+        if words is not None and b.on_loan(self.now, words):
+            self.rates_of[n].refill(self.now, self.parts[n])
             self._tell(n)
 
     def _hears(self, to: int, sender: int, data: bytes) -> None:
-        if data[0] < FIRST:
+        if data[0] < FIRST_KIND:
             super()._hears(to, sender, data)
             return
-        words = read(data)
+        words = decode(data)
         if words.kind == "lent":
             self._taken(to, words)
         elif (answer := self._answer(to, sender, words)) is not None:
@@ -302,7 +304,7 @@
             "by them": round(few, 4),
             "by the rest": round(some.in_use(some.now - seconds, some.now) - few, 4),
             "own units: theirs, the rest's": [
-                sum(some.parts[n].things(1e9, SET_UPS, set_ups) for n in ns)
+                sum(some.parts[n].whole_units(1e9, SET_UPS, set_ups) for n in ns)
                 for ns in (cut, set(range(members)) - cut)
             ],
             "most_parts": round(some.over, 6),
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 from typing import Any
 
-from ledgehitch.door.baselines import Buckets, Fifo, NoDoor
-from ledgehitch.door.decide import Door, Let, Turn
-from ledgehitch.door.names import name_of
-from ledgehitch.door.returns import SHARE, Places
+from ledgehitch.door.baselines import AdmitAll, FifoQueue, TokenBuckets
+from ledgehitch.door.decide import AdmissionController, Admit, Reject
+from ledgehitch.door.names import client_name
+from ledgehitch.door.returns import RETURN_SHARE, ReturnSlots
 
 SETUP = 0.05  # seconds of a set-up where nothing is scarce
 PATIENCE = 3.0
@@ -28,8 +28,8 @@
 }
 
 
-def door(seed: int = 1, **more: Any) -> Door:
-    return Door(
+def door(seed: int = 1, **more: Any) -> AdmissionController:
+    return AdmissionController(
         0.0,
         random.Random(seed),
         {"recorded": 1.0, "live": 3.0},
@@ -83,17 +83,17 @@
                     self.number += 1
                     conn = self.number
                     self.asked_at[conn], self.who[conn] = self.now, (who, tries)
-                    name = name_of(bytes(32), who, "", "")
-                    self.door.asked(self.now, conn, name, package, self.now + PATIENCE, ticket)
+                    name = client_name(bytes(32), who, "", "")
+                    self.door.on_request(self.now, conn, name, package, self.now + PATIENCE, ticket)
             while (decision := self.door.decide(self.now)) is not None:
-                if isinstance(decision, Let):
+                if isinstance(decision, Admit):
                     self.work[decision.conn] = 1.0
-                elif isinstance(decision, Turn):
+                elif isinstance(decision, Reject):
                     self._turned(decision)
 
     def _over(self, conn: int, late: bool) -> None:
         del self.work[conn]
-        self.door.settled(self.now, conn, late)
+        self.door.on_result(self.now, conn, late)
         who, tries = self.who.pop(conn)
         took = self.now - self.asked_at.pop(conn)
         if not late:
@@ -102,7 +102,7 @@
             self.late.append((self.now, who))
             self._again(who, tries, 0.0, "")
 
-    def _turned(self, turn: Turn) -> None:
+    def _turned(self, turn: Reject) -> None:
         who, tries = self.who.pop(turn.conn)
         self.asked_at.pop(turn.conn)
         self.turned.append((self.now, who, turn.advice, turn.ticket))
@@ -192,7 +192,7 @@
     return sum(values) ** 2 / (len(values) * sum(v * v for v in values))
 
 
-class Beside(Places):
+class Beside(ReturnSlots):
     """The door's places, and beside them those of one that knows the capacity of every second to come."""
 
     def __init__(self, capacity: Callable[[float], float]) -> None:
@@ -200,11 +200,11 @@
         self.capacity, self.taken = capacity, dict[int, float]()
         self.pairs: list[tuple[float, float, float]] = []  # when told, advised, earliest that could have been
 
-    def booked(self, now: float, pace: float, least: float, most: float) -> float | None:
-        told = super().booked(now, pace, least, most)
+    def book(self, now: float, pace: float, least: float, most: float) -> float | None:
+        told = super().book(now, pace, least, most)
         if told is not None:
             second = int(now + least)
-            while self.taken.get(second, 0.0) >= max(0.2, SHARE * self.capacity(second + 0.5)):
+            while self.taken.get(second, 0.0) >= max(0.2, RETURN_SHARE * self.capacity(second + 0.5)):
                 second += 1
             self.taken[second] = self.taken.get(second, 0.0) + 1.0
             self.pairs.append((now, told, max(least, second - now)))
@@ -214,7 +214,7 @@
 def returns(capacity: Callable[[float], float], seed: int = 1) -> dict[str, Any]:
     """Whether who comes when told is let in, and how much later that is than could have been promised."""
     some = door(seed)
-    beside = some.places = Beside(capacity)
+    beside = some.return_slots = Beside(capacity)
     fleet = Fleet(some, capacity, seed)
     fleet.returns, fleet.only_told = 1.0, True
     chance, t, n = random.Random(seed), 0.0, 0
@@ -255,7 +255,7 @@
     figure, axes = pyplot.subplots(1, 3, figsize=(11, 3.8), sharey=True, layout="constrained")
     for ax, (name, capacity) in zip(axes, WAYS.items(), strict=True):
         some = door(1)
-        beside = some.places = Beside(capacity)
+        beside = some.return_slots = Beside(capacity)
         fleet = Fleet(some, capacity, 1)
         fleet.returns, fleet.only_told = 1.0, True
         chance, t, n = random.Random(1), 0.0, 0
@@ -283,10 +283,10 @@
             name = chance.randrange(clients).to_bytes(8, "big")
             t0 = time.perf_counter()
             now = n * 0.001
-            some.asked(now, n, name, "recorded", now + PATIENCE)
+            some.on_request(now, n, name, "recorded", now + PATIENCE)
             while (decision := some.decide(now)) is not None:
-                if isinstance(decision, Let):
-                    some.settled(now, decision.conn, False)
+                if isinstance(decision, Admit):
+                    some.on_result(now, decision.conn, False)
             took.append(time.perf_counter() - t0)
         found[str(clients)] = round(1e6 * sorted(took)[len(took) // 2], 1)
     return found
@@ -303,12 +303,12 @@
     out: list[int] = []
     for n in range(names):
         now = n * 60.0 / names
-        some.asked(now, n, n.to_bytes(8, "big"), "recorded", now + PATIENCE)
+        some.on_request(now, n, n.to_bytes(8, "big"), "recorded", now + PATIENCE)
         while (decision := some.decide(now)) is not None:
-            if isinstance(decision, Let):
+            if isinstance(decision, Admit):
                 out.append(decision.conn)
         if len(out) > 30 and n % 1000 == 0:
-            some.settled(now, out.pop(0), False)
+            some.on_result(now, out.pop(0), False)
         if n == names // 10:
             base = rss()
         if (n + 1) % (names // 5) == 0:
@@ -317,7 +317,12 @@
 
 
 def main(names: int) -> dict[str, Any]:
-    doors: dict[str, Callable[[], Any]] = {"door": door, "none": NoDoor, "one line": Fifo, "buckets": Buckets}
+    doors: dict[str, Callable[[], Any]] = {
+        "door": door,
+        "none": AdmitAll,
+        "one line": FifoQueue,
+        "buckets": TokenBuckets,
+    }
     return {
         "cost_us": cost(),
         "flood": {name: flood(make()) for name, make in doors.items()},
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -19,21 +19,21 @@
 from ledgehitch.config import BadInput
 from ledgehitch.daemon.facts import Drain, Fence, PlanCall, PlanWords, Reload, State
 from ledgehitch.fleet.journal import _read, _sum
-from ledgehitch.gateway.peers import Peers, Refusal
+from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.http import Refused
 from ledgehitch.http.parse import RequestReader
 from ledgehitch.keys import judge
 from ledgehitch.members.decide import Members
-from ledgehitch.members.roster import News
-from ledgehitch.members.words import BadWords, Words, read, written
+from ledgehitch.members.roster import MemberStatus
+from ledgehitch.members.words import InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.owners.decide import Owners
-from ledgehitch.owners.facts import DUTIES, short
-from ledgehitch.owners.memory import Memory
+from ledgehitch.owners.facts import DUTIES, name_digest
+from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.words import KINDS as DUTY_KINDS
-from ledgehitch.owners.words import BadWords as BadDuty
-from ledgehitch.owners.words import Words as Duty
-from ledgehitch.owners.words import read as duty_read
-from ledgehitch.owners.words import written as duty_written
+from ledgehitch.owners.words import DutyMessage as Duty
+from ledgehitch.owners.words import InvalidMessage as BadDuty
+from ledgehitch.owners.words import decode as duty_read
+from ledgehitch.owners.words import encode as duty_written
 
 KEY = bytes(range(32))
 
@@ -58,19 +58,19 @@
 class Fed:
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
-        self.receiver = Peers([KEY], 1, 1)
-        self.sender = Peers([KEY], 0, 1)
+        self.receiver = PeerCodec([KEY], 1, 1)
+        self.sender = PeerCodec([KEY], 0, 1)
         self.members = Members(0.0, 1, 8, 1, random.Random(1))
         self.now = 0.0
-        news = tuple(News(n, 1 << 16, "alive") for n in range(8))
-        self.words = written(Words("ask", 1, 0, news))
+        news = tuple(MemberStatus(n, 1 << 16, "alive") for n in range(8))
+        self.words = encode(MembershipMessage("ask", 1, 0, news))
         line = json.dumps({"ev": "done", "gateway": "g0"})
         self.journal = f"{_sum('', line)} {line}\n".encode() * 1
         self.drain = msgspec.json.encode(Drain(3.0, "restart", "t", "b"))
-        duty = Duty("ask", 0, 1, 1, short("g0"), b"abcd", b"\0" * 4)
+        duty = Duty("ask", 0, 1, 1, name_digest("g0"), b"abcd", b"\0" * 4)
         self.duty_words = [duty_written(duty._replace(kind=kind, terms=(1, 2))) for kind in DUTY_KINDS]
         names = tuple(f"g{n}" for n in range(8))
-        memory = Memory(0.0, "g1", names, DUTIES, 10.0, None, 7)
+        memory = DurableState(0.0, "g1", names, DUTIES, 10.0, None, 7)
         self.owners = Owners(0.0, 1, names, memory, random.Random(1))
         self.left = msgspec.json.encode(PlanWords(duty="restarts", term=1, version=1, word="go", plan={}))
         self.request = b"POST /v1/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
@@ -83,9 +83,9 @@
         else:
             data = self.sender.frame(self.now, 1, spoilt(self.words, self.chance)[:1000])
         try:
-            sender, body = self.receiver.words(self.now, data)
-            self.members.heard(self.now, sender, read(body))
-        except (Refusal, BadWords):
+            sender, body = self.receiver.unframe(self.now, data)
+            self.members.on_message(self.now, sender, decode(body))
+        except (DatagramRejected, InvalidMessage):
             pass
         while self.members.decide(self.now) is not None:
             pass
@@ -100,9 +100,9 @@
         self.now += 0.001
         with contextlib.suppress(BadDuty):
             data = spoilt(self.chance.choice(self.duty_words), self.chance)
-            self.owners.heard(self.now, 0, duty_read(data))
+            self.owners.on_message(self.now, 0, duty_read(data))
         while self.owners.decide(self.now) is not None:
-            self.owners.kept(self.owners.memory.record())
+            self.owners.on_stored(self.owners.durable.record())
         for kind in (Fence, PlanWords, PlanCall):
             with contextlib.suppress(msgspec.MsgspecError, UnicodeDecodeError):
                 msgspec.json.decode(spoilt(self.left, self.chance), type=kind)
@@ -143,7 +143,7 @@
             counts[name] += 100
         if not first and time.monotonic() - began > 0.2 * seconds:
             first = memory()
-    return {"inputs": counts, "grown_mb": round(memory() - first, 1), "refused": fed.receiver.refused}
+    return {"inputs": counts, "grown_mb": round(memory() - first, 1), "refused": fed.receiver.rejected}
 
 
 if __name__ == "__main__":
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -10,12 +10,12 @@
 from blake3 import blake3
 
 from ledgehitch.config import Site
-from ledgehitch.gateway.peers import Peers, Refusal
+from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.loop import Datagrams, Loop, endpoint
 from ledgehitch.loop.timers import Timer
-from ledgehitch.members.decide import Became, Members, Send
-from ledgehitch.members.words import BadWords, read, written
-from ledgehitch.owners.words import FIRST
+from ledgehitch.members.decide import Members, Send, StatusChanged
+from ledgehitch.members.words import InvalidMessage, decode, encode
+from ledgehitch.owners.words import FIRST_KIND
 from ledgehitch.quality.keep import Keep
 
 CONTEXT = "ledgehitch 2026 membership datagrams"  # so that no datagram of another kind is one of these
@@ -34,7 +34,7 @@
         self.life = max(int(held.get("life", 0)) + 1, 1)
         self.keep.write({"life": self.life})
         secrets = [blake3(key, derive_key_context=CONTEXT).digest() for key in ring]
-        self.frames = Peers(secrets, me, time.time_ns())
+        self.frames = PeerCodec(secrets, me, time.time_ns())
         now = time.monotonic()
         self.members = Members(now, me, len(self.names), self.life, random.Random(seed))
         here = site.gateways[me]
@@ -57,15 +57,15 @@
             except ConnectionAbortedError:
                 return  # it was closed while this task was about to read
             try:
-                sender, body = self.frames.words(time.time(), data)
-                if body and body[0] >= FIRST:
+                sender, body = self.frames.unframe(time.time(), data)
+                if body and body[0] >= FIRST_KIND:
                     if self.more is not None:
                         self.more(sender, body)
                     continue
-                self.members.heard(time.monotonic(), sender, read(body))
-            except Refusal:
+                self.members.on_message(time.monotonic(), sender, decode(body))
+            except DatagramRejected:
                 continue  # counted there
-            except BadWords as why:
+            except InvalidMessage as why:
                 self.bad[str(why)] = self.bad.get(str(why), 0) + 1
                 continue
             self._pull()
@@ -75,8 +75,8 @@
         while (decision := self.members.decide(now)) is not None:
             match decision:
                 case Send(to, words):
-                    self.send(to, written(words))
-                case Became(member, status):
+                    self.send(to, encode(words))
+                case StatusChanged(member, status):
                     log.info("a member", gateway=self.names[member], status=status)
         if self._timer is not None:
             self.loop.timers.cancel(self._timer)
@@ -88,7 +88,7 @@
 
     def leave(self, back_soon: bool) -> None:
         """Told to others as the process goes."""
-        self.members.leaves(time.monotonic(), not back_soon)
+        self.members.leave(time.monotonic(), not back_soon)
         self._pull()
 
     def close(self) -> None:
@@ -99,7 +99,7 @@
             self.loop.timers.cancel(self._timer)
 
     def told(self) -> dict[str, str]:
-        return {self.names[n]: status for n, status in self.members.told().items()}
+        return {self.names[n]: status for n, status in self.members.statuses().items()}
 
     def there(self, name: str) -> bool:
         """Whether a gateway may be sent viewers."""
--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -13,9 +13,9 @@
 from ledgehitch.budgets.units import own_parts
 from ledgehitch.config import Day, Site
 from ledgehitch.config.site import facts_of
-from ledgehitch.door.decide import Door
-from ledgehitch.gateway.roll import AGAIN
-from ledgehitch.gateway.watch import FIRST, LOST
+from ledgehitch.door.decide import AdmissionController
+from ledgehitch.gateway.roll import RECONNECT_DELAY_S
+from ledgehitch.gateway.watch import LOSS_TIMEOUT_S, MIN_RETRY_DELAY_S
 from ledgehitch.interface import Fleet, Ladder, Package, Row, Terms
 from ledgehitch.model.agenda import Agenda
 from ledgehitch.model.front import Front
@@ -79,7 +79,9 @@
     def open(self) -> None:
         self.away = False
         for front in self.ground.fronts.values():
-            self.ground.agenda.after(AGAIN[0] + AGAIN[1] * self.chance.random(), self._again, front)
+            self.ground.agenda.after(
+                RECONNECT_DELAY_S[0] + RECONNECT_DELAY_S[1] * self.chance.random(), self._again, front
+            )
 
     def _again(self, front: Front) -> None:
         if not self.away:
@@ -204,7 +206,7 @@
         at = self._ordinals[name]
         return ladder, packages, fleet, replace(terms, zone=self.site.gateways[at].zone, ordinal=at)
 
-    def door_of(self, name: str, seed: int) -> Door | None:
+    def door_of(self, name: str, seed: int) -> AdmissionController | None:
         """A gateway's door where the site has one; it goes on from what its last life kept."""
         d = self.site.door
         if not d.on:
@@ -212,7 +214,7 @@
         _, packages, _, terms = self.facts_of(name)
         values = {p.name: p.value for p in packages}
         targets = {p.name: p.join_target for p in packages}
-        door = Door(
+        door = AdmissionController(
             self.agenda.now,
             random.Random(f"{seed}/door"),
             values,
@@ -221,12 +223,12 @@
             terms.longest_advice,
             gateways=terms.gateways,
         )
-        door.limited(d.client_rate, d.client_burst, d.package_rates, d.set_ups)
+        door.set_limits(d.client_rate, d.client_burst, d.package_rates, d.set_ups)
         budgets = budgets_of(d.package_rates, d.set_ups, max(p.patience for p in packages))
         own = {b.name: own_parts(b, 1.0, tuple(self._ordinals))[name] / WHOLE for b in budgets}
-        door.shared(self.agenda.now, 1.0 / terms.gateways, {}, 0.0, own)
+        door.set_share(self.agenda.now, 1.0 / terms.gateways, {}, 0.0, own)
         if name in self.kept_doors:
-            door.thawed(self.agenda.now, self.kept_doors[name])
+            door.restore(self.agenda.now, self.kept_doors[name])
         return door
 
     def tune_in(
@@ -252,7 +254,9 @@
     def died(self, host: MediaHost, fronts: Sequence[Front]) -> None:
         """A host's process is gone: its gateways find out when they connect again."""
         for front in fronts:
-            self.agenda.after(FIRST * (1 + self.chance.random()), front.take, front.lost, host.name)
+            self.agenda.after(
+                MIN_RETRY_DELAY_S * (1 + self.chance.random()), front.take, front.lost, host.name
+            )
 
     # ---- the faults' stage ---------------------------------------------------------------------------------
 
@@ -324,7 +328,7 @@
         for name, host in self.hosts.items():
             if host.up and host.troubles.silent:
                 since = self._silent.setdefault(name, now)
-                if now - since >= LOST:
+                if now - since >= LOSS_TIMEOUT_S:
                     self._silent[name] = 1e18
                     for front in list(host.by_front):
                         self.send(front, front.lost, name)
@@ -350,7 +354,7 @@
         if step.do == "kill":
             self.write("gateway", gateway=step.gateway, how="killed")
             if front.door is not None:
-                self.kept_doors[step.gateway] = front.door.frozen()
+                self.kept_doors[step.gateway] = front.door.snapshot()
             self.kept[step.gateway] = list(self.lists.lines.values())
             front.die()
             self.stopped_at_gate += front.stopped_at_gate
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -10,14 +10,14 @@
 from typing import TYPE_CHECKING, Any
 
 from ledgehitch import interface as say
-from ledgehitch.door.decide import Door, Let
-from ledgehitch.door.names import name_of
+from ledgehitch.door.decide import AdmissionController, Admit
+from ledgehitch.door.names import client_name
 from ledgehitch.gate import SendForbidden, SendGuard
-from ledgehitch.gateway.carry import PATIENCE_FOR_ORDERS, PROBE_WITHIN
+from ledgehitch.gateway.carry import COMMAND_TIMEOUT_S, PROBE_TIMEOUT_S
 from ledgehitch.interface import Outcome, Package, Row
 from ledgehitch.model.media import Loads, MediaHost, Session
 from ledgehitch.model.spoilt import OpenGate
-from ledgehitch.signalling import Answer, Desk, End, Kind, Leave
+from ledgehitch.signalling import AbandonViewing, Answer, EndViewing, Kind, ViewingRegistry
 
 if TYPE_CHECKING:
     from ledgehitch.model.day import Ground
@@ -57,13 +57,13 @@
         ladder, packages, fleet, terms = ground.facts_of(name)
         now = ground.agenda.now
         self.brain = ground.module(seed, now, ladder, packages, fleet, terms)
-        self.desk = Desk(ground.secret)
+        self.desk = ViewingRegistry(ground.secret)
         self.gate = OpenGate(terms.drain_grace) if ground.gates_out else SendGuard(terms.drain_grace)
         self.packages = {p.name: p for p in packages}
         self.load_fields, self.zone = fleet.load_fields, terms.zone
         self.viewings: dict[int, Viewing] = {}
         self.answers: dict[int, Callable[..., None]] = {}  # of connections that are owed one
-        self.door: Door | None = ground.door_of(name, seed)
+        self.door: AdmissionController | None = ground.door_of(name, seed)
         self._at_door: dict[int, tuple[tuple[int, int], int, float]] = {}  # cells, highest rung, patience
         self.up, self.still = True, False
         self.stopped_at_gate = 0
@@ -128,15 +128,15 @@
         """An offer; `answered` (kind, advice, resource, session, ticket) is called at the viewer's end."""
         now, viewing_id = self.ground.agenda.now, next(self._viewing_ids)
         self.answers[conn] = answered
-        if not self.desk.offered(now, conn, key, viewing_id):
+        if not self.desk.on_offer(now, conn, key, viewing_id):
             return
         self.viewings[viewing_id] = Viewing(self.packages[package], title)
         if self.door is None:
             self._admit(now, viewing_id, cells, top, patience)
             return
         self._at_door[viewing_id] = cells, top, patience
-        name = name_of(self.ground.secret, who, "", "")
-        self.door.asked(now, viewing_id, name, package, patience, ticket)
+        name = client_name(self.ground.secret, who, "", "")
+        self.door.on_request(now, viewing_id, name, package, patience, ticket)
 
     def _admit(self, now: float, viewing_id: int, cells: tuple[int, int], top: int, patience: float) -> None:
         v = self.viewings[viewing_id]
@@ -147,10 +147,10 @@
 
     def hung_up(self, conn: int) -> None:
         if self.answers.pop(conn, None) is not None:
-            self.desk.hung_up(self.ground.agenda.now, conn)
+            self.desk.on_disconnect(self.ground.agenda.now, conn)
 
     def deleted(self, resource: str) -> None:
-        self.desk.deleted(self.ground.agenda.now, resource)
+        self.desk.on_delete(self.ground.agenda.now, resource)
 
     def told(self, notes: Sequence[tuple[int, str, int, float]]) -> None:
         """Notes of media hosts, each on one viewing: viewing, host, kind, value."""
@@ -166,7 +166,7 @@
             return
         now = self.ground.agenda.now
         self.brain.on_tune_in_end(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
-        self.desk.ended(now, viewing_id)
+        self.desk.on_viewing_end(now, viewing_id)
         self._forget(viewing_id)
 
     def lost(self, host: str) -> None:
@@ -184,16 +184,16 @@
         if at == self._wake:
             self._wake = math.inf
 
-    def _let_in(self, now: float, door: Door) -> None:
+    def _let_in(self, now: float, door: AdmissionController) -> None:
         while (decision := door.decide(now)) is not None:
             viewing_id = decision.conn
             offer = self._at_door.pop(viewing_id, None)
             if offer is None:
                 continue  # its viewer had left
-            if isinstance(decision, Let):
+            if isinstance(decision, Admit):
                 self._admit(now, viewing_id, *offer)
             else:
-                self.desk.settled(
+                self.desk.on_result(
                     now,
                     viewing_id,
                     "blocked",
@@ -204,9 +204,9 @@
                 self.viewings.pop(viewing_id, None)
 
     def _settled(self, now: float, viewing_id: int, kind: Kind, advice: float = 0.0) -> None:
-        self.desk.settled(now, viewing_id, kind, advice=advice)
+        self.desk.on_result(now, viewing_id, kind, advice=advice)
         if self.door is not None:
-            self.door.settled(now, viewing_id, kind != "plays")
+            self.door.on_result(now, viewing_id, kind != "plays")
 
     def _pump(self) -> None:
         now, g = self.ground.agenda.now, self.ground
@@ -235,15 +235,15 @@
                     g.network.send(recipient, message)
                 case say.Subscribe():
                     pass
-        again = bool(self._at_door) and self.door is not None and self.door.has_room(now)
+        again = bool(self._at_door) and self.door is not None and self.door.can_admit(now)
         while (duty := self.desk.decide(now)) is not None:
             match duty:
                 case Answer(conn, viewing_id):
                     self._answer(now, conn, viewing_id)
-                case Leave(viewing_id):
+                case AbandonViewing(viewing_id):
                     self._left(now, viewing_id)
                     again = True
-                case End(viewing_id):
+                case EndViewing(viewing_id):
                     self._end(now, viewing_id)
                     again = True
         if again:
@@ -259,7 +259,7 @@
         answered, entry = self.answers.pop(conn, None), self.desk.entries.get(viewing_id)
         if answered is None:
             return
-        settled = entry.settled if entry is not None else None
+        settled = entry.result if entry is not None else None
         v = self.viewings.get(viewing_id)
         if entry is None or settled is None:
             answered_with: tuple[Any, ...] = ("aborted", 0.0, "", None, "")
@@ -267,7 +267,7 @@
             session = v.session if v is not None else None
             advice = float(math.ceil(settled.advice))
             answered_with = (settled.kind, advice, entry.resource, session, settled.ticket)
-        self.desk.delivered(now, conn)
+        self.desk.on_answer_sent(now, conn)
         self.ground.agenda.after(self.ground.hop, answered, *answered_with)
 
     def _forget(self, viewing_id: int) -> None:
@@ -279,7 +279,7 @@
         if v is None:
             return
         if self.door is not None:
-            self.door.gone(now, viewing_id)
+            self.door.on_disconnect(now, viewing_id)
             if self._at_door.pop(viewing_id, None) is not None:
                 self.viewings.pop(viewing_id, None)
                 return
@@ -336,7 +336,7 @@
         v.out = -1
         self.gate.on_tune_in_outcome(viewing_id, code)
         if code == Outcome.TIMEOUT and self.door is not None:
-            self.door.given_up(now)
+            self.door.on_tune_in_timeout(now)
         if code == Outcome.OK and session is not None:
             v.session, v.in_force = session, v.rung
             self.brain.on_tune_in_success(now, viewing_id, v.host, number, now - sent)
@@ -381,7 +381,7 @@
         else:
             silent = host.up and (host.troubles.hangs or host.troubles.silent)
             g.agenda.after(
-                PATIENCE_FOR_ORDERS if silent else g.hop,
+                COMMAND_TIMEOUT_S if silent else g.hop,
                 self.take,
                 self._rung_told,
                 viewing_id,
@@ -408,7 +408,7 @@
         if host is None or not host.up:
             g.send(self, self._probed, name, Outcome.CONNECT_FAILED, sent, {})
         elif host.troubles.silent:
-            g.agenda.at(sent + PROBE_WITHIN, self.take, self._probed, name, Outcome.TIMEOUT, sent, {})
+            g.agenda.at(sent + PROBE_TIMEOUT_S, self.take, self._probed, name, Outcome.TIMEOUT, sent, {})
         else:
             g.send(self, self._probed, name, Outcome.OK, sent, host.report())
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 import pytest
 
 from ledgehitch import hostline, rtsp
-from ledgehitch.facts import Reach, facts_from
+from ledgehitch.facts import ConnectionSettings, read_settings
 from ledgehitch.http.events import event
 from ledgehitch.loop import Listener, Loop, Stream, TimedOut, endpoint
 from ledgehitch.platform.__main__ import RunningGateway, load_configuration
@@ -443,7 +443,7 @@
         self.sock.setblocking(False)
         listener = Listener.__new__(Listener)
         listener.loop, listener.sock, listener.fd = harness.loop, self.sock, self.sock.fileno()
-        listener.refused_for_descriptors, listener.since = 0, harness.loop.seen_from
+        listener.refused_for_descriptors, listener.earliest_arrival = 0, harness.loop.earliest_arrival
         host.listener = listener
         harness.loop.spawn(host._serve, name=host.name)
 
@@ -553,8 +553,10 @@
 
     def play(loop: Loop) -> None:
         controller, fields = StubHostEvents(3.0), {"class": "clip", "left": "3000"}
-        hosts = HostConnections(loop, Reach(1.0, 30.0, 1000), FailureDetector(0.0), 8, 1 << 20, ())
-        hosts.controller, hosts.owner = controller, loop.first
+        hosts = HostConnections(
+            loop, ConnectionSettings(1.0, 30.0, 1000), FailureDetector(0.0), 8, 1 << 20, ()
+        )
+        hosts.controller, hosts.owner = controller, loop.main_task
         listener = Listener(loop, endpoint("127.0.0.1:0"))
         hosts.on_host_listed("h", str(listener.at), False)
         connection = hosts.set_up(session_id(1), "h", dict(fields), "x" * 12000)
@@ -686,7 +688,7 @@
     """Regression: after a stall the sweep, or the eviction for a new connection, ran before the reading."""
 
     def play(loop: Loop) -> None:
-        ladder, packages, fleet, _ = facts_from(SETTINGS)
+        ladder, packages, fleet, _ = read_settings(SETTINGS)
         events, lifecycle = StubViewerEvents(), Lifecycle(3.0)
         lifecycle.on_serving()
         limits = limits_for(32.0, 24)
@@ -725,7 +727,7 @@
     """Clients that sent one request and stay hold all connections: these are closed, not the newest ones."""
 
     def play(loop: Loop) -> None:
-        ladder, packages, fleet, _ = facts_from(SETTINGS)
+        ladder, packages, fleet, _ = read_settings(SETTINGS)
         events, lifecycle = StubViewerEvents(), Lifecycle(3.0)
         lifecycle.on_serving()
         limits = limits_for(32.0, 64)
@@ -765,7 +767,7 @@
     """Regression: its task ran later in the turn, and requests that the kernel had accepted were lost."""
 
     def play(loop: Loop) -> None:
-        ladder, packages, fleet, _ = facts_from(SETTINGS)
+        ladder, packages, fleet, _ = read_settings(SETTINGS)
         events, lifecycle = StubViewerEvents(), Lifecycle(3.0)
         lifecycle.on_serving()
         server = ViewerServer(
@@ -1021,7 +1023,7 @@
             try:
                 old.send(b":\n\n")
                 loop.sleep(0.05)
-                open_feeds += not old.ended()
+                open_feeds += not old.peer_closed()
             except OSError:
                 continue
         assert open_feeds == 1, "a call to a former address is still open"
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -18,7 +18,7 @@
     rule_parameters,
 )
 from ledgehitch.proof.tape import Line, Tape, read_tapes
-from ledgehitch.signalling import Answer, Desk
+from ledgehitch.signalling import Answer, ViewingRegistry
 from tests.rig import Host, Rig
 
 F = RuleParameters(
@@ -297,14 +297,14 @@
 
 
 def test_without_the_desk_s_answers_rule_1_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    real = Desk.decide
+    real = ViewingRegistry.decide
 
-    def mute(desk: Desk, now: float) -> Any:
+    def mute(desk: ViewingRegistry, now: float) -> Any:
         decision = real(desk, now)
         return real(desk, now) if isinstance(decision, Answer) else decision
 
-    monkeypatch.setattr(Desk, "decide", mute)
-    monkeypatch.setattr("ledgehitch.gateway.front.LAST", 30.0)
+    monkeypatch.setattr(ViewingRegistry, "decide", mute)
+    monkeypatch.setattr("ledgehitch.gateway.front.ANSWER_GRACE_S", 30.0)
     taped = Taped(tmp_path)
     rig = Rig(
         {"*": taped.host(Host.plays)}, packages=[{"name": "recorded", "join_target": 0.1, "patience": 0.3}]
@@ -400,7 +400,7 @@
 def test_without_floors_and_seats_rule_5_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     taped = Taped(tmp_path)
     monkeypatch.setattr(Gateway, "_has_seat_and_budget", lambda *args: True)
-    monkeypatch.setattr(Gateway, "_fitting", lambda *args: 0)
+    monkeypatch.setattr(Gateway, "_highest_fitting_rung", lambda *args: 0)
     package = {"name": "recorded", "join_target": 0.8, "patience": 3, "floor": 1, "seats": 2}
     rig = Rig({"*": taped.host(Host.plays)}, packages=[package])
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -20,16 +20,16 @@
 from ledgehitch.fleet.owned import Said, cannot_vote, owned
 from ledgehitch.fleet.shared import Lends, Mine, Told, divided
 from ledgehitch.owners.decide import Owners
-from ledgehitch.owners.facts import BUDGETS, DUTIES, Lists, rank
-from ledgehitch.owners.memory import Memory
-from ledgehitch.owners.words import Words, written
-from ledgehitch.owners.words import read as read_words
+from ledgehitch.owners.facts import BUDGETS, DUTIES, MemberLists, rank_members
+from ledgehitch.owners.memory import DurableState
+from ledgehitch.owners.words import DutyMessage, encode
+from ledgehitch.owners.words import decode as read_words
 from ledgehitch.proof.budgeted import FleetLimits, check_budgets
 from ledgehitch.proof.owned import check_owners
 from ledgehitch.proof.tape import Line
 from ledgehitch.regions import facts, shares
-from ledgehitch.regions.facts import OF_A_REGION, WHOLE, Region, digest_of, region_of, regions_of
-from ledgehitch.regions.shares import Shares
+from ledgehitch.regions.facts import REGIONAL_DUTIES, WHOLE, Region, region_of, regions_digest, regions_of
+from ledgehitch.regions.shares import RegionShares
 from tests.explore_regions import CORNERS, PLANTED, explored, walked
 from tests.rig import site as one_gateway
 from tests.test_config import GOOD, messages
@@ -64,26 +64,26 @@
 RAISED = (NORTH._replace(share=WHOLE * 3 // 4), SOUTH._replace(share=WHOLE // 4))
 
 
-def begun(mine: str, regions: tuple[Region, ...], held: Any) -> Shares:
-    found = shares.begun(mine, regions, [g for r in EVEN for g in r.gateways], held, False)
+def begun(mine: str, regions: tuple[Region, ...], held: Any) -> RegionShares:
+    found = shares.initial_shares(mine, regions, [g for r in EVEN for g in r.gateways], held, False)
     assert found is not None
     return found
 
 
 def test_a_share_rises_when_no_majority_of_any_region_can_go_by_the_former_version() -> None:
-    held = Shares("north", EVEN, EVEN, True).record()
+    held = RegionShares("north", EVEN, EVEN, True).record()
     one = begun("north", RAISED, held)
-    assert (one.in_force(), one.stated()) == (WHOLE // 2, WHOLE * 3 // 4)
+    assert (one.in_force(), one.stated_share()) == (WHOLE // 2, WHOLE * 3 // 4)
     on_new = {"g0", "g2", "g4", "g1"}
-    one.runs(T, on_new, set(), 20.0)
-    assert one.free_at > T + 1e9, "two of three of the south may go by the former one"
-    one.runs(T, on_new | {"g3"}, set(), 20.0)
+    one.on_versions(T, on_new, set(), 20.0)
+    assert one.settles_at > T + 1e9, "two of three of the south may go by the former one"
+    one.on_versions(T, on_new | {"g3"}, set(), 20.0)
     assert not one.settle(T + 19.9) and one.in_force() == WHOLE // 2
     again = begun("north", RAISED, msgspec.json.decode(msgspec.json.encode(one.record())))
-    assert again.in_force() == WHOLE // 2 and again.free_at > T + 1e9, "a restart waits anew"
+    assert again.in_force() == WHOLE // 2 and again.settles_at > T + 1e9, "a restart waits anew"
     assert one.settle(T + 20.0) and one.in_force() == WHOLE * 3 // 4
     assert begun("north", RAISED, one.record()).in_force() == WHOLE * 3 // 4
-    lower = begun("south", RAISED, Shares("south", EVEN, EVEN, True).record())
+    lower = begun("south", RAISED, RegionShares("south", EVEN, EVEN, True).record())
     assert lower.in_force() == WHOLE // 4, "a lower one counts at once"
 
 
@@ -91,10 +91,12 @@
 def test_own_parts_by_a_former_larger_share_and_what_is_lent_stay_within_the_share(
     before: int, now: int, own_part: float
 ) -> None:
-    changed = Shares("north", (Region("north", now, ("a", "b")),), (Region("north", before, ("a", "b")),))
+    changed = RegionShares(
+        "north", (Region("north", now, ("a", "b")),), (Region("north", before, ("a", "b")),)
+    )
     mine = changed.in_force()
-    assert changed.to_lend(own_part, False) == mine == min(before, now)
-    to_lend = changed.to_lend(own_part, True)
+    assert changed.lendable(own_part, False) == mine == min(before, now)
+    to_lend = changed.lendable(own_part, True)
     assert 0 <= to_lend <= mine
     own = own_part * max(before, mine)  # at most, of gateways that go by either version
     assert to_lend == 0 or own + (1.0 - own_part) * to_lend <= mine + 1e-3
@@ -104,32 +106,34 @@
 
 def test_who_remembers_no_version_and_who_changes_to_a_third_has_the_least() -> None:
     lost = begun("north", EVEN, None)
-    assert lost.in_force() == 0 and lost.stated() == WHOLE // 2
-    lost.runs(T, {"g0", "g2", "g1", "g3"}, set(), 5.0)
+    assert lost.in_force() == 0 and lost.stated_share() == WHOLE // 2
+    lost.on_versions(T, {"g0", "g2", "g1", "g3"}, set(), 5.0)
     assert lost.settle(T + 5) and lost.in_force() == WHOLE // 2
-    second = begun("south", RAISED, Shares("south", EVEN, EVEN, True).record())
+    second = begun("south", RAISED, RegionShares("south", EVEN, EVEN, True).record())
     third = (NORTH._replace(share=WHOLE // 10), SOUTH._replace(share=WHOLE * 9 // 10))
     assert begun("south", third, second.record()).in_force() == WHOLE // 4
     assert begun("north", third, begun("north", RAISED, None).record()).in_force() == 0
     # Back to no regions: all of it waits for both.
-    none = shares.begun("", (), ["g0", "g1"], Shares("north", EVEN, EVEN, True).record(), False)
-    assert none is not None and none.in_force() == 0 and none.stated() == WHOLE
-    assert shares.begun("", (), ["g0"], None, False) is None
+    none = shares.initial_shares(
+        "", (), ["g0", "g1"], RegionShares("north", EVEN, EVEN, True).record(), False
+    )
+    assert none is not None and none.in_force() == 0 and none.stated_share() == WHOLE
+    assert shares.initial_shares("", (), ["g0"], None, False) is None
 
 
 def test_a_region_that_is_declared_gone_is_not_waited_for() -> None:
     alone = (NORTH._replace(share=WHOLE),)
-    one = begun("north", alone, Shares("north", EVEN, EVEN, True).record())
+    one = begun("north", alone, RegionShares("north", EVEN, EVEN, True).record())
     assert one.in_force() == WHOLE // 2
-    one.runs(T, {"g0", "g2"}, set(), 5.0)
+    one.on_versions(T, {"g0", "g2"}, set(), 5.0)
     assert not one.settle(T + 9)
-    one.runs(T, {"g0", "g2"}, set(SOUTH.gateways), 5.0)
+    one.on_versions(T, {"g0", "g2"}, set(SOUTH.gateways), 5.0)
     assert one.settle(T + 14) and one.in_force() == WHOLE
 
 
 def test_a_whole_is_the_same_for_regions_and_budgets_and_duties_have_their_scopes() -> None:
     assert WHOLE == OF_BUDGETS
-    assert [d for d in DUTIES if d in OF_A_REGION] == [BUDGETS]
+    assert [d for d in DUTIES if d in REGIONAL_DUTIES] == [BUDGETS]
 
 
 # ---- what a site states ------------------------------------------------------------------------------------
@@ -150,8 +154,8 @@
         chance = random.Random(seed)
         cuts = sorted(chance.random() for _ in gateways)
         said = [Fraction(str(b)) - Fraction(str(a)) for a, b in zip([0.0, *cuts], cuts, strict=False)]
-    parts = facts.divided(said, gateways)
-    assert 0 <= sum(parts) <= WHOLE and parts == facts.divided(said, gateways)
+    parts = facts.divide_whole(said, gateways)
+    assert 0 <= sum(parts) <= WHOLE and parts == facts.divide_whole(said, gateways)
     if not stating:
         assert sum(parts) == WHOLE
         assert all(abs(p - WHOLE * n / sum(gateways)) <= 1 for p, n in zip(parts, gateways, strict=True))
@@ -159,7 +163,7 @@
 
 def test_regions_are_read_off_a_site_and_what_is_gone_goes_to_the_others() -> None:
     north, south = RegionRecord(name="north", zones=["z0"]), RegionRecord(name="south", zones=["z1"])
-    assert regions_of(two_regions()) == () and digest_of(()) == ""
+    assert regions_of(two_regions()) == () and regions_digest(()) == ""
     site = two_regions(north, south)
     check(site, "site")
     assert regions_of(site) == (NORTH, SOUTH)
@@ -238,7 +242,7 @@
 def test_a_site_without_regions_has_the_digest_the_file_and_the_words_that_it_had() -> None:
     names = ("g0", "g1", "g2")
     before = blake3(b"g0\ng1\ng2\n10.000\n0.100000").digest(4)
-    m = Memory(T, "g0", names, DUTIES, 10.0, None, 1, own_part=0.1)
+    m = DurableState(T, "g0", names, DUTIES, 10.0, None, 1, own_part=0.1)
     assert m.lists.digests() == (before, b"\0" * 4)
     assert sorted(m.record()) == [
         "current",
@@ -257,9 +261,9 @@
     one = Owners(T, 0, names, m, random.Random(1))
     assert one.members == [0, 1, 2] and [d.number for d in one.duties.values()] == [0, 1, 2]
     sent = [d for _ in range(9) if (d := one.decide(T)) is not None]
-    words = [w for d in sent for w in getattr(d, "then", ())]
-    assert words and {w.words.duty for w in words} == {0} and {len(w.words.terms) for w in words} == {3}
-    assert rank(BUDGETS, names) == rank(BUDGETS, names, [0, 1, 2])
+    sends = [send for d in sent for send in getattr(d, "messages", ())]
+    assert sends and {s.message.duty for s in sends} == {0} and {len(s.message.terms) for s in sends} == {3}
+    assert rank_members(BUDGETS, names) == rank_members(BUDGETS, names, [0, 1, 2])
 
 
 class TwoRegions(Crowd):
@@ -269,7 +273,7 @@
         if self.all.get(n) is not None:
             return
         mine = [m for m in range(self.n) if m % 2 == n % 2]
-        memory = Memory(
+        memory = DurableState(
             self.clock(n),
             self.names[n],
             tuple(self.names[m] for m in mine),
@@ -292,12 +296,12 @@
     some = TwoRegions(6, duties=(BUDGETS,))
     some.until(lambda: bool(some.owner(0) and some.owner(1)), 60.0)
     some.run(5.0)
-    terms = [o and o.memory.voters[BUDGETS].term for o in some.all.values()]
+    terms = [o and o.durable.voters[BUDGETS].term for o in some.all.values()]
     before = some.owner(0), some.owner(1)
     some.part([0, 2, 4])
     some.run(60.0)
     assert (some.owner(0), some.owner(1)) == before and some.most_owners == 2
-    assert terms == [o and o.memory.voters[BUDGETS].term for o in some.all.values()]
+    assert terms == [o and o.durable.voters[BUDGETS].term for o in some.all.values()]
     some.stop(before[0][0])
     at = some.now
     some.until(lambda: some.owner(0) not in ([], before[0]), 60.0)
@@ -314,60 +318,68 @@
 
 def test_words_of_another_region_an_unknown_duty_and_another_version_are_refused_and_counted() -> None:
     names, north = tuple(f"g{n}" for n in range(6)), (0, 2, 4)
-    memory = Memory(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN), scope="north"
+    memory = DurableState(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=regions_digest(EVEN), scope="north"
     )
-    memory.confirmed, memory.votes_from = True, T
+    memory.confirmed, memory.may_vote_from = True, T
     one = Owners(T, 0, names, memory, random.Random(1), north, [2])
     pulled(one, T)
     before = memory.record()
-    good = Words("ask", 2, 9, 1, one.shorts[2], *memory.lists.digests())
-    other = Lists(NORTH.gateways, (), 10.0, 10.0, regions=digest_of(RAISED)).digests()
+    good = DutyMessage("ask", 2, 9, 1, one.name_digests[2], *memory.lists.digests())
+    other = MemberLists(NORTH.gateways, (), 10.0, 10.0, regions=regions_digest(RAISED)).digests()
     for sender, words in (
-        (1, good._replace(who=one.shorts[1])),
+        (1, good._replace(who=one.name_digests[1])),
         (2, good._replace(duty=1)),
         (2, good._replace(list=other[0])),
         (2, good._replace(term=1 << 63)),
     ):
-        one.heard(T, sender, read_words(written(words)))
+        one.on_message(T, sender, read_words(encode(words)))
     assert sorted(one.counts.items()) == [
-        ("a duty that nobody knows", 1),
-        ("a term out of reach", 1),
-        ("asked by one of another version of the site", 1),
-        ("of a gateway of another region", 1),
+        ("message about an unknown duty", 1),
+        ("request under another version of the site", 1),
+        ("sender in another region", 1),
+        ("term out of range", 1),
     ]
     assert memory.record() == before
-    one.heard(T, 2, good)
+    one.on_message(T, 2, good)
     assert memory.voters[BUDGETS].member == "g2"
 
 
 def test_a_file_of_another_region_counts_as_lost_and_regions_are_versions_of_the_list() -> None:
-    first = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=digest_of(EVEN), scope="north")
+    first = DurableState(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=regions_digest(EVEN), scope="north"
+    )
     held = first.record()
-    assert Memory(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN), scope="north"
+    assert DurableState(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=regions_digest(EVEN), scope="north"
     ).intact
-    assert not Memory(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(EVEN), scope="south"
+    assert not DurableState(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=regions_digest(EVEN), scope="south"
     ).intact
-    m = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=digest_of(RAISED), scope="north")
+    m = DurableState(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=regions_digest(RAISED), scope="north"
+    )
     assert m.lists.former == NORTH.gateways and first.lists.digests()[0] == m.lists.digests()[1]
-    third = Memory(T, "g0", NORTH.gateways, (BUDGETS,), 10.0, m.record(), 3, regions="third", scope="north")
+    third = DurableState(
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, m.record(), 3, regions="third", scope="north"
+    )
     assert third.lists == m.lists, "a third version waits"
-    m.runs(T, "g2", m.lists.digests()[0])
-    m.behind = True
+    m.on_member_list(T, "g2", m.lists.digests()[0])
+    m.region_unsettled = True
     assert not m.settle(T + 11)
-    m.behind = False
+    m.region_unsettled = False
     assert m.settle(T + 11) and not m.lists.former
 
 
 def test_a_duty_that_goes_to_regions_and_comes_back_goes_on_above_its_terms() -> None:
     names = tuple(f"g{n}" for n in range(6))
-    whole = Memory(T, "g0", names, DUTIES, 10.0, None, 1)
-    assert whole.voters[BUDGETS].asked(T, 7, "g3")
-    apart = Memory(T, "g0", names, DUTIES[:2], 10.0, whole.record(), 2, regions=digest_of(EVEN))
+    whole = DurableState(T, "g0", names, DUTIES, 10.0, None, 1)
+    assert whole.voters[BUDGETS].on_vote_request(T, 7, "g3")
+    apart = DurableState(T, "g0", names, DUTIES[:2], 10.0, whole.record(), 2, regions=regions_digest(EVEN))
     assert sorted(apart.voters) == sorted(DUTIES[:2]) and len(apart.terms()) == 2
-    back = Memory(T, "g0", names, DUTIES, 10.0, msgspec.json.decode(msgspec.json.encode(apart.record())), 3)
+    back = DurableState(
+        T, "g0", names, DUTIES, 10.0, msgspec.json.decode(msgspec.json.encode(apart.record())), 3
+    )
     assert back.voters[BUDGETS].term == 7 and back.record()["votes"].keys() == set(DUTIES)
 
 
