--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -45,20 +45,25 @@
     def __init__(self, loop: Loop, configuration: Configuration, path: str) -> None:
         now = time.monotonic()
         self.loop, self.path = loop, path
-        facts = read_settings(configuration.settings)
-        ladder, packages, fleet, terms = facts
+        settings = read_settings(configuration.settings)
+        ladder, packages, fleet, terms = settings
         # The machine may allow fewer descriptors than the configuration says.
         allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         sockets = configuration.sockets if allowed < 0 else min(configuration.sockets, allowed)
-        reach, limits = (
+        connection_settings, limits = (
             read_connection_settings(configuration.settings),
             limits_for(configuration.memory_mb, sockets),
         )
-        gateway = Gateway(configuration.seed, now, *facts)
+        gateway = Gateway(configuration.seed, now, *settings)
         self.lifecycle = Lifecycle(max((package.patience for package in packages), default=0.0))
         detector, sessions = FailureDetector(fleet.told_every), SessionTable()
         hosts = HostConnections(
-            loop, reach, detector, limits.host_connections, limits.send_buffer_bytes, fleet.load_fields
+            loop,
+            connection_settings,
+            detector,
+            limits.host_connections,
+            limits.send_buffer_bytes,
+            fleet.load_fields,
         )
         self.peers: PeerChannel | None = None
         self.controller = Controller(
@@ -185,7 +190,7 @@
             if self.lifecycle.final_responses_due(now) and not expired:
                 expired = True
                 controller.expire_waiting(now)
-            unsent = controller.viewers.unsent + controller.hosts.unsent
+            unsent = controller.viewers.unsent_bytes + controller.hosts.unsent_bytes
             if self.lifecycle.may_exit(
                 now, pending, len(controller.sessions.by_viewing_id) - pending, unsent
             ):
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -140,9 +140,9 @@
                 viewing.rung = rung
                 if viewing.plays:
                     self.hosts.set_rung(viewing.host, viewing.session_id, viewing.connection, rung)
-            case interface.Block(viewing_id, stay_away):
+            case interface.Block(viewing_id, retry_after):
                 self._remove(viewing_id)
-                self.sessions.on_blocked(viewing_id, stay_away)
+                self.sessions.on_blocked(viewing_id, retry_after)
             case interface.Abort(viewing_id):
                 self._remove(viewing_id)
                 self.sessions.on_aborted(viewing_id)
--- a/ledgehitch/platform/desk.py
+++ b/ledgehitch/platform/desk.py
@@ -17,7 +17,7 @@
 class Response:
     """The one response to a set-up.
 
-    `kind` is "plays" with a description, "blocked" with advice (seconds, 0 for none) or "aborted".
+    `kind` is "plays" with a description, "blocked" with `retry_after` (seconds, 0 for none) or "aborted".
     """
 
     conn: int
@@ -25,7 +25,7 @@
     cseq: str
     kind: str
     description: str = ""
-    advice: float = 0.0
+    retry_after: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,18 +114,18 @@
         self._due.append(Response(session.conn, session.session_id, session.cseq, "plays", description))
         return True
 
-    def on_blocked(self, viewing_id: int, advice: float = 0.0) -> None:
-        self._refuse(viewing_id, "blocked", advice)
+    def on_blocked(self, viewing_id: int, retry_after: float = 0.0) -> None:
+        self._refuse(viewing_id, "blocked", retry_after)
 
     def on_aborted(self, viewing_id: int) -> None:
         self._refuse(viewing_id, "aborted", 0.0)
 
-    def _refuse(self, viewing_id: int, kind: str, advice: float) -> None:
+    def _refuse(self, viewing_id: int, kind: str, retry_after: float) -> None:
         session = self.by_viewing_id.get(viewing_id)
         if session is None or session.plays:
             return
         self._remove(session)
-        self._due.append(Response(session.conn, session.session_id, session.cseq, kind, "", advice))
+        self._due.append(Response(session.conn, session.session_id, session.cseq, kind, "", retry_after))
 
     def on_ended(self, viewing_id: int, cause: int, notify: bool = True) -> None:
         """A viewing that played has ended; `notify` is false where its viewer ended it."""
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -326,10 +326,10 @@
         conn = self.connections.get(response.conn)
         if conn is None or conn.stream.peer_closed():
             return False
-        advice = [("Retry-After", f"{response.advice:.3f}")] if response.advice > 0 else []
+        retry_after = [("Retry-After", f"{response.retry_after:.3f}")] if response.retry_after > 0 else []
         body = response.description.encode()
         return conn.writer.write(
-            rtsp.response(STATUS[response.kind], response.cseq, response.session_id, advice, body)
+            rtsp.response(STATUS[response.kind], response.cseq, response.session_id, retry_after, body)
         )
 
     def has_left(self, number: int, session_id: str) -> bool:
@@ -343,9 +343,9 @@
         return ahead == b"" or ahead is not None and b"TEARDOWN" in ahead and session_id.encode() in ahead
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Number of bytes that are buffered until viewers read."""
-        return sum(conn.writer.unsent for conn in self.connections.values())
+        return sum(conn.writer.unsent_bytes for conn in self.connections.values())
 
     def send_release(self, release: Release) -> bool:
         """Returns whether it was sent or buffered; False where the connection has ended, read or not."""
--- a/ledgehitch/platform/hosts.py
+++ b/ledgehitch/platform/hosts.py
@@ -93,7 +93,7 @@
             self.writer.write(data)
 
     @property
-    def unsent(self) -> list[str]:
+    def unsent_setups(self) -> list[str]:
         """The set-ups that have not been sent."""
         return [item[0] for item in self.queue if not isinstance(item, bytes)]
 
@@ -113,13 +113,13 @@
     def __init__(
         self,
         loop: Loop,
-        reach: ConnectionSettings,
+        settings: ConnectionSettings,
         detector: FailureDetector,
         max_connections: int,
         max_buffered: int,
         load_fields: tuple[str, ...],
     ) -> None:
-        self.loop, self.reach, self.detector = loop, reach, detector
+        self.loop, self.settings, self.detector = loop, settings, detector
         self.max_connections, self.max_buffered, self.load_fields = max_connections, max_buffered, load_fields
         self.addresses: dict[str, str] = {}
         self.started_at: dict[str, float] = {}  # when each process began, by the latest list
@@ -135,10 +135,10 @@
         return sum(map(len, self.connections.values()))
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Number of bytes that are buffered until media hosts read."""
         return sum(
-            connection.writer.unsent
+            connection.writer.unsent_bytes
             for connections in self.connections.values()
             for connection in connections
             if connection.writer is not None
@@ -156,7 +156,7 @@
             return None
         connection.pending[tag] = None
         connection.last_used_at = self.loop.now
-        if connection.writer is None or connection.writer.unsent or connection.queue:
+        if connection.writer is None or connection.writer.unsent_bytes or connection.queue:
             connection.queue.append((tag, fields, description))
         else:
             connection.writer.write(hostline.encode("START", tag, fields, None, description))
@@ -167,7 +167,7 @@
         while (
             connection.queue
             and connection.writer is not None
-            and not connection.writer.unsent
+            and not connection.writer.unsent_bytes
             and not connection.closed
         ):
             item = connection.queue.pop(0)
@@ -185,7 +185,7 @@
 
     def cancel(self, connection: HostConnection, tag: str, timed_out: bool) -> bool:
         """Cancels a set-up that has no outcome; returns whether it had been sent."""
-        unsent = tag in connection.unsent
+        unsent = tag in connection.unsent_setups
         if unsent:
             connection.queue = [
                 item for item in connection.queue if isinstance(item, bytes) or item[0] != tag
@@ -206,7 +206,7 @@
     def probe(self, host: str) -> bool:
         """Sends a probe; returns False where no connection is available."""
         connection = self._choose(host)
-        if connection is None or len(connection.probes) >= self.reach.max_streams:
+        if connection is None or len(connection.probes) >= self.settings.max_streams:
             return False
         self._probes += 1
         tag = f"{self._probes:016x}"
@@ -260,7 +260,7 @@
             each for each in self.connections.get(host, ()) if not each.closed and each.address == address
         ]
         while (
-            connection := choose(usable, self.reach.max_streams, now, self.reach.idle_timeout_s, tag)
+            connection := choose(usable, self.settings.max_streams, now, self.settings.idle_timeout_s, tag)
         ) is not None:
             # The media host may have closed the connection, which is not read yet: no set-up may go there.
             if connection.pending or connection.writer is None or not connection.writer.stream.peer_closed():
@@ -293,7 +293,7 @@
 
     def _run(self, connection: HostConnection, address: str) -> None:
         try:
-            with self.loop.deadline(self.reach.connect_timeout_s):
+            with self.loop.deadline(self.settings.connect_timeout_s):
                 stream = connect(self.loop, endpoint(address))
         except (OSError, TimedOut) as error:
             log(
@@ -394,7 +394,7 @@
         if not connections:
             del self.connections[connection.host]
         now = self.loop.now
-        unsent = connection.unsent
+        unsent = connection.unsent_setups
         for tag in list(connection.pending):
             self.controller.on_connection_lost(
                 now, tag, connection.host, Outcome.CONNECT_FAILED if tag in unsent else outcome
@@ -412,6 +412,6 @@
             state = self.detector.hosts.get(host)
             needed = 1 if state is not None and state.viewings else 0
             for connection in expired(
-                now, [each for each in connections if not each.closed], needed, self.reach.idle_timeout_s
+                now, [each for each in connections if not each.closed], needed, self.settings.idle_timeout_s
             ):
                 self.close(connection)
--- a/ledgehitch/platform/life.py
+++ b/ledgehitch/platform/life.py
@@ -43,10 +43,10 @@
             self.longest_patience, self._exit_after - EXIT_MARGIN_S
         )
 
-    def may_exit(self, now: float, pending: int, playing: int, unsent: int) -> bool:
+    def may_exit(self, now: float, pending: int, playing: int, unsent_bytes: int) -> bool:
         """Whether the process may exit.
 
-        It may when every set-up has its response, none can arrive any more and no byte is `unsent`. Viewings
+        It may when every set-up has its response, none can arrive any more and no byte is unsent. Viewings
         that play keep it alive until shortly before SIGKILL.
         """
         if self.terminated_at is None:
@@ -54,4 +54,4 @@
         elapsed = now - self.terminated_at
         if elapsed > self._exit_after:
             return True
-        return elapsed > LATE_SETUPS_S and not pending and not playing and not unsent
+        return elapsed > LATE_SETUPS_S and not pending and not playing and not unsent_bytes
--- a/ledgehitch/platform/pipe.py
+++ b/ledgehitch/platform/pipe.py
@@ -25,7 +25,7 @@
         self._watching = self.broken = False
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Number of buffered bytes."""
         return len(self._buffer)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -335,7 +335,7 @@
             viewer.set_up(1)
             harness.until(lambda: controller.hosts.connections.get("s-0"))
             (connection,) = controller.hosts.connections["s-0"]
-            assert connection.unsent == [session_id(1)]
+            assert connection.unsent_setups == [session_id(1)]
             left = controller.confirm_delayed_send(time.monotonic(), session_id(1), connection)
             assert left is not None and 0 < left <= 3.0
             depart(viewer, 1)
@@ -565,7 +565,7 @@
         while connection.writer is None:
             loop.sleep(0.01)
         n, controller.time_left = 1, left
-        while not connection.unsent:  # until one is queued
+        while not connection.unsent_setups:  # until one is queued
             n += 1
             assert hosts.set_up(session_id(n), "h", dict(fields), "x" * 12000) is connection and n < 2000
         confirmed = controller.confirmed[:]
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -462,7 +462,7 @@
     assert connection is not None
     stream = listener.accept()
     assert stream.receive()
-    assert not connection.unsent and hosts.cancel(connection, session_id(1), False)
+    assert not connection.unsent_setups and hosts.cancel(connection, session_id(1), False)
     hosts.close(connection)
     other = hosts.set_up(session_id(2), "h", dict(fields), BLOB)
     assert other is not None and other is not connection
