--- a/ledgehitch/gateway/beside.py
+++ b/ledgehitch/gateway/beside.py
@@ -1,4 +1,4 @@
-"""`ledgehitch reports`: takes a gateway's players' reports in a process of its own beside it."""
+"""`ledgehitch reports`: takes the reports of a gateway's players in a process of its own."""
 
 import json
 import signal
@@ -17,59 +17,61 @@
 
 
 def run_report_server(site_file: Path, name: str | None, state_dir: Path) -> int:
-    """Runs until SIGTERM or SIGINT; SIGHUP reads the site anew, for what racks are called."""
+    """Runs until SIGTERM or SIGINT and returns the exit code. SIGHUP reads the names of racks again."""
     site = read_site(site_file)
-    here = next((g for g in site.gateways if name in (None, g.name)), None)
-    if here is None:
+    gateway = next((g for g in site.gateways if name in (None, g.name)), None)
+    if gateway is None:
         raise BadInput(f"{site_file}: no gateway {name!r}")
-    if not here.reports_at:
-        raise BadInput(f"{site_file}: gateway {here.name} has no reports_at, it takes reports itself")
+    if not gateway.reports_at:
+        raise BadInput(f"{site_file}: gateway {gateway.name} has no reports_at, so it takes reports itself")
     loop = Loop()
 
     def main() -> int:
         nonlocal site
-        over = Event(loop)
+        stop_event = Event(loop)
 
-        def on(number: int) -> None:
+        def on_signal(number: int) -> None:
             nonlocal site
             if number != signal.SIGHUP:
-                over.set(number)
+                stop_event.set(number)
                 return
             try:
                 site = read_site(site_file)
-            except BadInput as wrong:
-                log.error("the site does not read, the names of before stay", why=str(wrong))
+            except BadInput as error:
+                log.error("cannot read the site file, keeping the former rack names", why=str(error))
 
-        restore = loop.on_signals([signal.SIGTERM, signal.SIGINT, signal.SIGHUP], on)
-        others = {g.name: g.reports_at or g.at for g in site.gateways if g.name != here.name}
+        restore = loop.on_signals([signal.SIGTERM, signal.SIGINT, signal.SIGHUP], on_signal)
+        others = {g.name: g.reports_at or g.at for g in site.gateways if g.name != gateway.name}
         reports = ReportService(
-            loop, here.name, others, state_dir, KeyFileVerifier(here.name, state_dir).check
+            loop, gateway.name, others, state_dir, KeyFileVerifier(gateway.name, state_dir).check
         )
         reports.rack_name = lambda rack: rack_name(site.fleet.rack_names, rack)
         playing: dict[str, int] = {}
         reports.playing_by_rack = lambda: playing
 
-        def ask() -> None:
-            """What plays at the gateway, so that a rack that says nothing is seen."""
+        def poll_viewings() -> None:
+            """Polls what plays at the gateway, so that a rack without reports is noticed."""
             while True:
                 try:
                     with loop.deadline(2.0):
-                        told = json.loads(reports.client.request(here.at, "GET", "/quality/playing").body)
+                        current = json.loads(
+                            reports.client.request(gateway.at, "GET", "/quality/playing").body
+                        )
                     playing.clear()
-                    playing.update(told)
+                    playing.update(current)
                 except (TimedOut, ConnectFailed, Interrupted, ValueError):
-                    pass  # while it is away what it played last is expected to report
+                    pass  # without an answer, reports are still expected for what played last
                 loop.sleep(VERDICT_INTERVAL_S)
 
         reports.start()
-        loop.spawn(ask, name="ask what plays")
+        loop.spawn(poll_viewings, name="poll viewings")
         try:
-            server = Server(loop, endpoint(here.reports_at), reports.handle)
+            server = Server(loop, endpoint(gateway.reports_at), reports.handle)
         except OSError as problem:
-            print(f"ledgehitch: {here.reports_at}: {problem}", file=sys.stderr)
+            print(f"ledgehitch: {gateway.reports_at}: {problem}", file=sys.stderr)
             return 2
         print(json.dumps({"reports": f"http://{server.at}"}), flush=True)
-        over.wait()
+        stop_event.wait()
         server.close()
         reports.stop()
         restore()
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -1,7 +1,8 @@
-"""Carries out what the module decides: set-ups, rungs, probes and words go out, what comes back goes in.
+"""Executes the decision module's decisions: sends set-ups, rungs, probes and messages, reports results.
 
-Everything that happens is told to the mind (the module), the desk (who is owed which answer) and the watch
-(which media hosts are lost) at once; one pump a turn of the loop then pulls all three dry.
+Each event is passed at once to the module, to the viewing registry (which connection is owed which answer)
+and to the host monitor (which media hosts are lost). Once per turn of the event loop, a pump takes and
+executes all pending decisions of the three.
 """
 
 import random
@@ -13,7 +14,7 @@
 import msgspec
 import structlog
 
-from ledgehitch import interface as say
+from ledgehitch import interface
 from ledgehitch.door.decide import Admit
 from ledgehitch.door.names import client_name
 from ledgehitch.gate import SendForbidden, SendGuard
@@ -32,89 +33,96 @@
 from ledgehitch.signalling.sdp import answer_mismatch
 
 LAYER_RELATION = "urn:ietf:params:whep:ext:core:layer"
-COMMAND_TIMEOUT_S = 2.0  # seconds for a DELETE, PATCH or layer at a media host
+COMMAND_TIMEOUT_S = 2.0  # for a DELETE, PATCH or layer request to a media host
 PROBE_TIMEOUT_S = 0.5
 log = structlog.get_logger("gateway")
 
 
 @dataclass(slots=True)
 class Viewing:
-    """What carrying out needs to know of a viewing; let go with its end."""
+    """What the executor needs to know about a viewing; dropped when the viewing ends."""
 
     token: str
     method: str
     package: Package
     title: str
-    offer: bytes | None  # let go when it plays
+    offer: bytes | None  # released once it plays
     parsed_offer: Offer | None
     asked_at: float = 0.0
     rung: int = 0
     tune_ins: int = 0
-    task: Task | None = None  # the tune-in that is out
+    task: Task | None = None  # the tune-in in progress
     host: str = ""
-    host_address: str = ""  # address of the host it plays on
-    session_path: str = ""  # its resource there
+    host_address: str = ""  # address of the host that it plays on
+    session_path: str = ""  # path of its session resource at the host
     layer_path: str = ""
     current_rung: int = 0
-    next_rung: int | None = None  # a rung that is to be told once the one on its way has arrived
+    next_rung: int | None = None  # sent once the request in progress is answered
     sending_rung: bool = False
     event_listeners: list[Callable[[str, dict[str, Any]], None]] | None = None
 
 
 @dataclass
 class Counts:
-    """Counters named for the question they answer."""
+    """Counters of the gateway, as shown in its state and logged periodically."""
 
     asked: int = 0
-    joined: int = 0  # offers that were another's repeat
+    joined: int = 0  # repeated offers that were attached to an existing viewing
     plays: int = 0
     blocked: int = 0
-    turned_away: int = 0  # at the door
+    turned_away: int = 0  # rejected by admission control
     aborted: int = 0
     left: int = 0
     ended: int = 0
     outcomes: dict[str, int] = field(default_factory=dict)
-    stopped_at_gate: int = 0
-    wrong_answers: int = 0
-    unknown: int = 0  # news on what this gateway does not hold
+    stopped_at_gate: int = 0  # tune-ins refused by the send guard
+    wrong_answers: int = 0  # SDP answers that do not match their offer
+    unknown: int = 0  # events about viewings that this gateway does not hold, or unreadable ones
     probes: int = 0
 
 
 class Executor:
+    """Runs the viewings of one gateway: executes decisions and reports what comes back."""
+
     def __init__(
         self,
         loop: Loop,
-        mind: RecordedModule,
-        desk: ViewingRegistry,
-        gate: SendGuard,
-        watch: HostMonitor,
+        module: RecordedModule,
+        registry: ViewingRegistry,
+        send_guard: SendGuard,
+        monitor: HostMonitor,
         name: str,
         boot: str,
-        chance: random.Random,
-        peers: PeerCodec | None = None,
+        rng: random.Random,
+        peer_codec: PeerCodec | None = None,
         peer_socket: Datagrams | None = None,
-        peer_at: dict[int, Endpoint] | None = None,
+        peer_addresses: dict[int, Endpoint] | None = None,
         load_fields: tuple[str, ...] = (),
     ) -> None:
-        self.loop, self.module, self.registry, self.send_guard, self.monitor = loop, mind, desk, gate, watch
-        self.name, self.boot, self.random = name, boot, chance
+        self.loop, self.module, self.registry, self.send_guard, self.monitor = (
+            loop,
+            module,
+            registry,
+            send_guard,
+            monitor,
+        )
+        self.name, self.boot, self.random = name, boot, rng
         self.client = Client(loop)
-        self.peer_codec, self.peer_socket, self.peer_addresses = peers, peer_socket, peer_at or {}
+        self.peer_codec, self.peer_socket, self.peer_addresses = peer_codec, peer_socket, peer_addresses or {}
         self.load_fields = load_fields
         self.viewings: dict[int, Viewing] = {}
-        self.waiting: dict[int, Event] = {}  # connections owed an answer
-        self.addresses: dict[str, str] = {}  # addresses of media hosts
+        self.waiting: dict[int, Event] = {}  # by connection: set when its answer is ready
+        self.addresses: dict[str, str] = {}  # of media hosts, by name
         self.playing_at: dict[str, dict[int, None]] = {}
         self.followers: dict[str, Task] = {}
         self.counts, self.join_times = Counts(), JoinTimes()
-        self.admission: AdmissionService | None = None  # without one everybody is let in as they come
-        self._awaiting_admission: dict[
-            int, tuple[tuple[int, int], int, float]
-        ] = {}  # cells, highest rung, patience
-        self.owner_task: Task | None = None  # owns what is carried out, so that it outlives the request
-        self.wake = Pump(loop, self._run_decisions).stir  # something was told
+        self.admission: AdmissionService | None = None  # None: every request is admitted at once
+        # By viewing: cells, highest rung and patience of a request that waits for admission.
+        self._awaiting_admission: dict[int, tuple[tuple[int, int], int, float]] = {}
+        self.owner_task: Task | None = None  # owner of spawned tasks, so that they outlive the request
+        self.wake = Pump(loop, self._run_decisions).stir  # call after passing in an event
 
-    # ---- the pump ------------------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
     def _run_decisions(self) -> float:
         now = time.monotonic()
@@ -122,31 +130,31 @@
             self._apply_admission_decisions(now, self.admission)
         for decision in self.module.decisions(now):
             match decision:
-                case say.TuneIn(viewing_id, host, within):
+                case interface.TuneIn(viewing_id, host, within):
                     self._tune_in(now, viewing_id, host, within)
-                case say.SetRung(viewing_id, rung):
+                case interface.SetRung(viewing_id, rung):
                     self._set_rung(viewing_id, rung)
-                case say.Block(viewing_id, stay_away):
+                case interface.Block(viewing_id, retry_after):
                     self.counts.blocked += 1
-                    self._settle(now, viewing_id, "blocked", advice=stay_away)
+                    self._settle(now, viewing_id, "blocked", advice=retry_after)
                     self._forget(viewing_id)
-                case say.Abort(viewing_id):
+                case interface.Abort(viewing_id):
                     self.counts.aborted += 1
                     self._settle(now, viewing_id, "aborted")
                     self._forget(viewing_id)
-                case say.Probe(host):
+                case interface.Probe(host):
                     self.counts.probes += 1
                     self._spawn(self._probe, host, name=f"probe {host}")
-                case say.Tell(message, recipient):
+                case interface.Tell(message, recipient):
                     if self.peer_codec and self.peer_socket and recipient in self.peer_addresses:
                         self.peer_socket.send(
                             self.peer_codec.frame(time.time(), recipient, message),
                             self.peer_addresses[recipient],
                         )
-                case say.Subscribe():
-                    pass  # the list's stream is always asked for
-        while (due := self.monitor.decide(now)) is not None:
-            match due:
+                case interface.Subscribe():
+                    pass  # the host list is always subscribed to
+        while (host_decision := self.monitor.decide(now)) is not None:
+            match host_decision:
                 case Follow(host):
                     self.followers[host] = self._spawn(self._follow, host, name=f"follow {host}")
                 case Unfollow(host):
@@ -155,8 +163,8 @@
                         task.cancel()
                 case HostLost(host):
                     self._on_host_lost(now, host)
-        while (duty := self.registry.decide(now)) is not None:
-            match duty:
+        while (answer_decision := self.registry.decide(now)) is not None:
+            match answer_decision:
                 case Answer(conn, viewing_id):
                     event = self.waiting.pop(conn, None)
                     if event is not None:
@@ -165,9 +173,9 @@
                     self._on_viewer_left(now, viewing_id)
                 case EndViewing(viewing_id):
                     self._end_viewing(now, viewing_id)
-        at_door = self.admission.door.wake_at() if self.admission is not None else None
-        asks = (self.module.gateway.wake_at(), self.monitor.wake_at(), self.registry.wake_at(), at_door)
-        return min(at for at in asks if at is not None)
+        admission_at = self.admission.door.wake_at() if self.admission is not None else None
+        times = (self.module.gateway.wake_at(), self.monitor.wake_at(), self.registry.wake_at(), admission_at)
+        return min(wake_at for wake_at in times if wake_at is not None)
 
     def _spawn(self, call: Callable[..., None], *args: Any, name: str) -> Task:
         return self.loop.spawn(call, *args, name=name, owner=self.owner_task)
@@ -187,8 +195,9 @@
         ticket: str = "",
         address: str = "",
     ) -> Event:
-        """A viewer's offer, on connection `conn`: the event is set with the viewing's number when settled.
-        `ticket` and `address` are for the door."""
+        """Takes a viewer's offer on connection `conn`. The returned event is set with the viewing's number
+        once the answer is ready, and with None if the client disconnects. `ticket` and `address` are passed
+        on to admission control."""
         now = time.monotonic()
         event = self.waiting[conn] = Event(self.loop)
         if self.registry.on_offer(now, conn, key, viewing_id, ufrag):
@@ -211,13 +220,13 @@
         name, title = viewing.package.name, viewing.title
         self.module.on_viewing_request(now, viewing_id, name, title, cells[0], cells[1], top, patience)
 
-    def _apply_admission_decisions(self, now: float, doorman: AdmissionService) -> None:
-        """Those whom the door lets in are the module's from here on; the others have their answer."""
-        while (decision := doorman.decide(now)) is not None:
+    def _apply_admission_decisions(self, now: float, admission: AdmissionService) -> None:
+        """Passes admitted requests to the module and answers the rejected ones."""
+        while (decision := admission.decide(now)) is not None:
             viewing_id = decision.conn
             offer = self._awaiting_admission.pop(viewing_id, None)
             if offer is None:
-                continue  # its viewer had left
+                continue  # its viewer has left
             if isinstance(decision, Admit):
                 self._admit(now, viewing_id, *offer)
             else:
@@ -233,7 +242,7 @@
                 self.viewings.pop(viewing_id, None)
 
     def _settle(self, now: float, viewing_id: int, kind: Kind, answer: str = "", advice: float = 0.0) -> None:
-        """The module's answer to a viewing: the desk passes it on, the door has room again."""
+        """Hands the module's answer to the registry, and reports the result to admission control."""
         self.registry.on_result(now, viewing_id, kind, answer, advice)
         if self.admission is not None:
             self.admission.on_result(now, viewing_id, kind != "plays")
@@ -241,8 +250,8 @@
                 self.wake()
 
     def on_overdue(self, conn: int, viewing_id: int) -> None:
-        """Patience ran out without a decision, which only a fault can bring about: the viewer is told."""
-        log.error("no decision within patience", vw=viewing_id)
+        """Answers a viewing without a decision within viewer patience, which only a fault can cause."""
+        log.error("no decision within viewer patience; answering aborted", vw=viewing_id)
         self._settle(time.monotonic(), viewing_id, "aborted")
         self._on_viewer_left(time.monotonic(), viewing_id)
         self.waiting.pop(conn, None)
@@ -255,17 +264,17 @@
         self.wake()
 
     def _forget(self, viewing_id: int) -> None:
-        v = self.viewings.pop(viewing_id, None)
+        viewing = self.viewings.pop(viewing_id, None)
         self.send_guard.on_viewing_end(viewing_id)
-        if v is not None:
-            self.playing_at.get(v.host, {}).pop(viewing_id, None)
-            for tell in v.event_listeners or ():
-                tell("inactive", {})
+        if viewing is not None:
+            self.playing_at.get(viewing.host, {}).pop(viewing_id, None)
+            for notify in viewing.event_listeners or ():
+                notify("inactive", {})
 
     def _on_viewer_left(self, now: float, viewing_id: int) -> None:
-        """The viewer is gone before the answer: what is out is called back, and its end is told."""
-        v = self.viewings.get(viewing_id)
-        if v is None:
+        """The viewer left before the answer: cancels the tune-in in progress, whose end is then reported."""
+        viewing = self.viewings.get(viewing_id)
+        if viewing is None:
             return
         self.counts.left += 1
         if self.admission is not None:
@@ -274,44 +283,48 @@
                 self.viewings.pop(viewing_id, None)
                 return
         self.module.on_viewer_left(now, viewing_id)
-        if v.task is None:
+        if viewing.task is None:
             self._forget(viewing_id)
         else:
-            v.task.cancel()
+            viewing.task.cancel()
         self.wake()
 
     def _end_viewing(self, now: float, viewing_id: int) -> None:
-        """The viewer of what plays is gone or has ended it."""
-        v = self.viewings.get(viewing_id)
-        if v is None:
+        """Ends a playing viewing whose viewer is gone or has deleted it."""
+        viewing = self.viewings.get(viewing_id)
+        if viewing is None:
             return
         self.counts.ended += 1
-        self.module.on_tune_in_end(now, viewing_id, True, Outcome.OK, v.host, 0.0, v.tune_ins - 1)
-        if v.session_path:
+        self.module.on_tune_in_end(now, viewing_id, True, Outcome.OK, viewing.host, 0.0, viewing.tune_ins - 1)
+        if viewing.session_path:
             self._spawn(
-                self._send_command, v.host_address, "DELETE", v.session_path, name=f"end {viewing_id}"
+                self._send_command,
+                viewing.host_address,
+                "DELETE",
+                viewing.session_path,
+                name=f"end {viewing_id}",
             )
         self._forget(viewing_id)
         self.wake()
 
     def on_host_ended(self, now: float, viewing_id: int, code: int) -> None:
-        """The media host ended it."""
-        v = self.viewings.get(viewing_id)
-        if v is None or not v.session_path:
+        """The media host ended the viewing."""
+        viewing = self.viewings.get(viewing_id)
+        if viewing is None or not viewing.session_path:
             self.counts.unknown += 1
             return
         self.counts.ended += 1
-        self.module.on_tune_in_end(now, viewing_id, True, code, v.host, 0.0, v.tune_ins - 1)
+        self.module.on_tune_in_end(now, viewing_id, True, code, viewing.host, 0.0, viewing.tune_ins - 1)
         self.registry.on_viewing_end(now, viewing_id)
         self._forget(viewing_id)
         self.wake()
 
     def end_all(self) -> None:
-        """What plays is told its end, here and at its media host: this gateway goes. Who is owed an answer
-        is left alone."""
+        """Ends all playing viewings, here and at their media hosts, as this gateway is leaving. Viewings that
+        are still owed an answer are left alone."""
         now = time.monotonic()
-        for viewing_id, v in list(self.viewings.items()):
-            if v.session_path:
+        for viewing_id, viewing in list(self.viewings.items()):
+            if viewing.session_path:
                 self.registry.on_viewing_end(now, viewing_id)
                 self._end_viewing(now, viewing_id)
 
@@ -322,73 +335,87 @@
     # ---- tune-ins ------------------------------------------------------------------------------------------
 
     def _tune_in(self, now: float, viewing_id: int, host: str, within: float) -> None:
-        v = self.viewings.get(viewing_id)
-        number = v.tune_ins if v is not None else 0
+        viewing = self.viewings.get(viewing_id)
+        number = viewing.tune_ins if viewing is not None else 0
         try:
             self.send_guard.check_send(now, viewing_id, host, within)
         except SendForbidden as why:
             self.counts.stopped_at_gate += 1
-            log.error("stopped at the gate", vw=viewing_id, host=host, why=str(why))
+            log.error("send guard refused a tune-in", vw=viewing_id, host=host, why=str(why))
             self.module.on_tune_in_end(now, viewing_id, False, Outcome.MOOT, host, 0.0, number)
             self.wake()
             return
-        assert v is not None
-        v.tune_ins += 1
-        v.host = host
-        v.task = self._spawn(
-            self._set_up, viewing_id, v, host, number, within, now, name=f"tune-in {viewing_id}/{number}"
+        assert viewing is not None
+        viewing.tune_ins += 1
+        viewing.host = host
+        viewing.task = self._spawn(
+            self._set_up,
+            viewing_id,
+            viewing,
+            host,
+            number,
+            within,
+            now,
+            name=f"tune-in {viewing_id}/{number}",
         )
 
     def _set_up(
-        self, viewing_id: int, v: Viewing, host: str, number: int, within: float, sent: float
+        self, viewing_id: int, viewing: Viewing, host: str, number: int, within: float, sent: float
     ) -> None:
-        at = self.addresses.get(host, "")
+        address = self.addresses.get(host, "")
         key = f"{self.name}.{self.boot}.{viewing_id}.{number}"
-        code, told = Outcome.CANCELLED, False
+        code, reported = Outcome.CANCELLED, False
         try:
-            code, loads, response = self._request_set_up(v, at, key, within - (time.monotonic() - sent))
+            code, loads, response = self._request_set_up(
+                viewing, address, key, within - (time.monotonic() - sent)
+            )
             now = time.monotonic()
             self.send_guard.on_tune_in_outcome(viewing_id, code)
-            v.task = None
-            told = True
+            viewing.task = None
+            reported = True
             if code == Outcome.OK and response is not None:
-                self._on_set_up_success(now, viewing_id, v, host, number, at, response, now - sent)
+                self._on_set_up_success(now, viewing_id, viewing, host, number, address, response, now - sent)
                 for kind, value in ((3, loads.get("x0")), (4, loads.get("x1"))):
                     if value is not None:
                         self.module.on_report(now, viewing_id, host, kind, value)
             else:
                 self._on_set_up_failure(now, viewing_id, host, number, code, now - sent, loads)
         finally:
-            if not told:
-                # Called back: the closed connection tells the media host, and no tune-in is out any more.
-                v.task = None
+            if not reported:
+                # Cancelled: the closed connection tells the media host, and no tune-in is in progress any
+                # more.
+                viewing.task = None
                 self.send_guard.on_tune_in_outcome(viewing_id, Outcome.CANCELLED)
                 now = time.monotonic()
                 self.module.on_tune_in_end(now, viewing_id, True, Outcome.CANCELLED, host, now - sent, number)
-                # Guards against a fault of ours leaving a viewer without answer; one who left is owed none.
+                # After a fault in the code above the viewer still gets an answer; one who left is owed none.
                 self._settle(now, viewing_id, "aborted")
                 self._forget(viewing_id)
             if code not in (Outcome.OK, Outcome.FULL, Outcome.CONNECT_FAILED):
-                # It may have run: whatever came of it there is not wanted.
+                # The set-up may have run: the session that it may have created is not wanted.
                 self._spawn(
-                    self._send_command, at, "DELETE", f"/tune-ins/{key}", name=f"call back {viewing_id}"
+                    self._send_command,
+                    address,
+                    "DELETE",
+                    f"/tune-ins/{key}",
+                    name=f"delete tune-in {viewing_id}",
                 )
             self.counts.outcomes[code.name] = self.counts.outcomes.get(code.name, 0) + 1
             self.wake()
 
     def _request_set_up(
-        self, v: Viewing, at: str, key: str, within: float
+        self, viewing: Viewing, address: str, key: str, within: float
     ) -> tuple[Outcome, dict[str, float], Response | None]:
-        target = f"/{v.method}/{v.package.name}/{v.title}?rung={v.rung}"
+        target = f"/{viewing.method}/{viewing.package.name}/{viewing.title}?rung={viewing.rung}"
         headers = [
             ("Content-Type", "application/sdp"),
-            ("Authorization", f"Bearer {v.token}"),
+            ("Authorization", f"Bearer {viewing.token}"),
             ("Idempotency-Key", f'"{key}"'),
             ("Gateway", f"{self.name}.{self.boot}"),
         ]
         try:
             with self.loop.deadline(max(within, 0.001)):
-                response = self.client.request(at, "POST", target, headers, v.offer or b"")
+                response = self.client.request(address, "POST", target, headers, viewing.offer or b"")
         except TimedOut:
             if self.admission is not None:
                 self.admission.on_tune_in_timeout(time.monotonic())
@@ -404,14 +431,14 @@
             return Outcome.FULL, loads, response
         if response.status != 201 or not response.header("location"):
             return Outcome.ERROR, loads, response
-        wrong = (
-            answer_mismatch(v.parsed_offer, response.body.decode("utf-8", "replace"))
-            if v.parsed_offer
+        mismatch = (
+            answer_mismatch(viewing.parsed_offer, response.body.decode("utf-8", "replace"))
+            if viewing.parsed_offer
             else ""
         )
-        if wrong:
+        if mismatch:
             self.counts.wrong_answers += 1
-            log.warning("wrong answer to an offer", at=at, why=wrong)
+            log.warning("SDP answer does not match its offer", at=address, why=mismatch)
             return Outcome.ERROR, loads, response
         return Outcome.OK, loads, response
 
@@ -419,20 +446,20 @@
         self,
         now: float,
         viewing_id: int,
-        v: Viewing,
+        viewing: Viewing,
         host: str,
         number: int,
-        at: str,
+        address: str,
         response: Response,
         latency: float,
     ) -> None:
-        v.host_address, v.current_rung = at, v.rung
-        v.session_path = response.header("location") or ""
-        v.layer_path = link_target(response.header("link"), LAYER_RELATION)
-        v.offer = v.parsed_offer = None
+        viewing.host_address, viewing.current_rung = address, viewing.rung
+        viewing.session_path = response.header("location") or ""
+        viewing.layer_path = link_target(response.header("link"), LAYER_RELATION)
+        viewing.offer = viewing.parsed_offer = None
         self.playing_at.setdefault(host, {})[viewing_id] = None
         self.counts.plays += 1
-        self.join_times.record(now, now - v.asked_at)
+        self.join_times.record(now, now - viewing.asked_at)
         self.module.on_tune_in_success(now, viewing_id, host, number, latency)
         self._settle(now, viewing_id, "plays", response.body.decode("utf-8", "replace"))
 
@@ -449,58 +476,60 @@
         values = [loads.get(name, -1.0) for name in self.load_fields]
         self.module.on_tune_in_end(now, viewing_id, False, code, host, latency, number, values)
 
-    # ---- what else goes to media hosts ---------------------------------------------------------------------
+    # ---- other requests to media hosts ---------------------------------------------------------------------
 
-    def _send_command(self, at: str, method: str, target: str) -> None:
+    def _send_command(self, address: str, method: str, target: str) -> None:
         try:
             with self.loop.deadline(COMMAND_TIMEOUT_S):
-                self.client.request(at, method, target)
+                self.client.request(address, method, target)
         except (TimedOut, ConnectFailed, Interrupted, ValueError):
-            pass  # it is gone, or ends what nobody watches by itself
+            pass  # the host is gone, or ends the unwatched session by itself
 
-    def forward_patch(self, v: Viewing, headers: list[tuple[str, str]], body: bytes) -> Response | None:
-        """A viewer's PATCH, passed on to where the viewing plays; None when nothing came back."""
+    def forward_patch(self, viewing: Viewing, headers: list[tuple[str, str]], body: bytes) -> Response | None:
+        """Forwards a viewer's PATCH to the media host of the viewing; returns None without an answer."""
         try:
             with self.loop.deadline(COMMAND_TIMEOUT_S):
-                return self.client.request(v.host_address, "PATCH", v.session_path, headers, body)
+                return self.client.request(viewing.host_address, "PATCH", viewing.session_path, headers, body)
         except (TimedOut, ConnectFailed, Interrupted, ValueError):
             return None
 
     def _set_rung(self, viewing_id: int, rung: int) -> None:
-        v = self.viewings.get(viewing_id)
-        if v is None:
+        viewing = self.viewings.get(viewing_id)
+        if viewing is None:
             return
-        v.rung = rung
-        if v.session_path:
-            v.next_rung = rung
-            if not v.sending_rung:
-                v.sending_rung = True
-                self._spawn(self._send_rungs, viewing_id, v, name=f"rung {viewing_id}")
-
-    def _send_rungs(self, viewing_id: int, v: Viewing) -> None:
-        """Tells the newest rung; one decided while another is on its way waits for that."""
+        viewing.rung = rung
+        if viewing.session_path:
+            viewing.next_rung = rung
+            if not viewing.sending_rung:
+                viewing.sending_rung = True
+                self._spawn(self._send_rungs, viewing_id, viewing, name=f"rung {viewing_id}")
+
+    def _send_rungs(self, viewing_id: int, viewing: Viewing) -> None:
+        """Sends the newest rung to the media host; one decided during a request is sent after it."""
         try:
-            while v.next_rung is not None and viewing_id in self.viewings:
-                rung, v.next_rung = v.next_rung, None
+            while viewing.next_rung is not None and viewing_id in self.viewings:
+                rung, viewing.next_rung = viewing.next_rung, None
                 body = msgspec.json.encode({"mediaId": "0", "encodingId": str(rung)})
                 try:
                     with self.loop.deadline(COMMAND_TIMEOUT_S):
                         kind = [("Content-Type", "application/json")]
-                        told = (
-                            self.client.request(v.host_address, "POST", v.layer_path, kind, body).status
+                        accepted = (
+                            self.client.request(
+                                viewing.host_address, "POST", viewing.layer_path, kind, body
+                            ).status
                             == 200
                         )
                 except (TimedOut, ConnectFailed, Interrupted, ValueError):
-                    told = False
-                if told:
-                    v.current_rung = rung
-                    for tell in v.event_listeners or ():
-                        tell("layers", {"encodingId": str(rung)})
-                elif v.next_rung is None and viewing_id in self.viewings:
-                    self.module.on_report(time.monotonic(), viewing_id, v.host, 2, v.current_rung)
+                    accepted = False
+                if accepted:
+                    viewing.current_rung = rung
+                    for notify in viewing.event_listeners or ():
+                        notify("layers", {"encodingId": str(rung)})
+                elif viewing.next_rung is None and viewing_id in self.viewings:
+                    self.module.on_report(time.monotonic(), viewing_id, viewing.host, 2, viewing.current_rung)
                     self.wake()
         finally:
-            v.sending_rung = False
+            viewing.sending_rung = False
 
     def _probe(self, host: str) -> None:
         sent = time.monotonic()
@@ -521,7 +550,7 @@
         self.wake()
 
     def _follow(self, host: str) -> None:
-        """One event stream to a media host: notes on what plays there, and that it is alive."""
+        """Reads one media host's event stream: reports on its viewings, and signs that it is alive."""
         refused = False
         try:
             target = f"/events?gateway={self.name}.{self.boot}"
@@ -542,7 +571,7 @@
             self.wake()
 
     def _read_monitored(self, host: str, parts: Any) -> Any:
-        """Bytes of the stream; ends it when the host gives no sign."""
+        """Yields the bytes of an event stream; ends when the host is silent for too long."""
         while True:
             try:
                 with self.loop.deadline(1.0):
@@ -558,53 +587,53 @@
 
     def _on_host_event(self, host: str, name: str, data: str) -> None:
         try:
-            said = msgspec.json.decode(data, type=HostEvent)
+            event = msgspec.json.decode(data, type=HostEvent)
         except msgspec.MsgspecError:
             self.counts.unknown += 1
             return
         now = time.monotonic()
-        v = self.viewings.get(said.vw)
-        mine = v is not None and v.host == host and bool(v.session_path)
-        if name == "note" and (mine or said.kind in (3, 4)):
-            self.module.on_report(now, said.vw, host, said.kind, said.value)
-        elif name == "ended" and mine:
-            self.on_host_ended(now, said.vw, said.kind)
+        viewing = self.viewings.get(event.vw)
+        is_ours = viewing is not None and viewing.host == host and bool(viewing.session_path)
+        if name == "note" and (is_ours or event.kind in (3, 4)):
+            self.module.on_report(now, event.vw, host, event.kind, event.value)
+        elif name == "ended" and is_ours:
+            self.on_host_ended(now, event.vw, event.kind)
         else:
             self.counts.unknown += 1
         self.wake()
 
     # ---- lists and peers -----------------------------------------------------------------------------------
 
-    def on_host_list(self, how: str, lines: list[HostEntry], ahead: float) -> None:
+    def on_host_list(self, how: str, entries: list[HostEntry], clock_offset: float) -> None:
         now = time.monotonic()
         if how in ("total", "warm_copy"):
-            names = {line.host for line in lines}
+            names = {entry.host for entry in entries}
             self.send_guard.on_complete_list(now, names)
             for host in [h for h in self.monitor.hosts if h not in names]:
                 self.monitor.on_host_listed(now, host, True)
-        for line in lines:
-            self.addresses[line.host] = line.at
-            self.send_guard.on_host_state(now, line.host, line.state == "in_service")
-            self.monitor.on_host_listed(now, line.host, line.state == "terminated")
-        self.module.on_host_list(now, how, [line.to_row(ahead) for line in lines])
+        for entry in entries:
+            self.addresses[entry.host] = entry.at
+            self.send_guard.on_host_state(now, entry.host, entry.state == "in_service")
+            self.monitor.on_host_listed(now, entry.host, entry.state == "terminated")
+        self.module.on_host_list(now, how, [entry.to_row(clock_offset) for entry in entries])
         self.wake()
 
     def receive_peer_messages(self) -> None:
-        """Runs as a task: what other gateways say."""
+        """Passes datagrams of other gateways to the module; runs as a task."""
         assert self.peer_codec is not None and self.peer_socket is not None
         while True:
             data, _ = self.peer_socket.receive()
             try:
-                _, words = self.peer_codec.unframe(time.time(), data)
+                _, message = self.peer_codec.unframe(time.time(), data)
             except DatagramRejected:
                 continue
-            self.module.on_peer_message(time.monotonic(), words)
+            self.module.on_peer_message(time.monotonic(), message)
             self.wake()
 
 
 class HostEvent(msgspec.Struct):
-    """News from a media host: 1 share delivered, 2 rung in force, 3 and 4 use of link and uplink; of an
-    end, `kind` is the outcome."""
+    """An event from a media host's stream. In a note, `kind` 1 is the share delivered, 2 the rung in force, 3
+    and 4 the use of link and uplink. In an end, `kind` is the outcome."""
 
     vw: int
     kind: int
@@ -612,7 +641,7 @@
 
 
 def parse_load_report(header: str | None) -> dict[str, float]:
-    """A load report in the text form of ORCA: `TEXT cpu_utilization=0.3, named_metrics.x0=0.5`."""
+    """Parses a load report in the text form of ORCA: `TEXT cpu_utilization=0.3, named_metrics.x0=0.5`."""
     loads: dict[str, float] = {}
     kind, _, rest = (header or "").partition(" ")
     if kind != "TEXT":
@@ -629,7 +658,7 @@
 
 
 def link_target(header: str | None, relation: str) -> str:
-    """The target of a Link header field with this relation, empty without one."""
+    """Returns the target of a Link header field with this relation, empty without one."""
     for part in (header or "").split(","):
         target, _, parameters = part.strip().partition(";")
         if f'rel="{relation}"' in parameters.replace(" ", ""):
--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -1,6 +1,6 @@
-"""The door in a gateway: between the desk, which knows each offer, and the module; kept for the next start.
+"""Admission control of a gateway, between the viewing registry and the module. Its state survives restarts.
 
-A repeated offer never comes here: it is the desk's, and gets the answer that the first one gets.
+A repeated offer never comes here: the registry gives it the same answer as the first one.
 """
 
 import secrets
@@ -15,12 +15,12 @@
 from ledgehitch.door.names import DEFAULT_ORDER, Identity
 from ledgehitch.quality.keep import Keep
 
-SAVE_INTERVAL_S = 5.0  # seconds: tickets used since then may be used once more after a kill
+SAVE_INTERVAL_S = 5.0  # tickets used since the last save may be used once more after a kill
 log = structlog.get_logger("door")
 
 
 class DoorLike(Protocol):
-    """The door, or a baseline in its place."""
+    """The admission controller, or a baseline of the benchmarks in its place."""
 
     def on_request(
         self,
@@ -40,21 +40,23 @@
 
 
 class AdmissionService:
-    """Times are of the machine's monotonic clock, as patience must not depend on a clock that steps."""
+    """Runs an admission controller and saves its state.
+
+    Times are of the machine's monotonic clock, since patience must not depend on a clock that steps."""
 
     def __init__(
         self, door: DoorLike, keep: Keep | None = None, order: Sequence[Identity] = DEFAULT_ORDER
     ) -> None:
         self.door, self.store, self.order = door, keep, order
-        # Looks whether what is lent is still in force; called before anybody is let in.
+        # Checks whether the budget loan is still valid; called before any request is admitted.
         self.refresh_share: Callable[[float], None] | None = None
-        self.secret = secrets.token_bytes(32)  # names clients, in this life and the next
+        self.secret = secrets.token_bytes(32)  # keys the clients' names; survives restarts
         self._saved_at = time.monotonic()
         if keep is not None:
             self._load(keep)
-            self.save()  # the keys of the first tickets outlive a kill, too
+            self.save()  # so that the keys of the first tickets survive a kill
 
-    # ---- kept for the next start ---------------------------------------------------------------------------
+    # ---- saved state ---------------------------------------------------------------------------------------
 
     def _load(self, keep: Keep) -> None:
         held = keep.read()
@@ -63,8 +65,8 @@
         try:
             self.door.restore(time.monotonic(), held["door"])
             self.secret = bytes(held["secret"])
-        except (msgspec.MsgspecError, KeyError, TypeError, ValueError, RuntimeError) as wrong:
-            log.error("what the door kept does not read, it starts anew", why=str(wrong))
+        except (msgspec.MsgspecError, KeyError, TypeError, ValueError, RuntimeError) as error:
+            log.error("cannot read the saved admission state, starting without it", why=str(error))
 
     def save(self) -> None:
         if self.store is not None and isinstance(self.door, AdmissionController):
@@ -78,7 +80,7 @@
     def set_limits(
         self, client_rate: float, client_burst: float, package_rates: Mapping[str, float], set_ups: float
     ) -> None:
-        """The site's limits, at start and at a reload."""
+        """Applies the site's limits, at start and at a reload."""
         if isinstance(self.door, AdmissionController):
             self.door.set_limits(client_rate, client_burst, package_rates, set_ups)
 
@@ -90,8 +92,8 @@
         until: float,
         by_budget: Mapping[str, float] | None = None,
     ) -> None:
-        """This gateway's part of the fleet's limits, and up to when what is lent of it is in force;
-        `by_budget`: its own part of limits of which that is not `own`."""
+        """Sets this gateway's share of the fleet's limits, and until when the lent part of it is valid.
+        `by_budget` holds its own part of those limits of which it is not `own`."""
         if isinstance(self.door, AdmissionController):
             self.door.set_share(now, own, lent, until, by_budget)
 
@@ -126,7 +128,7 @@
         self.door.on_result(now, viewing_id, failed)
 
     def on_tune_in_timeout(self, now: float) -> None:
-        """A tune-in was not answered in its time."""
+        """A tune-in of an admitted viewing timed out."""
         if isinstance(self.door, AdmissionController):
             self.door.on_tune_in_timeout(now)
 
--- a/ledgehitch/gateway/listing.py
+++ b/ledgehitch/gateway/listing.py
@@ -1,4 +1,4 @@
-"""Follows the list service: a stream of complete lists and changes, kept in a file for the next start."""
+"""Follows the list service: takes complete host lists and changes, and saves them for the next start."""
 
 import os
 import random
@@ -17,13 +17,23 @@
 
 
 class HostListClient:
-    def __init__(self, loop: Loop, carrier: Executor, at: str, name: str, kept: Path | None) -> None:
-        self.loop, self.executor, self.address, self.name, self.snapshot_path = loop, carrier, at, name, kept
+    """Keeps one gateway's host list up to date and passes each update to the executor."""
+
+    def __init__(
+        self, loop: Loop, executor: Executor, address: str, name: str, snapshot_path: Path | None
+    ) -> None:
+        self.loop, self.executor, self.address, self.name, self.snapshot_path = (
+            loop,
+            executor,
+            address,
+            name,
+            snapshot_path,
+        )
         self.host_list = HostList()
         self.random = random.Random(name)
 
     def run(self) -> None:
-        """Runs as a task for good."""
+        """Runs as a task until it is cancelled."""
         self._load_snapshot()
         while True:
             try:
@@ -36,19 +46,28 @@
                             if not self._on_event(name, data):
                                 break
             except (ConnectFailed, Interrupted, TimedOut, ValueError) as why:
-                log.debug("no list", why=str(why))
+                log.debug("list stream ended", why=str(why))
             self.executor.module.on_host_list(time.monotonic(), "lost", ())
             self.executor.wake()
             self.loop.sleep(RECONNECT_DELAY_S[0] + RECONNECT_DELAY_S[1] * self.random.random())
 
     def _on_event(self, name: str, data: str) -> bool:
-        """Whether the stream goes on; a gap in it asks for a complete list by asking anew."""
+        """Applies one event; returns False if the stream has a gap, so that it is opened again."""
         if name not in ("total", "incr"):
             return True
-        news = msgspec.json.decode(data, type=HostListUpdate)
-        rows = self.host_list.apply_full_list(news) if name == "total" else self.host_list.apply_changes(news)
+        update = msgspec.json.decode(data, type=HostListUpdate)
+        rows = (
+            self.host_list.apply_full_list(update)
+            if name == "total"
+            else self.host_list.apply_changes(update)
+        )
         if rows is None:
-            log.warning("list does not follow", what=name, version=news.version, known=self.host_list.version)
+            log.warning(
+                "list update does not follow the known version",
+                what=name,
+                version=update.version,
+                known=self.host_list.version,
+            )
             return name == "total"
         if rows:
             self.executor.on_host_list(name, list(rows), time.time() - time.monotonic())
@@ -59,16 +78,16 @@
         if self.snapshot_path is None or not self.snapshot_path.exists():
             return
         try:
-            news = msgspec.json.decode(self.snapshot_path.read_bytes(), type=HostListUpdate)
+            update = msgspec.json.decode(self.snapshot_path.read_bytes(), type=HostListUpdate)
         except (OSError, msgspec.MsgspecError) as why:
-            log.warning("the kept list does not read", path=str(self.snapshot_path), why=str(why))
+            log.warning("cannot read the saved host list", path=str(self.snapshot_path), why=str(why))
             return
-        self.executor.on_host_list("warm_copy", news.rows, time.time() - time.monotonic())
+        self.executor.on_host_list("warm_copy", update.rows, time.time() - time.monotonic())
 
     def _save_snapshot(self) -> None:
         if self.snapshot_path is None:
             return
         self.snapshot_path.parent.mkdir(parents=True, exist_ok=True)
-        partly = self.snapshot_path.with_suffix(".new")
-        partly.write_bytes(msgspec.json.encode(self.host_list.snapshot()))
-        os.replace(partly, self.snapshot_path)
+        temporary = self.snapshot_path.with_suffix(".new")
+        temporary.write_bytes(msgspec.json.encode(self.host_list.snapshot()))
+        os.replace(temporary, self.snapshot_path)
--- a/ledgehitch/gateway/mind.py
+++ b/ledgehitch/gateway/mind.py
@@ -1,6 +1,6 @@
-"""The decision module with the flight recorder beside it: every input and every pull passes here.
+"""The decision module with an optional flight recorder, which notes every input and every pull of decisions.
 
-Inputs have the module's names and arguments. `pulled` gives the decisions of one pull, until there is none.
+Inputs have the names and arguments of the module's own. Records keep them under the names given to `_record`.
 """
 
 from collections.abc import Iterator, Sequence
@@ -12,10 +12,12 @@
 
 
 class RecordedModule:
-    def __init__(self, brain: Gateway, recorder: Recorder | None = None) -> None:
-        self.gateway, self.recorder = brain, recorder
+    """Passes inputs and decisions through, and records both where there is a recorder."""
+
+    def __init__(self, gateway: Gateway, recorder: Recorder | None = None) -> None:
+        self.gateway, self.recorder = gateway, recorder
         if recorder is not None:
-            recorder.start_segment(brain)
+            recorder.start_segment(gateway)
 
     def _record(self, name: str, *args: Any) -> None:
         if self.recorder is not None:
@@ -73,18 +75,18 @@
         self._record("probed", now, host, int(code), latency, list(loads))
         self.gateway.on_probe_result(now, host, code, latency, loads)
 
-    def on_peer_message(self, now: float, words: bytes) -> None:
-        self._record("peer_said", now, words)
-        self.gateway.on_peer_message(now, words)
+    def on_peer_message(self, now: float, message: bytes) -> None:
+        self._record("peer_said", now, message)
+        self.gateway.on_peer_message(now, message)
 
     def decisions(self, now: float) -> Iterator[Decision]:
-        """One pull. The host must hand in nothing before it is through."""
+        """Yields the decisions of one pull. No input may be passed in before the iterator is exhausted."""
         if self.recorder is None:
             while (decision := self.gateway.decide(now)) is not None:
                 yield decision
             return
-        out = []
+        taken = []
         while (decision := self.gateway.decide(now)) is not None:
-            out.append(encode_decision(decision))
+            taken.append(encode_decision(decision))
             yield decision
-        self._record("pulled", now, out)
+        self._record("pulled", now, taken)
--- a/ledgehitch/gateway/peers.py
+++ b/ledgehitch/gateway/peers.py
@@ -1,45 +1,48 @@
-"""Messages between gateways as datagrams: bounded, keyed by `blake3`, replay-safe. Free of I/O."""
+"""Datagrams between gateways: bounded in size, authenticated by keyed `blake3`, safe from replay. Free of
+I/O."""
 
 import struct
 from collections.abc import Sequence
 
 from blake3 import blake3
 
-HEADER = struct.Struct(">4sHHQQd")  # mark, from, to, life of the sender, number in it, wall clock at sending
+# Magic, sender, recipient, life of the sender, sequence number, wall clock at sending.
+HEADER = struct.Struct(">4sHHQQd")
 MAGIC = b"LH1\x00"
 MAC_BYTES = 16
-MAX_DATAGRAM_BYTES = 1200  # bytes of a datagram
-MAX_CLOCK_DIFFERENCE_S = (
-    5.0  # seconds by which the clocks of two gateways may differ, with the way between them
-)
-REORDER_WINDOW = 64  # datagrams that may overtake one another
+MAX_DATAGRAM_BYTES = 1200
+MAX_CLOCK_DIFFERENCE_S = 5.0  # between two gateways' clocks, transit time included
+REORDER_WINDOW = 64  # datagrams; an older one is taken for a replay
 
 
 class DatagramRejected(Exception):
-    """Why a datagram was not taken; the words are the names of the counters."""
+    """Raised for a datagram that is not accepted; its text is the name of the counter for the reason."""
 
 
 class PeerCodec:
-    """Frames of one gateway. The first key of the ring signs, all are taken. `life` rises with each start
-    (its wall clock in ns does)."""
+    """Frames and unframes the datagrams of one gateway.
 
-    def __init__(self, ring: Sequence[bytes], me: int, life: int) -> None:
-        if not ring or any(len(key) != 32 for key in ring):
-            raise ValueError("a peer key has 32 bytes")
-        self._keys, self.index, self.life = list(ring), me, life
-        self._sent = 0
-        self._received: dict[int, tuple[int, int, int]] = {}  # by sender: life, highest number, bits under it
+    The first key signs, all keys are accepted. `life` has to rise with each start; the start's wall clock in
+    ns does."""
+
+    def __init__(self, keys: Sequence[bytes], index: int, life: int) -> None:
+        if not keys or any(len(key) != 32 for key in keys):
+            raise ValueError("at least one peer key is needed, each of 32 bytes")
+        self._keys, self.index, self.life = list(keys), index, life
+        self._sent = 0  # sequence number of the last datagram
+        # By sender: life, highest sequence number, bit mask of those below it.
+        self._received: dict[int, tuple[int, int, int]] = {}
         self.rejected: dict[str, int] = {}
 
-    def frame(self, wall: float, to: int, words: bytes) -> bytes:
-        if len(words) > MAX_DATAGRAM_BYTES - HEADER.size - MAC_BYTES:
-            raise ValueError(f"{len(words)} bytes do not fit into a datagram")
+    def frame(self, wall: float, recipient: int, message: bytes) -> bytes:
+        if len(message) > MAX_DATAGRAM_BYTES - HEADER.size - MAC_BYTES:
+            raise ValueError(f"{len(message)} bytes do not fit into a datagram")
         self._sent += 1
-        body = HEADER.pack(MAGIC, self.index, to, self.life, self._sent, wall) + words
+        body = HEADER.pack(MAGIC, self.index, recipient, self.life, self._sent, wall) + message
         return body + blake3(body, key=self._keys[0]).digest(MAC_BYTES)
 
     def unframe(self, wall: float, data: bytes) -> tuple[int, bytes]:
-        """Who said what; raises `Refusal` and counts it."""
+        """Returns the sender and the message. Raises `DatagramRejected`, and counts the reason."""
         try:
             return self._unframe(wall, data)
         except DatagramRejected as why:
@@ -50,12 +53,12 @@
         if not HEADER.size + MAC_BYTES <= len(data) <= MAX_DATAGRAM_BYTES:
             raise DatagramRejected("size")
         body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
-        mark, sender, to, life, number, sent_at = HEADER.unpack_from(body)
-        if mark != MAGIC:
+        magic, sender, recipient, life, number, sent_at = HEADER.unpack_from(body)
+        if magic != MAGIC:
             raise DatagramRejected("mark")
         if all(blake3(body, key=key).digest(MAC_BYTES) != mac for key in self._keys):
             raise DatagramRejected("mac")
-        if to != self.index or sender == self.index:
+        if recipient != self.index or sender == self.index:
             raise DatagramRejected("address")
         if not abs(wall - sent_at) <= MAX_CLOCK_DIFFERENCE_S:
             raise DatagramRejected("stale")
--- a/ledgehitch/gateway/record.py
+++ b/ledgehitch/gateway/record.py
@@ -1,9 +1,9 @@
-"""The flight recorder: every input and decision of the module in a bounded, rotated binary record.
+"""The flight recorder: writes every input and decision of the module to a bounded, rotated binary record.
 
-A record is segments `NAME.000001`, `NAME.000002`, ... Each starts with a magic line and a head (versions,
-seed and facts), then a checkpoint of the module, and holds entries framed as length, CRC-32 and msgpack. The
-oldest segments are removed; any one segment can be replayed from its checkpoint. An entry cut off by a crash
-is left out in reading.
+A record consists of segments `NAME.000001`, `NAME.000002`, ... Each starts with a magic line, a head with
+versions and a checkpoint of the module. Its entries are framed as length, CRC-32 and msgpack. The oldest
+segments are removed; each segment can be replayed from its own checkpoint. An entry cut off by a crash is
+skipped in reading.
 """
 
 import hashlib
@@ -33,7 +33,7 @@
 
 
 class BadRecord(BadInput):
-    """A file that is no record, or of another version of the format."""
+    """Raised for a file that is not a flight record, or that has another version of the format."""
 
 
 def module_digest() -> str:
@@ -41,12 +41,12 @@
 
 
 def encode_decision(decision: Any) -> list[Any]:
-    """A decision as it stands in the record: its name and its fields."""
+    """Returns a decision as it is recorded: the name of its class, then its fields in order."""
     return [type(decision).__name__, *astuple(decision)]
 
 
 class Recorder:
-    """Writes entries; `segment` bounds the bytes of entries behind a checkpoint, `keep` the segments."""
+    """Writes a record of up to `max_segments` segments, each with up to `segment_bytes` of entries."""
 
     def __init__(self, path: Path, segment_bytes: int = 16 << 20, max_segments: int = 4) -> None:
         self.path, self.segment_bytes, self.max_segments = path, segment_bytes, max(1, max_segments)
@@ -56,7 +56,7 @@
         self._size = 0
 
     def start_segment(self, gateway: Gateway) -> None:
-        """Starts a segment with the module as it is now (between pulls)."""
+        """Starts a segment with a checkpoint of the module. Must not be called during a pull."""
         if self._file is not None:
             self._file.close()
         self._number += 1
@@ -65,28 +65,29 @@
         self._file.write(MAGIC)
         self._write(["head", ledgehitch.__version__, module_digest(), sys.version.split()[0]])
         self._write(["state", dump_checkpoint(gateway)])
-        # Guards against a checkpoint larger than a segment starting a new one at every entry.
+        # The checkpoint is not counted: one larger than a segment would start a new segment at every entry.
         self._size = 0
         for old in segment_paths(self.path)[: -self.max_segments]:
             old.unlink(missing_ok=True)
         self.flush()
 
     def append(self, gateway: Gateway, name: str, args: Sequence[Any]) -> None:
-        # A checkpoint is the module before the entry that follows it; a pull is noted when it is over.
+        # A checkpoint holds the module as it was before the entry that follows. A pull is recorded only after
+        # it has changed the module, so that no segment may start with it.
         if self._file is None:
-            return  # closed: what still comes as the gateway ends is not part of the record
+            return  # closed: inputs during the gateway's shutdown are not recorded
         if self._size >= self.segment_bytes and name != "pulled":
             self.start_segment(gateway)
         self._write([name, *args])
 
-    def _write(self, thing: list[Any]) -> None:
+    def _write(self, entry: list[Any]) -> None:
         assert self._file is not None
-        data = self._encode(thing)
+        data = self._encode(entry)
         self._file.write(ENTRY_HEADER.pack(len(data), zlib.crc32(data)) + data)
         self._size += ENTRY_HEADER.size + len(data)
 
     def flush(self) -> None:
-        """Hands what is buffered to the operating system, which keeps it if this process dies."""
+        """Hands buffered entries to the operating system, so that they survive a crash of this process."""
         if self._file is not None:
             self._file.flush()
 
@@ -97,7 +98,7 @@
 
 
 def segment_paths(path: Path) -> list[Path]:
-    """The segments of a record, oldest first; a segment's own path stands for itself alone."""
+    """Returns the segments of a record, oldest first; the path of a segment gives that one alone."""
     if path.is_file():
         return [path]
     return sorted(p for p in path.parent.glob(path.name + ".*") if p.suffix[1:].isdigit())
@@ -108,10 +109,10 @@
 
 
 def read_entries(path: Path) -> Iterator[list[Any]]:
-    """The whole entries of a segment, up to where it was cut off."""
+    """Yields the complete entries of a segment; stops at one that is cut off or damaged."""
     with open(path, "rb") as file:
         if file.read(len(MAGIC)) != MAGIC:
-            raise BadRecord(f"{path}: not a record of this version")
+            raise BadRecord(f"{path}: not a flight record, or of another version of the format")
         while len(head := file.read(ENTRY_HEADER.size)) == ENTRY_HEADER.size:
             size, crc = ENTRY_HEADER.unpack(head)
             data = file.read(size) if size <= MAX_ENTRY_BYTES else b""
@@ -120,22 +121,22 @@
             yield msgspec.msgpack.decode(data)
 
 
-# ---- the module as bytes -----------------------------------------------------------------------------------
+# ---- checkpoints -------------------------------------------------------------------------------------------
 
 
 def dump_checkpoint(gateway: Gateway) -> bytes:
     if gateway.plan is not None:
-        raise ValueError("the module is in the middle of a pull")
+        raise ValueError("cannot checkpoint the module during a pull of decisions")
     limit = sys.getrecursionlimit()
     try:
-        sys.setrecursionlimit(max(limit, 20000))  # viewings and hosts refer to one another in long chains
+        sys.setrecursionlimit(max(limit, 20000))  # viewings and hosts refer to each other in long chains
         return pickle.dumps(gateway, protocol=4)
     finally:
         sys.setrecursionlimit(limit)
 
 
 class _CheckpointUnpickler(pickle.Unpickler):
-    """Takes the module's own classes and nothing else: a record may come from anywhere."""
+    """Loads the module's own classes and nothing else, since a record may come from an untrusted source."""
 
     ALLOWED = {("random", "Random"): random.Random, ("collections", "deque"): deque}
 
@@ -146,7 +147,7 @@
             if not isinstance(found, type) or found.__module__ != module:
                 found = None
         if found is None:
-            raise BadRecord(f"a record that asks for {module}.{name} is not one of ours")
+            raise BadRecord(f"the checkpoint refers to {module}.{name}, which is not a class of the module")
         return found
 
 
@@ -161,8 +162,8 @@
         ValueError,
         IndexError,
         KeyError,
-    ) as e:
-        raise BadRecord(f"the checkpoint does not read: {e}") from None
+    ) as error:
+        raise BadRecord(f"cannot read the checkpoint: {error}") from None
     if not isinstance(gateway, Gateway):
-        raise BadRecord("the checkpoint holds no module")
+        raise BadRecord("the checkpoint does not hold a decision module")
     return gateway
--- a/ledgehitch/gateway/replay.py
+++ b/ledgehitch/gateway/replay.py
@@ -1,4 +1,4 @@
-"""A record fed to the module again: the first difference, or that there is none."""
+"""Replays a flight record: feeds its inputs to the module again and compares the decisions."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -31,7 +31,7 @@
 
 @dataclass
 class ReplayResult:
-    """What a replay found. `difference` is empty when there is none."""
+    """The result of a replay. `difference` describes the first difference, and is empty without one."""
 
     entries: int = 0
     pulls: int = 0
@@ -41,42 +41,42 @@
 
 
 def replay_record(path: Path) -> ReplayResult:
-    """Replays each segment from its checkpoint (the state that the record holds, not a guess at it)."""
+    """Replays each segment from the checkpoint that it holds, up to the first difference."""
     found = segment_paths(path)
     if not found:
-        raise BadRecord(f"{path}: no record there")
-    verdict = ReplayResult()
+        raise BadRecord(f"{path}: no flight record found")
+    result = ReplayResult()
     for segment in found:
         gateway: Gateway | None = None
         for number, (name, *args) in enumerate(read_entries(segment), 1):
-            verdict.entries += 1
+            result.entries += 1
             if name == "head":
-                verdict.same_module &= args[1] == module_digest()
+                result.same_module &= args[1] == module_digest()
             elif name == "state":
                 gateway = load_checkpoint(args[0])
             elif gateway is None:
-                raise BadRecord(f"{segment}: entry {number}: no checkpoint before it")
+                raise BadRecord(f"{segment}: entry {number} has no checkpoint before it")
             elif name == "pulled":
-                verdict.pulls += 1
-                verdict.decisions += len(args[1])
+                result.pulls += 1
+                result.decisions += len(args[1])
                 difference = _first_difference(gateway, args[0], args[1])
                 if difference:
-                    verdict.difference = f"{segment}: entry {number}, at {args[0]:.6f}: {difference}"
-                    return verdict
+                    result.difference = f"{segment}: entry {number}, at {args[0]:.6f}: {difference}"
+                    return result
             elif name in INPUTS:
                 if name == "listed":
                     args[2] = [Row(**row) if isinstance(row, dict) else Row(*row) for row in args[2]]
                 INPUTS[name](gateway, *args)
             else:
-                raise BadRecord(f"{segment}: entry {number}: {name!r} is no input of the module")
-    return verdict
+                raise BadRecord(f"{segment}: entry {number}: {name!r} is not an input of the module")
+    return result
 
 
 def _first_difference(gateway: Gateway, now: float, recorded: list[Any]) -> str:
-    for i, before in enumerate(recorded):
+    for i, expected in enumerate(recorded):
         decision = gateway.decide(now)
-        after = encode_decision(decision) if decision is not None else None
-        if after != before:
-            return f"decision {i + 1} was {before}, is {after}"
-    more = gateway.decide(now)
-    return f"a further decision {encode_decision(more)}" if more is not None else ""
+        actual = encode_decision(decision) if decision is not None else None
+        if actual != expected:
+            return f"decision {i + 1} was {expected}, is {actual}"
+    extra = gateway.decide(now)
+    return f"a further decision {encode_decision(extra)}" if extra is not None else ""
--- a/ledgehitch/gateway/versions.py
+++ b/ledgehitch/gateway/versions.py
@@ -1,5 +1,6 @@
-"""Carries out reloads: a version is checked in a child process, so that the loop never waits for it, put in
-place, and the last good one kept on disk. What is done with a version is decided in `config/change.py`.
+"""Reloads of the site file: a version is checked in a child process, applied, and saved as the last good one.
+
+The event loop never waits for a check. What is done with a version is decided in `config/change.py`.
 """
 
 import os
@@ -16,12 +17,12 @@
 from ledgehitch.config.load import digest_of
 from ledgehitch.loop import Child, Loop, TimedOut
 
-CHECK_TIMEOUT_S = 30.0  # seconds for a version to be read and checked
+CHECK_TIMEOUT_S = 30.0  # for reading and checking a version
 log = structlog.get_logger("config")
 
 
 class CompiledSite(msgspec.Struct):
-    """A checked version as the child writes it and as it is kept on disk."""
+    """A checked version of the site, as the child process writes it and as it is saved on disk."""
 
     digest: str = ""
     data: Any = None
@@ -34,7 +35,7 @@
 
 
 class SiteReloader:
-    """One gateway's versions. `apply` is called with the site that new viewings go by."""
+    """Reloads the site of one gateway. `apply` is called with each site that takes effect."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         self._save(first)
 
     def reload(self) -> None:
-        """Starts a reload; several may be on their way, the last one asked for counts."""
+        """Starts a reload. Several may be in progress; the last one requested takes effect."""
         self._serial += 1
         self.loop.spawn(self._check, self._serial, name=f"reload {self._serial}")
 
@@ -94,7 +95,7 @@
                     assert site is not None
                     self.apply(site)
                     log.info(
-                        "a new version runs",
+                        "a new version of the site is in use",
                         digest=version.digest[:16],
                         waits_for_restart=list(waits),
                         titles=[f"{step} {title}" for step, title in steps[:20]],
@@ -102,7 +103,11 @@
                 case Keep(version):
                     self._save(self._sites[version.digest])
                 case Refuse(digest, reason):
-                    log.error("a version is refused, the one that runs stays", digest=digest[:16], why=reason)
+                    log.error(
+                        "a version of the site is refused, keeping the one in use",
+                        digest=digest[:16],
+                        why=reason,
+                    )
         known = (self.reloads.running.digest, self.reloads.told.digest)
         self._sites = {digest: one for digest, one in self._sites.items() if digest in known}
 
@@ -110,13 +115,13 @@
         if self.last_good_path is None:
             return
         self.last_good_path.parent.mkdir(parents=True, exist_ok=True)
-        partly = self.last_good_path.with_suffix(".new")
-        partly.write_bytes(msgspec.json.encode(one))
-        os.replace(partly, self.last_good_path)
+        temporary = self.last_good_path.with_suffix(".new")
+        temporary.write_bytes(msgspec.json.encode(one))
+        os.replace(temporary, self.last_good_path)
 
 
 def load_last_good(kept: Path | None) -> CompiledSite | None:
-    """The version kept on disk, if it is whole: its digest is that of what it holds."""
+    """Returns the version saved on disk if its digest matches its data, else None."""
     if kept is None:
         return None
     try:
@@ -129,15 +134,17 @@
 def load_first_version(
     source: Path, kept: Path | None, check: Callable[[Path], CompiledSite]
 ) -> CompiledSite:
-    """What a gateway starts with: its files, or loudly the last good version where they are broken."""
+    """Returns the version to start with: the files, or the last good version if they have mistakes."""
     found = check(source)
     if not found.mistakes and found.site is not None:
         return found
     old = load_last_good(kept)
     if old is None:
-        raise BadInput("\n".join(found.mistakes) or f"{source}: nothing there")
+        raise BadInput("\n".join(found.mistakes) or f"{source}: holds no site")
     log.error(
-        "THE FILES ARE BROKEN, the last good version is used", digest=old.digest[:16], mistakes=found.mistakes
+        "THE SITE FILES HAVE MISTAKES, starting with the last good version",
+        digest=old.digest[:16],
+        mistakes=found.mistakes,
     )
     return old
 
@@ -145,8 +152,10 @@
 def load_start_version(
     source: Path, name: str | None, state_dir: Path | None
 ) -> tuple[Site, str, tuple[Path, CompiledSite, Path | None]]:
-    """The site, the name of its gateway that this is (the first where none is given), and what versions begin
-    with."""
+    """Returns the site, the name of this gateway and the source for reloads.
+
+    Without `name` it is the site's first gateway. The source consists of the file, the first version and the
+    path of the last good version."""
     kept = state_dir / f"{name or 'gateway'}.site.json" if state_dir is not None else None
     first = load_first_version(source, kept, compile_site)
     site = first.site
@@ -160,14 +169,14 @@
 
 
 def compile_site(source: Path) -> CompiledSite:
-    """Reads and checks a version in this process."""
+    """Reads and checks a version of the site in this process."""
     from ledgehitch.config import read_site
     from ledgehitch.config.load import load
 
     if source.suffix != ".json":
         loaded = load(source)
         if loaded.mistakes or loaded.site is None:
-            return CompiledSite(mistakes=[m.told() for m in loaded.mistakes] or [f"{source}: nothing there"])
+            return CompiledSite(mistakes=[m.told() for m in loaded.mistakes] or [f"{source}: holds no site"])
         return CompiledSite(loaded.digest(), loaded.data, loaded.site)
     try:
         site = read_site(source)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -314,14 +314,14 @@
         def __reduce__(self) -> Any:
             return print, ("pwned",)
 
-    with pytest.raises(BadRecord, match="is not one of ours"):
+    with pytest.raises(BadRecord, match="is not a class of the module"):
         load_checkpoint(pickle.dumps(Evil()))
     with pytest.raises(BadRecord):
         load_checkpoint(b"\x80\x04N.")
     again = load_checkpoint(dump_checkpoint(gateway()))
     again.on_host_list(200.0, "total", rows())
     assert len(again.hosts) == 6
-    with pytest.raises(BadRecord, match="no record there"):
+    with pytest.raises(BadRecord, match="no flight record found"):
         replay_record(Path("/nonexistent/record"))
 
 
