--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -120,7 +120,7 @@
         # By viewing: cells, highest rung and patience of a request that waits for admission.
         self._awaiting_admission: dict[int, tuple[tuple[int, int], int, float]] = {}
         self.owner_task: Task | None = None  # owner of spawned tasks, so that they outlive the request
-        self.wake = Pump(loop, self._run_decisions).stir  # call after passing in an event
+        self.wake = Pump(loop, self._run_decisions).schedule  # call after passing in an event
 
     # ---- decisions -----------------------------------------------------------------------------------------
 
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -178,7 +178,7 @@
             "answers": {str(k): n for k, n in sorted(self.server.served.items())},
             "connections": len(self.server.open),
             "out_of_descriptors": self.server.listener.refused_for_descriptors,
-            "stood_still": self.loop.stood_still,
+            "stood_still": self.loop.suspensions,
             "failed_tasks": self.loop.failed,
             "to_hosts": {"opened": c.client.opened, "reused": c.client.reused, "idle": c.client.idle()},
             "peers_refused": dict(self.peer_codec.rejected) if self.peer_codec else {},
@@ -234,7 +234,9 @@
             if time.monotonic() - told >= STATISTICS_INTERVAL_S:
                 told = time.monotonic()
                 counts = msgspec.to_builtins(self.executor.counts)
-                log.info("figures", viewings=len(self.executor.viewings), **self.loop.lag.taken(), **counts)
+                log.info(
+                    "figures", viewings=len(self.executor.viewings), **self.loop.lag.take_figures(), **counts
+                )
 
     def stop(self) -> None:
         self.server.close()
--- a/ledgehitch/gateway/versions.py
+++ b/ledgehitch/gateway/versions.py
@@ -76,7 +76,7 @@
                 with self.loop.deadline(CHECK_TIMEOUT_S):
                     child.wait()
             except TimedOut:
-                child.end(0.5)
+                child.terminate(0.5)
             found = msgspec.json.decode(out.read_bytes(), type=CompiledSite)
         except (OSError, msgspec.MsgspecError) as problem:
             found = CompiledSite(mistakes=[f"{self.source} could not be checked: {problem}"])
--- a/ledgehitch/loop/__init__.py
+++ b/ledgehitch/loop/__init__.py
@@ -1,7 +1,7 @@
-"""The scheduler: greenlets over `select.poll`, with owned tasks, deadlines, timers, sockets and children.
+"""The event loop: greenlets over `select.poll`, with owned tasks, deadlines, timers, sockets, processes.
 
-It never runs a thread, never knows what the bytes mean, and never loses a task that failed.
-Start reading at `kernel.py`; `timers.py` and `lag.py` are free of I/O.
+Starts no threads, does not interpret the bytes of a stream, and reports each task that fails. Start reading
+at `kernel.py`; `timers.py` and `lag.py` are free of I/O.
 """
 
 from typing import TYPE_CHECKING, Any
@@ -11,13 +11,13 @@
 from ledgehitch.loop.sockets import Datagrams, Endpoint, Listener, Stream, connect, endpoint
 
 if TYPE_CHECKING:
-    from ledgehitch.loop.children import Child, forked
+    from ledgehitch.loop.children import Child, run_forked
     from ledgehitch.loop.tls import AnyStream, TlsStream
 
 __all__ = [
     "AnyStream",
     "TlsStream",
-    "forked",
+    "run_forked",
     "Cancelled",
     "Channel",
     "Child",
@@ -36,8 +36,8 @@
 
 
 def __getattr__(name: str) -> Any:
-    """TLS and children are loaded where they are used: a gateway on a small machine has no room for them."""
-    if name in ("Child", "forked"):
+    """Loads TLS and child processes on first use, to save memory in gateways on small machines."""
+    if name in ("Child", "run_forked"):
         from ledgehitch.loop import children
 
         return getattr(children, name)
