--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -41,7 +41,7 @@
 )
 from ledgehitch.signalling.decide import ORPHAN_GRACE_S, REPEAT_WINDOW_S
 from ledgehitch.standins.viewers import offer_of
-from tests.helpers import gateway, rows
+from tests.helpers import make_gateway, rows
 from tests.rig import site
 
 # ---- signalling --------------------------------------------------------------------------------------------
@@ -288,7 +288,7 @@
 def test_a_record_rotates_and_each_segment_replays_from_its_own_checkpoint(tmp_path: Path) -> None:
     from ledgehitch.gateway.mind import RecordedModule
 
-    mind = RecordedModule(gateway(), Recorder(tmp_path / "r", segment_bytes=20000, max_segments=3))
+    mind = RecordedModule(make_gateway(), Recorder(tmp_path / "r", segment_bytes=20000, max_segments=3))
     for n in range(300):
         mind.on_viewing_request(200 + n / 10, n, "plain", "t1", 0, 6, 3, 203 + n / 10)
         list(mind.decisions(200 + n / 10))
@@ -314,14 +314,14 @@
         def __reduce__(self) -> Any:
             return print, ("pwned",)
 
-    with pytest.raises(BadRecord, match="is not one of ours"):
+    with pytest.raises(BadRecord, match="is not a class of the module"):
         load_checkpoint(pickle.dumps(Evil()))
     with pytest.raises(BadRecord):
         load_checkpoint(b"\x80\x04N.")
-    again = load_checkpoint(dump_checkpoint(gateway()))
+    again = load_checkpoint(dump_checkpoint(make_gateway()))
     again.on_host_list(200.0, "total", rows())
     assert len(again.hosts) == 6
-    with pytest.raises(BadRecord, match="no record there"):
+    with pytest.raises(BadRecord, match="no flight record found"):
         replay_record(Path("/nonexistent/record"))
 
 
