--- a/ledgehitch/brain.py
+++ b/ledgehitch/brain.py
@@ -42,6 +42,7 @@
 # How much lower the target is for a step that earns next to nothing a kB. More leaves room for cheap steps.
 TARGET_USE_REDUCTION = 0.45
 SHORT_DELIVERY_SHARE = 0.98  # a delivered share below this is short
+MIN_DELIVERED_SHARE = 0.05  # a lower delivered share counts as this
 CROSS_ZONE_PENALTY = 3.0  # use added to a holder in another zone, for each unit of the crossing price
 TRIED_HOST_PENALTY = 0.5  # use added to a holder that failed the same viewing
 SECONDARY_USE_WEIGHT = 0.25  # weight of the less used of link and uplink when holders are compared
@@ -80,9 +81,11 @@
 MIN_SETUPS_SEEN, TALLY_HALVING_COUNT = 8, 40
 FAILURE_SHARE_MARGIN = 0.25  # a media host is suspended when its failure share exceeds the median by this
 FAILURES = Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET
+MIN_OUTCOMES_JUDGED = 4  # outcomes from which on the failure share of a media host counts
 MAX_CONSECUTIVE_FAILURES = 2  # this many failures in a row suspend a media host too, whatever the share
 SUSPENSION_S, SUSPENSION_JITTER_S = 4.0, 3.0  # a suspension lasts the first, plus up to the second at random
 COLD_BUDGET_SHARE = 0.8  # share of the budget of a cold media host that all gateways together plan to use
+COLD_WINDOW_MARGIN_S = 0.1  # time by which the window of that budget is extended
 MAX_LIST_LAG_S = 7.0  # longest lag of a list; for this time a restarted gateway takes unknown hosts for cold
 WARM_HOST_USE = 0.3  # with this much of its link used by other gateways, a media host did not just start
 LIST_RETRY_S, LIST_RETRY_JITTER_S = 1.0, 5.0  # delay of a new request for a lost list, and random part
@@ -91,6 +94,8 @@
 # more when there is none.
 FEW_WAITING = 8
 RATE_CHANGE = struct.Struct(">Hh")  # a change sent to other gateways: key of the media host, kB a second
+MAX_RATE_CHANGE_KB = 32767  # what the signed 16 bits of the second field hold
+MAX_CHANGES_PER_MESSAGE = 60
 PEER_FANOUT = 2  # gateways that each message goes to; each further one costs as much again
 PATIENCE_MARGIN_S = 0.03  # time kept free before patience ends
 
@@ -172,6 +177,7 @@
         self.uses_of: tuple[float, int, int, int] | None = None
 
     def failure_share(self) -> float:
+        """Returns the share of failed set-ups, biased towards 0 while there are few."""
         return self.bad / (self.good + self.bad + 2.0)
 
 
@@ -248,6 +254,7 @@
         self.hosts: dict[str, MediaHost] = {}
         self.named = 0  # number of media hosts ever listed
         self.busy: dict[int, MediaHost] = {}  # hosts with viewings of this gateway, by number
+        # Uplink and media hosts of each rack.
         self.racks: list[tuple[Use, list[MediaHost]]] = [
             (Use(fleet.uplink_kb or 1e12), []) for _ in range(max(1, fleet.racks))
         ]
@@ -410,7 +417,7 @@
                 # A new shortage gets its round of steps at once instead of seconds later.
                 host.tick_at = host.tick_at if host.short else now
                 host.short, host.share_at = True, now
-                self._record_short_delivery(now, at, host, max(value, 0.05))
+                self._record_short_delivery(now, at, host, max(value, MIN_DELIVERED_SHARE))
             elif host.short:
                 host.short = False
                 for use in (host.link, host.uplink):
@@ -463,6 +470,7 @@
         self.waiting[viewing_id] = viewing
 
     def on_viewer_left(self, now: float, viewing_id: int) -> None:
+        """Forgets a viewing that waits; one with a tune-in under way is forgotten with its outcome."""
         viewing = self.viewings.get(viewing_id)
         if viewing is not None and self.waiting.pop(viewing_id, None) is not None:
             del self.viewings[viewing_id]
@@ -477,6 +485,7 @@
     def on_probe_result(
         self, now: float, host_name: str, code: int, latency: float, loads: Sequence[float] = ()
     ) -> None:
+        """Takes the answer to a probe, or its failure."""
         self.inputs += 1
         self._record_loads(now, self.hosts.get(host_name), loads)
 
@@ -501,6 +510,7 @@
     def _add_viewing(
         self, viewing_id: int, package_name: str, title: str, cells: tuple[int, int], top: int
     ) -> Viewing:
+        # An unknown package gets a join target of 1 s and a patience of 3 s.
         package = self.packages.get(package_name) or Package(package_name, 1.0, 3.0)
         tables = self.tables.get(package_name) or Tables(package, self.rates, self.gains, self.best)
         viewing = self.viewings[viewing_id] = Viewing(
@@ -516,6 +526,7 @@
         self._book_rate(now, viewing, viewing.rung)
 
     def _rate_kb(self, viewing: Viewing, rung: int) -> float:
+        """Returns the rate of a viewing at a rung, in kB a second."""
         return viewing.rates[min(rung, len(viewing.rates) - 1)]
 
     def _book_rate(self, now: float, viewing: Viewing, rung: int | None) -> None:
@@ -528,7 +539,8 @@
             self._add_change(now, viewing.host, kb - viewing.kb)
             if self.terms.may_tell:
                 self.untold += RATE_CHANGE.pack(
-                    viewing.host.mark, max(-32767, min(32767, round(kb - viewing.kb)))
+                    viewing.host.mark,
+                    max(-MAX_RATE_CHANGE_KB, min(MAX_RATE_CHANGE_KB, round(kb - viewing.kb))),
                 )
         viewing.kb = kb
 
@@ -556,9 +568,9 @@
     def _record_short_delivery(self, now: float, at: float, host: MediaHost, share: float) -> None:
         """Records a use of 1 / share for whichever of link and uplink is the bottleneck.
 
-        One media host that stalls must not make its uplink look smaller. So the uplink is blamed only
-        when it is reported fuller than the link, when two hosts of the rack are short whose links have room,
-        or when the host is the only one of the rack in use and still delivers a fair share.
+        One media host that stalls must not make its uplink look smaller. So the uplink is blamed only when it
+        is reported fuller than the link, when two hosts of the rack are short whose links have room, or when
+        the host is the only one of the rack in use and still delivers a fair share.
         """
         uplink = host.uplink
         rack = [x for x in host.rack if x.viewings and x.told_link < STEP_DOWN_USE]
@@ -601,14 +613,15 @@
             # it is not overloaded as it comes up.
             host.cold_until = max(host.cold_until, now + self.terms.warm_up)
         if code == Outcome.FULL:
-            # Not asked again and again, whether its link is full or its places are.
+            # Whether its link or its slots are full, it is not to be asked again and again.
             host.link.record_reading(now, now, max(host.told_link, self.fleet.full_from, 1.0))
         suspend = was_playing and code == Outcome.RESET
         if not was_playing and code in FAILURES:
             self._count_outcome(host, False)
             median_share = median(x.failure_share() for x in self.hosts.values())
             suspend = host.in_a_row >= MAX_CONSECUTIVE_FAILURES or (
-                host.good + host.bad >= 4 and host.failure_share() > median_share + FAILURE_SHARE_MARGIN
+                host.good + host.bad >= MIN_OUTCOMES_JUDGED
+                and host.failure_share() > median_share + FAILURE_SHARE_MARGIN
             )
         if suspend:
             host.aside_until = max(
@@ -667,6 +680,7 @@
         return decision
 
     def _decisions(self, now: float) -> Iterator[Decision]:
+        """Yields all decisions that are due now: list request, placement, steps, messages to gateways."""
         if self.list_due is not None and now >= self.list_due:
             self.list_due = now + (0.5 * self.terms.ask_within or LIST_RETRY_S)
             yield interface.Subscribe()
@@ -694,7 +708,7 @@
                     yield interface.Probe(host.row.host)  # load is reported on request only
                 yield from self._step_viewings(now, host)
         if self.untold:
-            message, self.untold = self.untold[: RATE_CHANGE.size * 60], b""
+            message, self.untold = self.untold[: RATE_CHANGE.size * MAX_CHANGES_PER_MESSAGE], b""
             # A message is of use only to gateways that play on the same hosts. Its chance of being sent is
             # the share of hosts on which this gateway itself plays.
             if self.chance.random() * len(self.hosts) < len(self.busy):
@@ -778,6 +792,7 @@
         )
 
     def _highest_fitting_rung(self, now: float, viewing: Viewing, host: MediaHost) -> int | None:
+        """Returns the highest rung at which a viewing fits at a host, or None where none does."""
         link, uplink = self._current_use(now, host)
         for rung in range(viewing.top, viewing.package.floor - 1, -1):
             limit = viewing.marks[rung] if rung > viewing.package.floor else LOWEST_RUNG_MAX_USE
@@ -842,7 +857,7 @@
         # On small sites the budget comes to less than one set-up. One in a window is allowed all the same.
         budget, n = max(1, int(self.cold_budget * slots)), self.gateways
         own_part = budget // n + ((self.terms.ordinal - host.mark) % n < budget % n)
-        while host.sent and host.sent[0] < now - self.terms.fall_after - 0.1:
+        while host.sent and host.sent[0] < now - self.terms.fall_after - COLD_WINDOW_MARGIN_S:
             host.sent.popleft()
         return len(host.sent) >= own_part
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -40,6 +40,7 @@
 def make_gateway(
     package: Package = PLAIN, terms: Terms = TERMS, fleet: Fleet = FLEET, hosts: int = 6
 ) -> Gateway:
+    """Returns a gateway that knows some media hosts, which started before it."""
     gateway = Gateway(7, 100.0, LADDER, (package,), fleet, terms)
     gateway.on_host_list(100.0, "warm_copy", rows(hosts))
     return gateway
@@ -57,6 +58,7 @@
 def request(
     gateway: Gateway, now: float, viewing_id: int, package: str = "plain", spread: int = 6, top: int = 3
 ) -> None:
+    """Requests a viewing of a title that `spread` cells hold."""
     gateway.on_viewing_request(now, viewing_id, package, "t1", 0, spread, top, now + 3.0)
 
 
@@ -65,9 +67,8 @@
 
     def __init__(self, gateway: Gateway, terms: Terms, slots: int) -> None:
         self.gateway, self.terms, self.slots = gateway, terms, slots
-        self.open: dict[
-            int, tuple[Package, str, float, int]
-        ] = {}  # unanswered: package, title, patience, top
+        # Package, title, patience and top of the requests not answered yet.
+        self.open: dict[int, tuple[Package, str, float, int]] = {}
         self.known: dict[int, tuple[Package, str, float, int]] = {}  # the same, of all requests ever made
         self.out: dict[int, tuple[str, int, float]] = {}  # tune-ins under way: host, number, end
         self.playing: dict[int, str] = {}
