--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -39,7 +39,7 @@
 from ledgehitch.owners.facts import BUDGETS
 from ledgehitch.owners.words import NO_MEMBER
 from ledgehitch.rehearsal.fleet import FleetRig
-from tests.explore_budgets import CORNERS, explored, walked
+from tests.explore_budgets import SCENARIOS, explore, walk
 
 PACKAGE = "live"
 UNIT = Budget(offers_budget(PACKAGE), "rate")
@@ -373,13 +373,13 @@
     """All interleavings of each corner up to a share of `most`, and walks that go deeper."""
     out: dict[str, Any] = {}
     began, total = time.monotonic(), 0
-    for name, corner in CORNERS.items():
-        found, deeper = explored(most // len(CORNERS), corner), walked(1, 300, 60, corner)
+    for name, corner in SCENARIOS.items():
+        found, deeper = explore(most // len(SCENARIOS), corner), walk(1, 300, 60, corner)
         total += found.states + deeper.states
         out[name] = {
             "states": found.states,
             "walked": deeper.states,
-            "whole": found.whole,
+            "whole": found.complete,
             "breach": found.breach or deeper.breach,
         }
     return {"corners": out, "states": total, "seconds": round(time.monotonic() - began, 1)}
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -24,7 +24,7 @@
 from ledgehitch.owners.words import decode, encode
 from ledgehitch.rehearsal.fleet import FleetRig
 from ledgehitch.standins.cuts import Bad, Cuts
-from tests.explore_owners import CORNERS, explored, walked
+from tests.explore_owners import SCENARIOS, explore, walk
 
 FRAME = 52  # bytes of head and MAC around the words
 
@@ -186,9 +186,9 @@
     """All interleavings of each corner up to a share of `most`, and walks that go deeper."""
     out: dict[str, Any] = {}
     began, total = time.monotonic(), 0
-    for name, corner in CORNERS.items():
-        found = explored(most // len(CORNERS), corner)
-        deeper = walked(1, 300, 60, corner)
+    for name, corner in SCENARIOS.items():
+        found = explore(most // len(SCENARIOS), corner)
+        deeper = walk(1, 300, 60, corner)
         total += found.states + deeper.states
         out[name] = {"states": found.states, "walked": deeper.states, "breach": found.breach or deeper.breach}
     return {"corners": out, "states": total, "seconds": round(time.monotonic() - began, 1)}
--- a/tests/explore_owners.py
+++ b/tests/explore_owners.py
@@ -1,12 +1,13 @@
-"""Interleavings of a small fleet, for the promises of `votes.py` and `memory.py`.
+"""Interleavings of a small fleet, for the invariants of `votes.py` and `memory.py`.
 
-Members stand, ask, vote, renew, check, act and give back; messages are lost, doubled, late and overtake each
-other; members stop between check and effect, crash with what was not on disk, come back with an old file or
-none, and go by another list of gateways. Clocks run at different rates, within the bound that is given here
-as a factor of two so that whole steps of time show it. All classes are the ones that gateways run.
+Members become candidates, request votes, vote, renew, check, send effects and release leases. Messages are
+lost, duplicated, delayed and reordered. Members stop between check and effect, crash and lose what was not on
+disk, restart with a stale file or none, and switch to another list of gateways. Clocks run at different
+rates, within a bound of a factor of two here, so that whole time steps show the difference. All classes are
+the production ones.
 
-Never: an effect taken under a term after one under a higher term was taken by the same receiver; two owners
-at one true moment.
+Invariants: a receiver accepts no effect of a lower term after one of a higher term; there are never two
+owners at the same true time.
 """
 
 from collections.abc import Iterator
@@ -36,50 +37,50 @@
     known: int = 0
 
 
-class Corner(NamedTuple):
-    """Which steps are taken at all: fewer of them are gone through to a greater depth."""
+class Scenario(NamedTuple):
+    """Which steps are possible: with fewer of them the exploration goes deeper."""
 
-    stated: int = 3
+    members: int = 3
     rates: tuple[float, ...] = (1.0, FAST, 1.0)
-    standing: frozenset[int] = frozenset({0, 1})
-    crashers: frozenset[int] = frozenset()
-    stale: frozenset[int] = frozenset()  # come back with the file of their first life
-    empty: frozenset[int] = frozenset()  # come back with none
+    candidates: frozenset[int] = frozenset({0, 1})
+    may_crash: frozenset[int] = frozenset()
+    stale_restarts: frozenset[int] = frozenset()  # members that restart with the file of their first life
+    empty_restarts: frozenset[int] = frozenset()  # members that restart without a file
     receiver: int = 2
-    changes: frozenset[int] = frozenset()  # start anew by the longer list
-    longer: int = 0  # its length
+    list_changes: frozenset[int] = frozenset()  # members that restart with the longer list
+    longer_list: int = 0  # its length
     effects: bool = True
-    gives_back: bool = False
-    ends: float = 6.0
-    lives: int = 2
-    terms: int = 3
-    most_wire: int = 2
-    doubles: bool = True
+    may_release: bool = False
+    max_time: float = 6.0
+    max_lives: int = 2
+    max_term: int = 3
+    max_in_flight: int = 2
+    duplicates: bool = True
 
 
 SLOW = (1.0, 1.0, 1.0)
-LEASES = Corner(terms=2, ends=4.0, effects=False)
-CRASHES = Corner(crashers=frozenset({1, 2}), rates=SLOW, effects=False, terms=2, ends=4.0)
-FENCES = Corner(crashers=frozenset({2}), rates=SLOW, terms=2, ends=3.0, doubles=False)
-GIVEN = Corner(gives_back=True, rates=SLOW, terms=3, ends=2.0)
-LOST = Corner(empty=frozenset({2}), rates=SLOW, terms=2, ends=6.0, doubles=False)
-OLD = LOST._replace(empty=frozenset(), stale=frozenset({2}))
-CHANGE = Corner(
+LEASES = Scenario(max_term=2, max_time=4.0, effects=False)
+CRASHES = Scenario(may_crash=frozenset({1, 2}), rates=SLOW, effects=False, max_term=2, max_time=4.0)
+FENCES = Scenario(may_crash=frozenset({2}), rates=SLOW, max_term=2, max_time=3.0, duplicates=False)
+RELEASED = Scenario(may_release=True, rates=SLOW, max_term=3, max_time=2.0)
+LOST = Scenario(empty_restarts=frozenset({2}), rates=SLOW, max_term=2, max_time=6.0, duplicates=False)
+STALE = LOST._replace(empty_restarts=frozenset(), stale_restarts=frozenset({2}))
+CHANGE = Scenario(
     rates=(1.0,) * 5,
-    standing=frozenset({0, 2}),
-    changes=frozenset({1, 2}),
-    longer=5,
+    candidates=frozenset({0, 2}),
+    list_changes=frozenset({1, 2}),
+    longer_list=5,
     effects=False,
-    ends=5.0,
-    terms=2,
+    max_time=5.0,
+    max_term=2,
 )
-CORNERS = {
+SCENARIOS = {
     "leases": LEASES,
     "crashes": CRASHES,
     "fences": FENCES,
-    "given back": GIVEN,
+    "given back": RELEASED,
     "lost": LOST,
-    "old": OLD,
+    "old": STALE,
     "change": CHANGE,
 }
 
@@ -108,52 +109,54 @@
     "time",
     "time",
 )
-# Planted faults: the corner in which each shows, and the steps that lead near it where it lies deep.
-PLANTED: dict[str, tuple[str, tuple[str, ...]]] = {
-    "votes are not on disk": ("crashes", ("0 stands, 1", "0 asks 2", *ELECTED[2:], "2 crashes", "2 starts")),
-    "votes at once after a restart": ("crashes", ("0 stands, 1", "0 asks 2", "arrives: ask", "2 crashes")),
+# By injected fault: the scenario that shows it, and the steps to start from if it takes many.
+INJECTED_FAULTS: dict[str, tuple[str, tuple[str, ...]]] = {
+    "votes are not stored": ("crashes", ("0 stands, 1", "0 asks 2", *ELECTED[2:], "2 crashes", "2 starts")),
+    "voting at once after a restart": ("crashes", ("0 stands, 1", "0 asks 2", "arrives: ask", "2 crashes")),
     "lease counted from the answer": ("leases", ("0 stands, 1", "0 asks 1", "arrives: ask", "time", "time")),
-    "no allowance for clocks": ("leases", (*ELECTED, "time")),
+    "no allowance for clock drift": ("leases", (*ELECTED, "time")),
     "no fence": ("fences", (*ELECTED, "0 checks", "time", "time", *SECOND)),
     "fence forgotten at a restart": ("fences", (*ELECTED, "0 checks", "time", "time", *SECOND)),
-    "majority of those alive": ("crashes", ("1 crashes", "2 crashes")),
-    "an old file is believed": ("old", ACTED),
-    "a lost file is believed": ("lost", ACTED),
-    "the new list alone": ("change", (*ELECTED, "2 crashes", "2 starts")),
+    "majority of the live members": ("crashes", ("1 crashes", "2 crashes")),
+    "a stale file is trusted": ("old", ACTED),
+    "a lost file counts as intact": ("lost", ACTED),
+    "majority of the new list only": ("change", (*ELECTED, "2 crashes", "2 starts")),
 }
 
 
 @dataclass
 class World:
-    corner: Corner
-    spoilt: str
+    scenario: Scenario
+    fault: str
     now: float = 0.0
     members: list[DurableState | None] = field(default_factory=list)
     leases: list[Lease | None] = field(default_factory=list)
-    checked: list[int] = field(default_factory=list)  # the term found good, by who stopped before its effect
+    checked: list[int] = field(
+        default_factory=list
+    )  # by member: checked term of an effect not sent yet, or 0
     disks: list[Any] = field(default_factory=list)
     first: list[Any] = field(default_factory=list)  # the file of the first life
     lives: list[int] = field(default_factory=list)
-    wire: tuple[Message, ...] = ()
-    taken: int = 0  # the highest term of an effect that was taken
+    in_flight: tuple[Message, ...] = ()
+    highest_effect_term: int = 0  # of the effects that were accepted
     breach: str = ""
 
     def clock(self, me: int) -> float:
-        return self.now * self.corner.rates[me]
+        return self.now * self.scenario.rates[me]
 
-    def copied(self) -> "World":
+    def copy(self) -> "World":
         return World(
-            self.corner,
-            self.spoilt,
+            self.scenario,
+            self.fault,
             self.now,
-            [m and _memory(m) for m in self.members],
-            [one and _lease(one) for one in self.leases],
+            [m and _copy_state(m) for m in self.members],
+            [one and _copy_lease(one) for one in self.leases],
             list(self.checked),
             list(self.disks),
             self.first,
             list(self.lives),
-            self.wire,
-            self.taken,
+            self.in_flight,
+            self.highest_effect_term,
             self.breach,
         )
 
@@ -161,8 +164,8 @@
         return (
             self.breach,
             self.now,
-            self.wire,
-            self.taken,
+            self.in_flight,
+            self.highest_effect_term,
             tuple(self.checked),
             tuple(self.lives),
             tuple(
@@ -188,150 +191,156 @@
         )
 
     def safe(self) -> bool:
-        """Looks at copies: looking ends no lease."""
+        """Checks copies, since checking a lease may end it."""
         if self.breach:
             return False
         holding = 0
         for me, lease in enumerate(self.leases):
             if lease is not None and self.members[me] is not None:
-                holding += _lease(lease).is_valid(self.clock(me))
+                holding += _copy_lease(lease).is_valid(self.clock(me))
         if holding > 1:
             self.breach = "two owners at one moment"
         return not self.breach
 
-    # ---- what members do -----------------------------------------------------------------------------------
+    # ---- actions of members --------------------------------------------------------------------------------
 
-    def keep(self, me: int) -> None:
-        if self.spoilt != "votes are not on disk":
+    def store(self, me: int) -> None:
+        if self.fault != "votes are not stored":
             m = self.members[me]
             assert m is not None
             self.disks[me] = m.record()
 
     def start(self, me: int, held: Any, longer: bool = False) -> None:
-        c = self.corner
-        n = c.longer if longer or me >= c.stated else c.stated
+        scenario = self.scenario
+        n = scenario.longer_list if longer or me >= scenario.members else scenario.members
         stated = tuple(str(i) for i in range(n))
-        if held is not None and self.spoilt == "the new list alone":
+        if held is not None and self.fault == "majority of the new list only":
             held = {**held, "current": list(stated), "former": []}
-        promise = LEASE * FAST if self.spoilt != "no allowance for clocks" else LEASE
-        if max(c.rates) == 1.0:
+        promise = LEASE * FAST if self.fault != "no allowance for clock drift" else LEASE
+        if max(scenario.rates) == 1.0:
             promise = LEASE
         self.lives[me] += 1
         m = DurableState(self.clock(me), str(me), stated, (DUTY,), LEASE, held, self.lives[me], promise)
-        if self.spoilt == "votes at once after a restart":
+        if self.fault == "voting at once after a restart":
             m.voters[DUTY].bound_until = -1e18
-        if self.spoilt == "fence forgotten at a restart":
+        if self.fault == "fence forgotten at a restart":
             m.fence = Fence()
-        if self.spoilt == "a lost file is believed":
+        if self.fault == "a lost file counts as intact":
             m.intact, m.confirmed, m.may_vote_from = True, True, self.clock(me) + promise
-        # Where nobody comes back with another file than its own, greetings only add states: left out.
-        if not c.stale and not c.empty:
+        # If all members restart with their own file, greetings only add states and are left out.
+        if not scenario.stale_restarts and not scenario.empty_restarts:
             m.confirmed, m.may_vote_from = True, min(m.may_vote_from, self.clock(me))
         self.members[me] = m
-        if self.spoilt != "votes are not on disk":
+        if self.fault != "votes are not stored":
             self.disks[me] = m.record()
 
     def crash(self, me: int) -> None:
         self.members[me] = self.leases[me] = None
         self.checked[me] = 0
 
-    def stands(self, me: int, above: int) -> bool:
-        """`above`: by how much over the highest term that it gave; it may have heard of others."""
+    def start_candidacy(self, me: int, above: int) -> bool:
+        """Starts a candidacy `above` the highest term voted for, as a member may know of higher terms."""
         m, now = self.members[me], self.clock(me)
         assert m is not None
         voter = m.voters[DUTY]
-        if not m.may_vote(now) or voter.term + above > self.corner.terms:
+        if not m.may_vote(now) or voter.term + above > self.scenario.max_term:
             return False
         if not voter.on_vote_request(now, voter.term + above, str(me)):
             return False
-        self.keep(me)
+        self.store(me)
         lists = m.lists
-        if self.spoilt == "majority of those alive":
+        if self.fault == "majority of the live members":
             lists = MemberLists(tuple(str(i) for i, one in enumerate(self.members) if one is not None))
         self.leases[me] = Lease(voter.term, lists, LEASE)
-        self._own(me)
+        self._vote_for_itself(me)
         return True
 
-    def _own(self, me: int) -> None:
+    def _vote_for_itself(self, me: int) -> None:
         m, lease, now = self.members[me], self.leases[me], self.clock(me)
         assert m is not None and lease is not None
         if m.voters[DUTY].on_vote_request(now, lease.term, str(me)):
             lease.on_grant(str(me), now)
 
-    def asks(self, me: int, to: int) -> None:
+    def request_vote(self, me: int, to: int) -> None:
         m, lease = self.members[me], self.leases[me]
         assert m is not None and lease is not None
-        self._own(me)
-        self.wire += (Message("ask", me, to, lease.term, self.clock(me), m.lists.digests()),)
+        self._vote_for_itself(me)
+        self.in_flight += (Message("ask", me, to, lease.term, self.clock(me), m.lists.digests()),)
 
-    def gives_back(self, me: int, to: int) -> None:
+    def release(self, me: int, to: int) -> None:
         m, lease = self.members[me], self.leases[me]
         assert m is not None and lease is not None
         m.voters[DUTY].on_release(lease.term, str(me))
-        self.keep(me)
+        self.store(me)
         self.leases[me] = None
-        self.wire += (Message("back", me, to, lease.term),)
+        self.in_flight += (Message("back", me, to, lease.term),)
 
-    def deliver(self, x: Message) -> None:
-        m, now = self.members[x.to], self.clock(x.to)
+    def deliver(self, message: Message) -> None:
+        m, now = self.members[message.to], self.clock(message.to)
         if m is None:
             return
-        if x.lists[0]:
-            m.on_member_list(now, str(x.sender), x.lists[0])
-        match x.kind:
+        if message.lists[0]:
+            m.on_member_list(now, str(message.sender), message.lists[0])
+        match message.kind:
             case "ask":
-                if not m.may_vote(now) or not m.lists.covered_by(*x.lists):
+                if not m.may_vote(now) or not m.lists.covered_by(*message.lists):
                     return
-                if m.voters[DUTY].on_vote_request(now, x.term, str(x.sender)):
-                    lease = self.leases[x.to]
-                    if lease is not None and lease.term < x.term:
-                        self.leases[x.to] = None
-                    self.keep(x.to)
-                    back = x._replace(kind="grant", sender=x.to, to=x.sender, lists=m.lists.digests())
-                    self.wire += (back,)
+                if m.voters[DUTY].on_vote_request(now, message.term, str(message.sender)):
+                    lease = self.leases[message.to]
+                    if lease is not None and lease.term < message.term:
+                        self.leases[message.to] = None
+                    self.store(message.to)
+                    back = message._replace(
+                        kind="grant", sender=message.to, to=message.sender, lists=m.lists.digests()
+                    )
+                    self.in_flight += (back,)
             case "grant":
-                lease = self.leases[x.to]
-                if lease is not None and lease.term == x.term:
-                    from_answer = self.spoilt == "lease counted from the answer"
-                    lease.on_grant(str(x.sender), now if from_answer else x.asked_at)
+                lease = self.leases[message.to]
+                if lease is not None and lease.term == message.term:
+                    from_answer = self.fault == "lease counted from the answer"
+                    lease.on_grant(str(message.sender), now if from_answer else message.asked_at)
             case "back":
-                if m.voters[DUTY].on_release(x.term, str(x.sender)):
-                    self.keep(x.to)
+                if m.voters[DUTY].on_release(message.term, str(message.sender)):
+                    self.store(message.to)
             case "effect":
-                self._effect(x, m)
+                self._effect(message, m)
             case "greet":
-                known = m.on_greeting(str(x.sender), x.life, x.nonce)
-                self.keep(x.to)
+                known = m.on_greeting(str(message.sender), message.life, message.nonce)
+                self.store(message.to)
                 sound = m.intact or (m.confirmed and not m.bootstrapped)
-                self.wire += (
+                self.in_flight += (
                     Message(
                         "greeted",
-                        x.to,
-                        x.sender,
+                        message.to,
+                        message.sender,
                         max(m.terms()),
                         0.0,
                         m.lists.digests(),
                         m.life,
-                        x.nonce,
+                        message.nonce,
                         sound,
                         known,
                     ),
                 )
             case "greeted":
-                if x.nonce == m.nonce:
-                    m.on_greeting_response(now, str(x.sender), x.known, x.sound, (x.term,))
+                if message.nonce == m.nonce:
+                    m.on_greeting_response(
+                        now, str(message.sender), message.known, message.sound, (message.term,)
+                    )
 
-    def _effect(self, x: Message, m: DurableState) -> None:
+    def _effect(self, message: Message, m: DurableState) -> None:
         if not m.confirmed:
             return
-        if self.spoilt == "no fence" or m.fence.accepts(DUTY, x.term):
-            self.keep(x.to)
-            if x.term < self.taken:
-                self.breach = f"an effect of term {x.term} was taken after one of term {self.taken}"
-            self.taken = max(self.taken, x.term)
+        if self.fault == "no fence" or m.fence.accepts(DUTY, message.term):
+            self.store(message.to)
+            if message.term < self.highest_effect_term:
+                self.breach = (
+                    f"an effect of term {message.term} was taken after one of term {self.highest_effect_term}"
+                )
+            self.highest_effect_term = max(self.highest_effect_term, message.term)
 
 
-def _memory(m: DurableState) -> DurableState:
+def _copy_state(m: DurableState) -> DurableState:
     new = DurableState.__new__(DurableState)
     new.__dict__.update(m.__dict__)
     old = m.voters[DUTY]
@@ -341,116 +350,125 @@
     return new
 
 
-def _lease(lease: Lease) -> Lease:
+def _copy_lease(lease: Lease) -> Lease:
     new = Lease(lease.term, lease.lists, lease.duration)
     new.requested_at, new.ended, new._latest_read = dict(lease.requested_at), lease.ended, lease._latest_read
     return new
 
 
-def begun(corner: Corner, spoilt: str = "") -> World:
-    n = max(corner.stated, corner.longer)
-    w = World(corner, spoilt, 0.0, [None] * n, [None] * n, [0] * n, [None] * n, [None] * n, [0] * n)
-    stated = tuple(str(i) for i in range(corner.stated))
+def make_world(scenario: Scenario, fault: str = "") -> World:
+    n = max(scenario.members, scenario.longer_list)
+    world = World(scenario, fault, 0.0, [None] * n, [None] * n, [0] * n, [None] * n, [None] * n, [0] * n)
+    stated = tuple(str(i) for i in range(scenario.members))
     for me in range(n):
-        if me < corner.stated:
+        if me < scenario.members:
             m = DurableState(0.0, str(me), stated, (DUTY,), LEASE, None, 0)
-            m.intact, m.life = True, 0  # all have told each other that they begin
-            w.disks[me] = w.first[me] = m.record()
-        w.start(me, w.disks[me])
-        one = w.members[me]
+            m.intact, m.life = True, 0  # all members have exchanged greetings
+            world.disks[me] = world.first[me] = m.record()
+        world.start(me, world.disks[me])
+        one = world.members[me]
         assert one is not None
         one.confirmed, one.may_vote_from = True, 0.0
         one.lives = {str(i): (1, 1) for i in range(n) if i != me}
-        # The old copy is of the life that runs: its number of lives does not tell it from the last one.
-        w.disks[me] = w.first[me] = one.record()
-    return w
+        # The stale copy is of the running life: the number of lives does not distinguish it.
+        world.disks[me] = world.first[me] = one.record()
+    return world
 
 
-def steps(w: World) -> Iterator[tuple[str, World]]:
-    """Every world that one step leads to, with the step in words."""
-    c = w.corner
-    room = len(w.wire) < c.most_wire
-    if w.now < c.ends:
-        new = w.copied()
+def steps(world: World) -> Iterator[tuple[str, World]]:
+    """Yields every world that one step leads to, with a description of the step."""
+    scenario = world.scenario
+    room = len(world.in_flight) < scenario.max_in_flight
+    if world.now < scenario.max_time:
+        new = world.copy()
         new.now += 1.0
         for me, m in enumerate(new.members):
             if m is not None and m.settle(new.clock(me)):
-                new.keep(me)
+                new.store(me)
         yield "time passes", new
-    for me, m in enumerate(w.members):
+    for me, m in enumerate(world.members):
         if m is None:
-            if me in c.changes and w.lives[me] < c.lives:
-                new = w.copied()
-                new.start(me, w.disks[me], True)
+            if me in scenario.list_changes and world.lives[me] < scenario.max_lives:
+                new = world.copy()
+                new.start(me, world.disks[me], True)
                 yield f"{me} starts by the longer list", new
-            elif w.lives[me] < c.lives:
-                held = None if me in c.empty | c.stale else w.disks[me]
-                if w.spoilt == "an old file is believed":
-                    held = w.first[me]
-                new = w.copied()
+            elif world.lives[me] < scenario.max_lives:
+                held = None if me in scenario.empty_restarts | scenario.stale_restarts else world.disks[me]
+                if world.fault == "a stale file is trusted":
+                    held = world.first[me]
+                new = world.copy()
                 new.start(me, held)
                 yield f"{me} starts", new
             continue
-        if me in c.crashers | c.stale | c.empty | c.changes and w.lives[me] < c.lives:
-            new = w.copied()
+        if (
+            me
+            in scenario.may_crash | scenario.stale_restarts | scenario.empty_restarts | scenario.list_changes
+            and world.lives[me] < scenario.max_lives
+        ):
+            new = world.copy()
             new.crash(me)
             yield f"{me} crashes", new
-        yield from _owner_steps(w, me, room)
-        if (c.stale or c.empty) and not m.confirmed and room:
-            for to in range(c.stated):
-                if to != me and str(to) not in m.greeting_responses and w.members[to] is not None:
-                    new = w.copied()
-                    new.wire += (Message("greet", me, to, 0, 0.0, m.lists.digests(), m.life, m.nonce),)
+        yield from _owner_steps(world, me, room)
+        if (scenario.stale_restarts or scenario.empty_restarts) and not m.confirmed and room:
+            for to in range(scenario.members):
+                if to != me and str(to) not in m.greeting_responses and world.members[to] is not None:
+                    new = world.copy()
+                    new.in_flight += (Message("greet", me, to, 0, 0.0, m.lists.digests(), m.life, m.nonce),)
                     yield f"{me} greets {to}", new
-    for number, x in enumerate(w.wire):
-        rest = w.wire[:number] + w.wire[number + 1 :]
-        new = w.copied()
-        new.wire = rest
-        yield f"lost: {x.kind} {x.sender} to {x.to}", new
-        new = w.copied()
-        new.wire = rest
-        new.deliver(x)
-        yield f"arrives: {x.kind} {x.sender} to {x.to}", new
-        if room and c.doubles:
-            new = w.copied()
-            new.deliver(x)
-            yield f"arrives, and is doubled: {x.kind} {x.sender} to {x.to}", new
-
-
-def _owner_steps(w: World, me: int, room: bool) -> Iterator[tuple[str, World]]:
-    c, lease = w.corner, w.leases[me]
+    for number, message in enumerate(world.in_flight):
+        rest = world.in_flight[:number] + world.in_flight[number + 1 :]
+        new = world.copy()
+        new.in_flight = rest
+        yield f"lost: {message.kind} {message.sender} to {message.to}", new
+        new = world.copy()
+        new.in_flight = rest
+        new.deliver(message)
+        yield f"arrives: {message.kind} {message.sender} to {message.to}", new
+        if room and scenario.duplicates:
+            new = world.copy()
+            new.deliver(message)
+            yield f"arrives, and is doubled: {message.kind} {message.sender} to {message.to}", new
+
+
+def _owner_steps(world: World, me: int, room: bool) -> Iterator[tuple[str, World]]:
+    scenario, lease = world.scenario, world.leases[me]
     if lease is None:
-        if me in c.standing:
+        if me in scenario.candidates:
             for above in (1, 2):
-                new = w.copied()
-                if new.stands(me, above):
+                new = world.copy()
+                if new.start_candidacy(me, above):
                     yield f"{me} stands, {above} above", new
-        if not w.checked[me]:
+        if not world.checked[me]:
             return
     elif room:
-        for to, other in enumerate(w.members):
+        for to, other in enumerate(world.members):
             if (
                 to != me
                 and other is not None
                 and str(to) in {n for one in lease.lists.in_force() for n in one}
             ):
-                new = w.copied()
-                new.asks(me, to)
+                new = world.copy()
+                new.request_vote(me, to)
                 yield f"{me} asks {to}", new
-                if c.gives_back and not w.checked[me]:
-                    new = w.copied()
-                    new.gives_back(me, to)
+                if scenario.may_release and not world.checked[me]:
+                    new = world.copy()
+                    new.release(me, to)
                     yield f"{me} gives back, told to {to}", new
-    if lease is not None and c.effects and not w.checked[me] and _lease(lease).is_valid(w.clock(me)):
-        new = w.copied()
+    if (
+        lease is not None
+        and scenario.effects
+        and not world.checked[me]
+        and _copy_lease(lease).is_valid(world.clock(me))
+    ):
+        new = world.copy()
         new.checked[me] = lease.term
         yield f"{me} checks its lease", new
-    if w.checked[me] and room:
-        new = w.copied()
-        new.wire += (Message("effect", me, c.receiver, w.checked[me]),)
+    if world.checked[me] and room:
+        new = world.copy()
+        new.in_flight += (Message("effect", me, scenario.receiver, world.checked[me]),)
         new.checked[me] = 0
         yield f"{me} acts", new
 
 
-EXPLORATION = Exploration(begun, steps)
-explored, walked = EXPLORATION.explored, EXPLORATION.walked
+EXPLORATION = Exploration(make_world, steps)
+explore, walk = EXPLORATION.explore, EXPLORATION.walk
--- a/tests/explore_regions.py
+++ b/tests/explore_regions.py
@@ -1,13 +1,14 @@
-"""Interleavings of two small regions, for the promises of `regions/shares.py` and of owners in two scopes.
+"""Interleavings of two small regions, for the invariants of `regions/shares.py` and of owners in two scopes.
 
-Four gateways, two in each region, start anew by one version of the site or another, with their files or
-with none; they stand and ask for votes in the scope of all and in their region's, look at their lease and
-lend late, and hear by which version others go. What is not heard is a step that is not taken: so regions are
-cut, one way or both, for any time. Clocks run at different rates, within a bound that is given here as a
-factor of two so that whole steps of time show it. All classes are the ones that gateways run.
+Four gateways, two in each region, restart with one version of the site or another, with their files or
+without. They become candidates and request votes in the fleet's scope and in their region's, check their
+lease and lend late, and hear which version others use. A message not heard is a step not taken, so regions
+are partitioned, in one direction or both, for any time. Clocks run at different rates, within a bound of a
+factor of two here, so that whole time steps show the difference. All classes are the production ones.
 
-Never: two owners of one duty in one scope at one true moment; of what lenders of both regions lent and may be
-spent still, more than the whole. Own parts are `budgets/`'s, whose exploration takes a share as given.
+Invariants: there are never two owners of one duty in one scope at the same true time; the loans of both
+regions' lenders that may be in use never exceed the whole. Own parts are covered by the exploration of
+`budgets/`, which takes a share as given.
 """
 
 from collections.abc import Iterator
@@ -22,14 +23,14 @@
 from ledgehitch.regions.shares import initial_shares as shares_begun
 from tests.interleavings import Exploration
 
-ALL, OWN = "a", "b"  # a duty of all, and one of a region
+FLEET, REGIONAL = "a", "b"  # a duty of all, and one of a region
 LEASE, LOAN = 2.0, 2.0
 FAST = 2.0  # the rate of the fast clocks; the slow ones have 1
 NAMES = ("0", "1", "2", "3")
 
 
 def version(north: float, south: float, in_north: int = 2, both: int = 0) -> tuple[Region, ...]:
-    """`both`: gateways that are in both regions, a fault."""
+    """Returns a version of the regions. `both`: number of gateways in both regions, a fault."""
     return (
         Region("north", int(north * WHOLE), NAMES[: in_north + both]),
         Region("south", int(south * WHOLE), NAMES[in_north:]),
@@ -38,42 +39,47 @@
 
 EVEN = version(0.5, 0.5)
 RAISED = version(0.75, 0.25)
-MOVED = version(0.25, 0.75, 1)  # gateway 1 goes over, and its share with it
+MOVED = version(0.25, 0.75, 1)  # gateway 1 changes its region, with its share
 TWICE = version(0.75, 0.75, 1, both=1)
 NONE: tuple[Region, ...] = ()
 
 
-class Corner(NamedTuple):
-    """Which steps are taken at all: fewer of them are gone through to a greater depth."""
+class Scenario(NamedTuple):
+    """Which steps are possible: with fewer of them the exploration goes deeper."""
 
     versions: tuple[tuple[Region, ...], ...] = (EVEN, RAISED)
     rates: tuple[float, ...] = (1.0, 1.0, 1.0, 1.0)
-    standing: frozenset[int] = frozenset({0, 2})  # for the duty of their region
-    for_all: frozenset[int] = frozenset()  # for the duty of all
-    starts: frozenset[int] = frozenset({0, 1, 2, 3})
-    empty: frozenset[int] = frozenset()  # come back without files
-    hears: frozenset[int] = frozenset({0, 2})
-    backwards: bool = False  # versions are also started in the other order
-    ends: float = 6.0
-    lives: int = 2
-
-
-RAISE = Corner()
-CLOCKS = Corner(rates=(FAST, 1.0, 1.0, 1.0))
-MOVE = Corner(versions=(EVEN, MOVED), standing=frozenset({0, 2, 3}), hears=frozenset({2, 3}))
-FORGET = Corner(starts=frozenset({0, 3}), hears=frozenset({0}), lives=3)
-LOST = Corner(empty=frozenset({0, 1}), starts=frozenset({0, 1, 3}), hears=frozenset({0}))
-BACK = Corner(backwards=True, lives=3, starts=frozenset({0, 2, 3}), ends=4.0)
-FIRST = Corner(versions=(NONE, EVEN), standing=frozenset({0, 2}), for_all=frozenset({0}), ends=4.0)
-OWNED = Corner(
+    regional_candidates: frozenset[int] = frozenset({0, 2})  # for the duty of their region
+    fleet_candidates: frozenset[int] = frozenset()  # for the duty of all
+    may_restart: frozenset[int] = frozenset({0, 1, 2, 3})
+    empty_restarts: frozenset[int] = frozenset()  # restart without files
+    listeners: frozenset[int] = frozenset({0, 2})
+    may_downgrade: bool = False  # whether an earlier version may be started after a later one
+    max_time: float = 6.0
+    max_lives: int = 2
+
+
+RAISE = Scenario()
+CLOCKS = Scenario(rates=(FAST, 1.0, 1.0, 1.0))
+MOVE = Scenario(versions=(EVEN, MOVED), regional_candidates=frozenset({0, 2, 3}), listeners=frozenset({2, 3}))
+FORGET = Scenario(may_restart=frozenset({0, 3}), listeners=frozenset({0}), max_lives=3)
+LOST = Scenario(empty_restarts=frozenset({0, 1}), may_restart=frozenset({0, 1, 3}), listeners=frozenset({0}))
+BACK = Scenario(may_downgrade=True, max_lives=3, may_restart=frozenset({0, 2, 3}), max_time=4.0)
+FIRST = Scenario(
+    versions=(NONE, EVEN),
+    regional_candidates=frozenset({0, 2}),
+    fleet_candidates=frozenset({0}),
+    max_time=4.0,
+)
+OWNED = Scenario(
     versions=(EVEN,),
-    standing=frozenset({0, 1, 2}),
-    for_all=frozenset({0, 2}),
-    starts=frozenset({1}),
-    hears=frozenset(),
-    ends=4.0,
+    regional_candidates=frozenset({0, 1, 2}),
+    fleet_candidates=frozenset({0, 2}),
+    may_restart=frozenset({1}),
+    listeners=frozenset(),
+    max_time=4.0,
 )
-CORNERS = {
+SCENARIOS = {
     "raise": RAISE,
     "clocks": CLOCKS,
     "move": MOVE,
@@ -89,22 +95,22 @@
 SOUTH_LENDS = ("2 stands for b", "2 asks 3 for b", "2 checks", "2 lends")
 LATER = ("time passes",) * 4
 SOUTH_KNOWS = ("2 starts by 1", "3 starts by 1", "2 hears 1", "2 hears 3", "3 hears 2", *LATER)
-# Planted faults: the corner in which each shows, and the steps that lead near it where it lies deep.
-PLANTED: dict[str, tuple[str, tuple[str, ...]]] = {
-    "a region's majority counted over all": ("owned", ("0 stands for b",)),
-    "the majority of all counted over the region": ("owned", ("0 stands for a",)),
-    "the larger share at once": ("raise", (*NORTH_STARTS, *NORTH_LENDS, "2 stands")),
-    "raised before the other region goes by it": ("raise", (*NORTH_STARTS, "0 hears 1", *NORTH_LENDS)),
-    "raised before what was lent is over": (
+# By injected fault: the scenario that shows it, and the steps to start from if it takes many.
+INJECTED_FAULTS: dict[str, tuple[str, tuple[str, ...]]] = {
+    "a regional majority counts any voter": ("owned", ("0 stands for b",)),
+    "the fleet's majority is counted in the region": ("owned", ("0 stands for a",)),
+    "a larger share is used at once": ("raise", (*NORTH_STARTS, *NORTH_LENDS, "2 stands")),
+    "raised before the other region uses the version": ("raise", (*NORTH_STARTS, "0 hears 1", *NORTH_LENDS)),
+    "raised before former loans have ended": (
         "raise",
         (*NORTH_STARTS, *SOUTH_LENDS, "3 starts by 1", "0 hears 3"),
     ),
-    "no allowance for clocks": (
+    "no allowance for clock drift": (
         "clocks",
         (*NORTH_STARTS, *SOUTH_LENDS[:2], "3 starts by 1", "0 hears 3", "time", "2 checks"),
     ),
-    "forgotten at a restart": ("forget", ("0 starts by 1", "0 starts by 1")),
-    "nothing remembered counts as known": (
+    "the former version is forgotten at a restart": ("forget", ("0 starts by 1", "0 starts by 1")),
+    "no remembered version counts as settled": (
         "lost",
         ("0 starts by 1 without", "1 starts by 1 without", "time", "time"),
     ),
@@ -120,42 +126,42 @@
     scopes: dict[str, DurableState]  # by duty
     leases: dict[str, Lease | None]
     region: str
-    checked: tuple[float, int] | None = None  # its clock when it was asked, and the share it lends
+    checked: tuple[float, int] | None = None  # time of the request by its clock, and the share it lends
 
 
 @dataclass
 class World:
-    corner: Corner
-    spoilt: str
+    scenario: Scenario
+    fault: str
     now: float = 0.0
-    up: list[Gateway] = field(default_factory=list)
+    gateways: list[Gateway] = field(default_factory=list)
     disks: list[dict[str, Any]] = field(default_factory=list)
     lives: list[int] = field(default_factory=list)
-    runs: list[int] = field(default_factory=list)  # which version each was started by
-    lent: tuple[tuple[str, int, float], ...] = ()  # region, share, true time up to which it is spent
+    running_versions: list[int] = field(default_factory=list)  # by gateway: index of its version
+    lent: tuple[tuple[str, int, float], ...] = ()  # region, share, true time at which its use ends
     breach: str = ""
 
     def clock(self, me: int) -> float:
-        return self.now * self.corner.rates[me]
+        return self.now * self.scenario.rates[me]
 
-    def copied(self) -> "World":
+    def copy(self) -> "World":
         up = [
             Gateway(
-                {d: _memory(m) for d, m in g.scopes.items()},
-                {d: x and _lease(x) for d, x in g.leases.items()},
-                g.region,
-                g.checked,
+                {d: _copy_state(m) for d, m in gateway.scopes.items()},
+                {d: x and _copy_lease(x) for d, x in gateway.leases.items()},
+                gateway.region,
+                gateway.checked,
             )
-            for g in self.up
+            for gateway in self.gateways
         ]
         return World(
-            self.corner,
-            self.spoilt,
+            self.scenario,
+            self.fault,
             self.now,
             up,
             [dict(d) for d in self.disks],
             list(self.lives),
-            list(self.runs),
+            list(self.running_versions),
             self.lent,
             self.breach,
         )
@@ -165,12 +171,12 @@
             self.breach,
             self.now,
             tuple(self.lives),
-            tuple(self.runs),
+            tuple(self.running_versions),
             self.lent,
             tuple(
                 (
-                    g.region,
-                    g.checked,
+                    gateway.region,
+                    gateway.checked,
                     *(
                         (
                             v.term,
@@ -182,28 +188,28 @@
                             tuple(sorted(m.on_current)),
                             m.shares and (m.shares.former_unused, m.shares.settles_at, m.shares.former),
                         )
-                        for m in g.scopes.values()
+                        for m in gateway.scopes.values()
                         for v in m.voters.values()
                     ),
                     *(
                         x and (x.term, tuple(sorted(x.requested_at.items())), x.ended)
-                        for x in g.leases.values()
+                        for x in gateway.leases.values()
                     ),
                 )
-                for g in self.up
+                for gateway in self.gateways
             ),
             tuple(repr(d) for d in self.disks),
         )
 
     def safe(self) -> bool:
-        """Looks at copies: looking ends no lease."""
+        """Checks copies, since checking a lease may end it."""
         if self.breach:
             return False
         owners: dict[tuple[str, str], int] = {}
-        for me, g in enumerate(self.up):
-            for duty, lease in g.leases.items():
-                if lease is not None and _lease(lease).is_valid(self.clock(me)):
-                    scope = duty, self._region(g, duty)
+        for me, gateway in enumerate(self.gateways):
+            for duty, lease in gateway.leases.items():
+                if lease is not None and _copy_lease(lease).is_valid(self.clock(me)):
+                    scope = duty, self._region(gateway, duty)
                     owners[scope] = owners.get(scope, 0) + 1
         for (duty, region), some in sorted(owners.items()):
             if some > 1:
@@ -211,21 +217,21 @@
         used: dict[str, int] = {}
         for region, share, until in self.lent:
             if self.now < until:
-                used[region] = max(share, used.get(region, 0))  # within a region its lender sees to it
+                used[region] = max(share, used.get(region, 0))  # within a region its lender limits the sum
         if sum(used.values()) > WHOLE:
             self.breach = f"regions have {sum(used.values()) / WHOLE:g} of the whole"
         return not self.breach
 
     @staticmethod
-    def _region(g: Gateway, duty: str) -> str:
-        return g.scopes[duty].scope
+    def _region(gateway: Gateway, duty: str) -> str:
+        return gateway.scopes[duty].scope
 
-    # ---- what gateways do ----------------------------------------------------------------------------------
+    # ---- actions of gateways -------------------------------------------------------------------------------
 
     def start(self, me: int, number: int, empty: bool) -> None:
-        c, now = self.corner, self.clock(me)
-        regions = c.versions[number]
-        if self.spoilt == "both regions count the same gateway" and regions == MOVED:
+        scenario, now = self.scenario, self.clock(me)
+        regions = scenario.versions[number]
+        if self.fault == "both regions count the same gateway" and regions == MOVED:
             regions = TWICE
         region = next((r for r in regions if str(me) in r.gateways), Region("", WHOLE, NAMES))
         if regions == TWICE and me == 1:
@@ -233,33 +239,41 @@
         disk = {} if empty else self.disks[me]
         if not disk:
             self.disks[me] = {}
-        promise = LEASE * (FAST if max(c.rates) > 1 and self.spoilt != "no allowance for clocks" else 1.0)
-        scopes = {ALL: self._begins(me, (ALL,), NAMES, disk.get(ALL), regions_digest(regions), "", promise)}
-        # Without regions the duty of a region is one of all, which is kept with them.
-        file = OWN if regions else f"{OWN} of all"
-        scopes[OWN] = self._begins(
-            me, (OWN,), region.gateways, disk.get(file), regions_digest(regions), region.name, promise
+        promise = LEASE * (
+            FAST if max(scenario.rates) > 1 and self.fault != "no allowance for clock drift" else 1.0
+        )
+        scopes = {
+            FLEET: self._make_state(
+                me, (FLEET,), NAMES, disk.get(FLEET), regions_digest(regions), "", promise
+            )
+        }
+        # Without regions, the regional duty belongs to the fleet and is stored with its duties.
+        file = REGIONAL if regions else f"{REGIONAL} of all"
+        scopes[REGIONAL] = self._make_state(
+            me, (REGIONAL,), region.gateways, disk.get(file), regions_digest(regions), region.name, promise
         )
-        m = scopes[ALL]
+        m = scopes[FLEET]
         waits = bool(m.lists.former) and m.lists.regions != regions_digest(regions)
-        held = disk[ALL].get("shares") if disk.get(ALL) else None
-        if self.spoilt == "forgotten at a restart" and held is not None:
+        held = disk[FLEET].get("shares") if disk.get(FLEET) else None
+        if self.fault == "the former version is forgotten at a restart" and held is not None:
             held = {**held, "current": [list(r) for r in regions], "known": True}
-            held = held if self.lives[me] > 1 else disk[ALL]["shares"]
+            held = held if self.lives[me] > 1 else disk[FLEET]["shares"]
         shares = shares_begun(region.name, regions, NAMES, held, waits)
-        if shares is not None and self.spoilt == "the larger share at once":
+        if shares is not None and self.fault == "a larger share is used at once":
             shares.former_unused = True
-        if shares is not None and self.spoilt == "nothing remembered counts as known":
+        if shares is not None and self.fault == "no remembered version counts as settled":
             shares.former_unused = shares.former_unused or held is None
-        over = (LEASE + LOAN) * promise / LEASE if self.spoilt != "raised before what was lent is over" else 0
-        m.set_shares(now, shares, over - vote_duration(LEASE))  # a lease is added there
-        self.up[me] = Gateway(scopes, {ALL: None, OWN: None}, region.name)
+        over = (
+            (LEASE + LOAN) * promise / LEASE if self.fault != "raised before former loans have ended" else 0
+        )
+        m.set_shares(now, shares, over - vote_duration(LEASE))  # `set_shares` adds a lease
+        self.gateways[me] = Gateway(scopes, {FLEET: None, REGIONAL: None}, region.name)
         self.lives[me] += 1
-        self.runs[me] = number
-        self.looks(me)
-        self.keep(me)
+        self.running_versions[me] = number
+        self.settle(me)
+        self.store(me)
 
-    def _begins(
+    def _make_state(
         self,
         me: int,
         duties: tuple[str, ...],
@@ -271,58 +285,62 @@
     ) -> DurableState:
         now = self.clock(me)
         m = DurableState(now, str(me), names, duties, LEASE, held, 0, promise, regions=regions, scope=scope)
-        if not m.intact and self.up:
-            # What greetings bring it: the terms of those that it asks; it votes when it has waited.
-            for g in self.up:
+        if not m.intact and self.gateways:
+            # As greetings do, it learns the terms of other members; it votes after waiting.
+            for gateway in self.gateways:
                 for d, voter in m.voters.items():
-                    if g.scopes[d].scope == scope:
-                        voter.term = max(voter.term, g.scopes[d].voters[d].term)
+                    if gateway.scopes[d].scope == scope:
+                        voter.term = max(voter.term, gateway.scopes[d].voters[d].term)
         m.confirmed = True
         return m
 
-    def keep(self, me: int) -> None:
-        g = self.up[me]
-        file = OWN if g.region else f"{OWN} of all"
-        self.disks[me] |= {ALL: g.scopes[ALL].record(), file: g.scopes[OWN].record()}
+    def store(self, me: int) -> None:
+        gateway = self.gateways[me]
+        file = REGIONAL if gateway.region else f"{REGIONAL} of all"
+        self.disks[me] |= {FLEET: gateway.scopes[FLEET].record(), file: gateway.scopes[REGIONAL].record()}
 
-    def looks(self, me: int) -> None:
-        """What `Owning` does each time that it looks."""
-        g, now = self.up[me], self.clock(me)
-        g.scopes[OWN].settle(now)
-        g.scopes[ALL].region_unsettled = bool(g.scopes[OWN].lists.former)
-        g.scopes[ALL].settle(now)
+    def settle(self, me: int) -> None:
+        """Settles both scopes, as `Owning` does before each decision."""
+        gateway, now = self.gateways[me], self.clock(me)
+        gateway.scopes[REGIONAL].settle(now)
+        gateway.scopes[FLEET].region_unsettled = bool(gateway.scopes[REGIONAL].lists.former)
+        gateway.scopes[FLEET].settle(now)
 
     def share(self, me: int) -> int:
-        shares = self.up[me].scopes[ALL].shares
+        shares = self.gateways[me].scopes[FLEET].shares
         return WHOLE if shares is None else shares.in_force()
 
-    def stands(self, me: int, duty: str) -> bool:
-        m, now = self.up[me].scopes[duty], self.clock(me)
+    def start_candidacy(self, me: int, duty: str) -> bool:
+        m, now = self.gateways[me].scopes[duty], self.clock(me)
         voter = m.voters[duty]
-        if not m.may_vote(now) or duty == OWN and not self.share(me) or str(me) not in m.lists.current:
+        if not m.may_vote(now) or duty == REGIONAL and not self.share(me) or str(me) not in m.lists.current:
             return False
         if not voter.on_vote_request(now, voter.term + 1, str(me)):
             return False
         lists = m.lists
-        if self.spoilt == "the majority of all counted over the region" and duty == ALL:
-            lists = MemberLists(self.up[me].scopes[OWN].lists.current)
-        lease = _Anyone(voter.term, lists, LEASE) if self._over_all(duty) else Lease(voter.term, lists, LEASE)
+        if self.fault == "the fleet's majority is counted in the region" and duty == FLEET:
+            lists = MemberLists(self.gateways[me].scopes[REGIONAL].lists.current)
+        lease = (
+            _AnyVoterLease(voter.term, lists, LEASE)
+            if self._counts_any_voter(duty)
+            else Lease(voter.term, lists, LEASE)
+        )
         lease.on_grant(str(me), now)
-        self.up[me].leases[duty] = lease
-        self.keep(me)
+        self.gateways[me].leases[duty] = lease
+        self.store(me)
         return True
 
-    def _over_all(self, duty: str) -> bool:
-        return self.spoilt == "a region's majority counted over all" and duty == OWN
+    def _counts_any_voter(self, duty: str) -> bool:
+        return self.fault == "a regional majority counts any voter" and duty == REGIONAL
 
-    def asks(self, me: int, to: int, duty: str) -> bool:
-        """There and back at once; whether it was granted."""
-        here, there = self.up[me].scopes[duty], self.up[to].scopes[duty]
-        lease, now = self.up[me].leases[duty], self.clock(to)
+    def request_vote(self, me: int, to: int, duty: str) -> bool:
+        """Requests a vote, with an immediate answer; returns whether it was granted."""
+        here, there = self.gateways[me].scopes[duty], self.gateways[to].scopes[duty]
+        lease, now = self.gateways[me].leases[duty], self.clock(to)
         assert lease is not None
         strange = here.scope != there.scope or not there.lists.covered_by(*here.lists.digests())
-        careless = self._over_all(duty) or (
-            self.spoilt == "both regions count the same gateway" and duty == OWN and to == 1
+        careless = self._counts_any_voter(duty) or (
+            self.fault == "both regions count the same gateway" and duty == REGIONAL and to == 1
         )
         if strange and not careless or not there.may_vote(now):
             return False
@@ -331,29 +349,29 @@
         here.voters[duty].on_vote_request(self.clock(me), lease.term, str(me))
         lease.on_grant(str(me), self.clock(me))
         lease.on_grant(str(to), self.clock(me))
-        self.keep(to)
-        self.keep(me)
+        self.store(to)
+        self.store(me)
         return True
 
-    def hears(self, me: int, of: int) -> bool:
-        """Whether it was news which version `of` goes by."""
-        here, there = self.up[me].scopes[ALL], self.up[of].scopes[ALL]
+    def on_version(self, me: int, of: int) -> bool:
+        """Handles the version that `of` uses; returns whether this changed anything."""
+        here, there = self.gateways[me].scopes[FLEET], self.gateways[of].scopes[FLEET]
         if not there.may_vote(self.clock(of)) or not here.unsettled():
             return False
         before = set(here.on_current)
         here.on_member_list(self.clock(me), str(of), there.lists.digests()[0])
-        own, theirs = self.up[me].scopes[OWN], self.up[of].scopes[OWN]
+        own, theirs = self.gateways[me].scopes[REGIONAL], self.gateways[of].scopes[REGIONAL]
         if own.scope == theirs.scope:
             own.on_member_list(self.clock(me), str(of), theirs.lists.digests()[0])
-        if self.spoilt == "raised before the other region goes by it" and here.shares is not None:
+        if self.fault == "raised before the other region uses the version" and here.shares is not None:
             mine = set(here.shares.current[0].gateways if me < 2 else here.shares.current[1].gateways)
             if here.on_current >= mine:
                 here.shares.former_unused = True
         return here.on_current != before
 
 
-class _Anyone(Lease):
-    """A planted fault: whoever granted counts, up to a majority of the list."""
+class _AnyVoterLease(Lease):
+    """An injected fault: any voters count towards the majority of the current list."""
 
     def expires_at(self) -> float:
         asked = sorted(self.requested_at.values(), reverse=True)
@@ -361,7 +379,7 @@
         return asked[most - 1] + self.duration if len(asked) >= most else -1e18
 
 
-def _memory(m: DurableState) -> DurableState:
+def _copy_state(m: DurableState) -> DurableState:
     new = DurableState.__new__(DurableState)
     new.__dict__.update(m.__dict__)
     new.voters = {d: Voter(v.vote_duration, v.term, v.member, v.bound_until) for d, v in m.voters.items()}
@@ -377,27 +395,29 @@
     return new
 
 
-def _lease(lease: Lease) -> Lease:
+def _copy_lease(lease: Lease) -> Lease:
     new = type(lease)(lease.term, lease.lists, lease.duration)
     new.requested_at, new.ended, new._latest_read = dict(lease.requested_at), lease.ended, lease._latest_read
     return new
 
 
-def begun(corner: Corner, spoilt: str = "") -> World:
-    """All run by the first version, and have for long."""
-    w = World(corner, spoilt)
-    w.disks, w.lives, w.runs = [{} for _ in NAMES], [0] * 4, [0] * 4
+def make_world(scenario: Scenario, fault: str = "") -> World:
+    """Returns a world in which all gateways have long run the first version."""
+    world = World(scenario, fault)
+    world.disks, world.lives, world.running_versions = [{} for _ in NAMES], [0] * 4, [0] * 4
     for me in range(4):
-        _first(w, me)
-    return w
+        _add_gateway(world, me)
+    return world
 
 
-def _first(w: World, me: int) -> None:
-    regions = w.corner.versions[0]
+def _add_gateway(world: World, me: int) -> None:
+    regions = world.scenario.versions[0]
     region = next((r for r in regions if str(me) in r.gateways), Region("", WHOLE, NAMES))
-    promise = LEASE * (FAST if max(w.corner.rates) > 1 and w.spoilt != "no allowance for clocks" else 1.0)
+    promise = LEASE * (
+        FAST if max(world.scenario.rates) > 1 and world.fault != "no allowance for clock drift" else 1.0
+    )
     scopes = {}
-    for duty, names, scope in ((ALL, NAMES, ""), (OWN, region.gateways, region.name)):
+    for duty, names, scope in ((FLEET, NAMES, ""), (REGIONAL, region.gateways, region.name)):
         m = DurableState(
             0.0,
             str(me),
@@ -414,70 +434,70 @@
         m.may_vote_from = 0.0
         scopes[duty] = m
     if regions:
-        scopes[ALL].set_shares(0.0, RegionShares(region.name, regions, regions, True), 0.0)
-    w.up.append(Gateway(scopes, {ALL: None, OWN: None}, region.name))
-    w.lives[me] = 1
-    w.keep(me)
+        scopes[FLEET].set_shares(0.0, RegionShares(region.name, regions, regions, True), 0.0)
+    world.gateways.append(Gateway(scopes, {FLEET: None, REGIONAL: None}, region.name))
+    world.lives[me] = 1
+    world.store(me)
 
 
-def steps(w: World) -> Iterator[tuple[str, World]]:
-    """Every world that one step leads to, with the step in words."""
-    c = w.corner
-    if w.now < c.ends:
-        new = w.copied()
+def steps(world: World) -> Iterator[tuple[str, World]]:
+    """Yields every world that one step leads to, with a description of the step."""
+    scenario = world.scenario
+    if world.now < scenario.max_time:
+        new = world.copy()
         new.now += 1.0
         new.lent = tuple(x for x in new.lent if new.now < x[2])
         for me in range(4):
-            new.looks(me)
-            new.keep(me)
+            new.settle(me)
+            new.store(me)
         yield "time passes", new
-    for me, g in enumerate(w.up):
-        if me in c.starts and w.lives[me] < c.lives:
-            for number in range(len(c.versions)):
-                if number < w.runs[me] and not c.backwards:
+    for me, gateway in enumerate(world.gateways):
+        if me in scenario.may_restart and world.lives[me] < scenario.max_lives:
+            for number in range(len(scenario.versions)):
+                if number < world.running_versions[me] and not scenario.may_downgrade:
                     continue
-                for empty in (False, True) if me in c.empty else (False,):
-                    new = w.copied()
+                for empty in (False, True) if me in scenario.empty_restarts else (False,):
+                    new = world.copy()
                     new.start(me, number, empty)
                     yield f"{me} starts by {number}" + (" without files" if empty else ""), new
-        for duty, some in ((OWN, c.standing), (ALL, c.for_all)):
+        for duty, some in ((REGIONAL, scenario.regional_candidates), (FLEET, scenario.fleet_candidates)):
             if me in some:
-                yield from _owner_steps(w, me, duty)
-        lease = g.leases[OWN]
-        owns = lease is not None and _lease(lease).is_valid(w.clock(me))
-        if me in c.standing and g.checked is None and owns and w.share(me):
-            new = w.copied()
-            new.up[me].checked = w.now, w.share(me)
+                yield from _owner_steps(world, me, duty)
+        lease = gateway.leases[REGIONAL]
+        owns = lease is not None and _copy_lease(lease).is_valid(world.clock(me))
+        if me in scenario.regional_candidates and gateway.checked is None and owns and world.share(me):
+            new = world.copy()
+            new.gateways[me].checked = world.now, world.share(me)
             yield f"{me} checks its lease", new
-        if g.checked is not None:
-            new = w.copied()
-            asked, share = g.checked
-            new.up[me].checked = None
-            # Its borrower counts from when it asked, by its own clock, which may be a slow one.
-            new.lent = tuple(sorted({*new.lent, (g.region, share, asked + LOAN)}))
+        if gateway.checked is not None:
+            new = world.copy()
+            asked, share = gateway.checked
+            new.gateways[me].checked = None
+            # The borrower counts from its request, by its own clock, which may be slow.
+            new.lent = tuple(sorted({*new.lent, (gateway.region, share, asked + LOAN)}))
             yield f"{me} lends", new
-        if me in c.hears:
+        if me in scenario.listeners:
             for of in range(4):
                 if of != me:
-                    new = w.copied()
-                    if new.hears(me, of):
+                    new = world.copy()
+                    if new.on_version(me, of):
                         yield f"{me} hears {of}", new
 
 
-def _owner_steps(w: World, me: int, duty: str) -> Iterator[tuple[str, World]]:
-    lease = w.up[me].leases[duty]
-    if lease is None or not _lease(lease).is_valid(w.clock(me)) and len(lease.requested_at) > 1:
-        if w.up[me].scopes[duty].voters[duty].term < 2:
-            new = w.copied()
-            if new.stands(me, duty):
+def _owner_steps(world: World, me: int, duty: str) -> Iterator[tuple[str, World]]:
+    lease = world.gateways[me].leases[duty]
+    if lease is None or not _copy_lease(lease).is_valid(world.clock(me)) and len(lease.requested_at) > 1:
+        if world.gateways[me].scopes[duty].voters[duty].term < 2:
+            new = world.copy()
+            if new.start_candidacy(me, duty):
                 yield f"{me} stands for {duty}", new
         return
     for to in range(4):
         if to != me:
-            new = w.copied()
-            if new.asks(me, to, duty):
+            new = world.copy()
+            if new.request_vote(me, to, duty):
                 yield f"{me} asks {to} for {duty}", new
 
 
-EXPLORATION = Exploration(begun, steps)
-explored, walked = EXPLORATION.explored, EXPLORATION.walked
+EXPLORATION = Exploration(make_world, steps)
+explore, walk = EXPLORATION.explore, EXPLORATION.walk
--- a/tests/interleavings.py
+++ b/tests/interleavings.py
@@ -1,7 +1,7 @@
-"""Going through the interleavings of a small world: breadth first, or by chance and deeper. Free of I/O.
+"""Explores the interleavings of a small model: breadth first, or by deeper random walks. Free of I/O.
 
-A world says by a key what it is, and whether it is safe; `steps` gives every world that one step leads to,
-with the step in words. Whoever has promises to explore writes these two, and hands them to `Exploration`.
+A world has a key that identifies its state, and knows whether it is safe. `steps` yields every world that one
+step leads to, with a description of the step. An exploration of a package provides both to `Exploration`.
 """
 
 import random
@@ -13,34 +13,34 @@
 
 class World(Protocol):
     @property
-    def breach(self) -> str: ...  # what is broken where it is not safe
+    def breach(self) -> str: ...  # the violated invariant, if it is not safe
     def key(self) -> tuple[object, ...]: ...
     def safe(self) -> bool: ...
 
 
-W = TypeVar("W", bound=World)
-C = TypeVar("C")
-Steps = Callable[[W], Iterator[tuple[str, W]]]
-Way = tuple[object, ...]  # the way before, and the last step
+WorldType = TypeVar("WorldType", bound=World)
+Scenario = TypeVar("Scenario")
+Steps = Callable[[WorldType], Iterator[tuple[str, WorldType]]]
+Path = tuple[object, ...]  # the path before, and the last step
 
 
 @dataclass
-class Explored:
+class ExplorationResult:
     states: int = 0
     steps: int = 0
-    unsafe: tuple[str, ...] | None = None  # the steps that led there
+    unsafe: tuple[str, ...] | None = None  # the steps that led to the violation
     breach: str = ""
-    whole: bool = True  # nothing was left out but what the bounds leave out
+    complete: bool = True  # whether all states within the bounds were explored
 
 
-def gone_through(first: W, steps: Steps[W], most: int) -> Explored:
-    """Breadth first, so that what is found first is found by the fewest steps."""
+def explore_breadth_first(first: WorldType, steps: Steps[WorldType], max_states: int) -> ExplorationResult:
+    """Explores breadth first, so that a violation is found with the fewest steps."""
     seen = {hash(first.key())}
-    queue: deque[tuple[W, Way]] = deque([(first, ())])
-    result = Explored(1)
+    queue: deque[tuple[WorldType, Path]] = deque([(first, ())])
+    result = ExplorationResult(1)
     while queue:
-        world, way = queue.popleft()
-        for word, new in steps(world):
+        world, path = queue.popleft()
+        for step, new in steps(world):
             result.steps += 1
             key = hash(new.key())
             if key in seen:
@@ -48,66 +48,78 @@
             seen.add(key)
             result.states += 1
             if not new.safe():
-                result.unsafe, result.breach = _unrolled((way, word)), new.breach
+                result.unsafe, result.breach = _steps_of((path, step)), new.breach
                 return result
-            if result.states >= most:
-                result.whole = False
+            if result.states >= max_states:
+                result.complete = False
                 return result
-            queue.append((new, (way, word)))
+            queue.append((new, (path, step)))
     return result
 
 
-def _unrolled(way: Way) -> tuple[str, ...]:
-    words: list[str] = []
-    while way:
-        way, word = way  # type: ignore[assignment]
-        words.append(str(word))
-    return tuple(reversed(words))
+def _steps_of(path: Path) -> tuple[str, ...]:
+    steps: list[str] = []
+    while path:
+        path, step = path  # type: ignore[assignment]
+        steps.append(str(step))
+    return tuple(reversed(steps))
 
 
-def walked_through(begun: Callable[[], W], steps: Steps[W], seed: int, walks: int, depth: int) -> Explored:
-    """Walks by chance, deeper than all interleavings can be gone through; what goes on is chosen by kind
-    first, so that rare steps are not drowned by the many ways in which messages cross."""
-    chance, result = random.Random(seed), Explored(whole=False)
+def explore_randomly(
+    make_world: Callable[[], WorldType], steps: Steps[WorldType], seed: int, walks: int, depth: int
+) -> ExplorationResult:
+    """Takes random walks, deeper than an exhaustive exploration can go.
+
+    The kind of a step is chosen first, so that rare kinds are not outweighed by the many message orders."""
+    chance, result = random.Random(seed), ExplorationResult(complete=False)
     seen: set[int] = set()
     for _ in range(walks):
-        world, way = begun(), list[str]()
+        world, path = make_world(), list[str]()
         for _ in range(depth):
-            kinds: dict[str, list[tuple[str, W]]] = {}
-            for word, new in steps(world):
-                kinds.setdefault(_kind(word), []).append((word, new))
+            kinds: dict[str, list[tuple[str, WorldType]]] = {}
+            for step, new in steps(world):
+                kinds.setdefault(_kind(step), []).append((step, new))
             if not kinds:
                 break
-            word, world = chance.choice(kinds[chance.choice(sorted(kinds))])
-            way.append(word)
+            step, world = chance.choice(kinds[chance.choice(sorted(kinds))])
+            path.append(step)
             result.steps += 1
             seen.add(hash(world.key()))
             if not world.safe():
-                result.states, result.unsafe, result.breach = len(seen), tuple(way), world.breach
+                result.states, result.unsafe, result.breach = len(seen), tuple(path), world.breach
                 return result
     result.states = len(seen)
     return result
 
 
-def _kind(word: str) -> str:
-    return word if word == "time passes" else word.partition(":")[0].lstrip("0123456789 ").partition(" ")[0]
+def _kind(step: str) -> str:
+    return step if step == "time passes" else step.partition(":")[0].lstrip("0123456789 ").partition(" ")[0]
 
 
-class Exploration(Generic[C, W]):
-    """The promises of one package: `begun` makes the first world of a corner, with a fault planted or not."""
+class Exploration(Generic[Scenario, WorldType]):
+    """The exploration of one package. `make_world` returns the first world of a scenario, with or without an
+    injected fault."""
 
-    def __init__(self, begun: Callable[[C, str], W], steps: Steps[W]) -> None:
-        self.begun, self.steps = begun, steps
+    def __init__(self, make_world: Callable[[Scenario, str], WorldType], steps: Steps[WorldType]) -> None:
+        self.make_world, self.steps = make_world, steps
 
-    def led(self, world: W, way: tuple[str, ...]) -> W:
-        """The world after these steps, each named by how its word begins; raises where one cannot be."""
-        for word in way:
-            world = next(new for told, new in self.steps(world) if told.startswith(word))
-        return world
+    def replay(self, world: WorldType, path: tuple[str, ...]) -> WorldType:
+        """Returns the world after these steps, each given by a prefix of its description.
 
-    def explored(self, most: int, corner: C, spoilt: str = "", way: tuple[str, ...] = ()) -> Explored:
-        """`spoilt`: a fault planted. `way`: steps taken before."""
-        return gone_through(self.led(self.begun(corner, spoilt), way), self.steps, most)
+        Raises StopIteration if a step is not possible."""
+        for step in path:
+            world = next(new for name, new in self.steps(world) if name.startswith(step))
+        return world
 
-    def walked(self, seed: int, walks: int, depth: int, corner: C, spoilt: str = "") -> Explored:
-        return walked_through(lambda: self.begun(corner, spoilt), self.steps, seed, walks, depth)
+    def explore(
+        self, max_states: int, scenario: Scenario, fault: str = "", path: tuple[str, ...] = ()
+    ) -> ExplorationResult:
+        """Explores breadth first. `fault`: the injected fault, if any. `path`: steps to take before."""
+        return explore_breadth_first(
+            self.replay(self.make_world(scenario, fault), path), self.steps, max_states
+        )
+
+    def walk(
+        self, seed: int, walks: int, depth: int, scenario: Scenario, fault: str = ""
+    ) -> ExplorationResult:
+        return explore_randomly(lambda: self.make_world(scenario, fault), self.steps, seed, walks, depth)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of the fleet: loans in all interleavings, division, a lender and borrowers, what comes spoilt."""
+"""Budgets: loans in all interleavings, division, a lender and its borrowers, malformed messages."""
 
 import random
 
@@ -25,7 +25,7 @@
 from ledgehitch.fleet.shared import divided as shares
 from ledgehitch.fleet.shared import read as read_said
 from ledgehitch.owners.facts import MemberLists, vote_duration
-from tests.explore_budgets import CORNERS, PLANTED, explored, walked
+from tests.explore_budgets import INJECTED_FAULTS, SCENARIOS, explore, walk
 
 T = 1000.0
 RATE, COUNT = Budget("offers.live", "rate"), Budget("set_ups", "count", 3.0, WHOLE // 20)
@@ -33,23 +33,23 @@
 PERIOD = LOAN / REQUESTS_PER_LOAN
 
 
-@pytest.mark.parametrize("name", CORNERS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_no_interleaving_has_more_than_the_whole_in_force(name: str) -> None:
-    found = explored(3000, CORNERS[name])
+    found = explore(3000, SCENARIOS[name])
     assert found.states == 3000 and found.unsafe is None, found.breach
-    deeper = walked(5, 30, 40, CORNERS[name])
+    deeper = walk(5, 30, 40, SCENARIOS[name])
     assert deeper.states > 300 and deeper.unsafe is None, deeper.breach
 
 
-@pytest.mark.parametrize("fault", PLANTED)
-def test_each_planted_fault_is_found_and_the_same_way_is_safe_without_it(fault: str) -> None:
-    corner, way = PLANTED[fault]
-    found = explored(20_000, CORNERS[corner], fault, way)
+@pytest.mark.parametrize("fault", INJECTED_FAULTS)
+def test_each_injected_fault_is_detected_and_its_path_is_safe_without_it(fault: str) -> None:
+    corner, way = INJECTED_FAULTS[fault]
+    found = explore(20_000, SCENARIOS[corner], fault, way)
     assert found.unsafe is not None and found.breach.endswith("of the whole are in force")
-    assert explored(min(found.states, 2000), CORNERS[corner], "", way).unsafe is None
+    assert explore(min(found.states, 2000), SCENARIOS[corner], "", way).unsafe is None
 
 
-# ---- how it is divided -------------------------------------------------------------------------------------
+# ---- division ----------------------------------------------------------------------------------------------
 
 
 @settings(max_examples=200, derandomize=True)
@@ -59,7 +59,7 @@
     st.integers(0, WHOLE // 50),
     st.sampled_from([1, WHOLE // 20, WHOLE // 3]),
 )
-def test_what_is_divided_is_the_pool_and_nobody_who_asks_is_starved(
+def test_division_uses_the_pool_and_starves_no_borrower(
     pool: int, wanted: dict[int, int], own: int, grain: int
 ) -> None:
     loans = divide(pool, dict.fromkeys(wanted, own), wanted, grain)
@@ -69,21 +69,21 @@
     assert sum(level.values()) <= pool
     for member, parts in level.items():
         short = parts < max(0, wanted[member] - own)
-        assert not short or all(parts >= other - len(level) for other in level.values()), "one level for all"
+        assert not short or all(parts >= other - len(level) for other in level.values()), "a common level"
         assert grain > 1 or loans[member] >= parts
         lacks = loans[member] < max(0, wanted[member] - own)
         assert not lacks or grain == 1 or all(loans[member] >= other - grain for other in loans.values())
     if wanted:
-        assert sum(loans.values()) > pool - max(len(wanted), grain), "what nobody needs is lent, too"
+        assert sum(loans.values()) > pool - max(len(wanted), grain), "the surplus is lent, too"
 
 
-def test_one_that_asks_a_thousand_times_its_use_takes_nothing_from_those_who_need_less() -> None:
+def test_excessive_request_takes_nothing_from_borrowers_that_need_less() -> None:
     wanted = dict.fromkeys(range(9), WHOLE // 20) | {9: WHOLE}
     loans = divide(WHOLE, {}, wanted)
     assert all(loans[m] == WHOLE // 20 for m in range(9)) and loans[9] == WHOLE - 9 * (WHOLE // 20)
 
 
-def test_where_things_are_counted_loan_and_own_part_are_whole_ones() -> None:
+def test_loans_and_own_parts_of_a_count_are_whole_units() -> None:
     names, grain = tuple("abcdefg"), WHOLE // 20
     by_name = own_parts(COUNT, 0.1, names)
     own = {number: by_name[name] for number, name in enumerate(names)}
@@ -97,7 +97,7 @@
 
 
 class Few:
-    """Borrowers and one lender that hear each other at once."""
+    """Borrowers and one lender with immediate delivery of messages."""
 
     def __init__(self, n: int = 3, own_part: float = 0.1, unit: Budget = RATE) -> None:
         self.names = tuple(f"g{me}" for me in range(n))
@@ -131,7 +131,7 @@
         return [b.available(now, self.unit.name) / WHOLE for b in self.borrowers]
 
 
-def test_loans_follow_need_end_by_themselves_and_leave_the_own_part() -> None:
+def test_loans_follow_need_and_expire_to_the_own_part() -> None:
     few = Few()
     for tick in range(3):
         few.turn(T + tick, {0: 1.0, 1: 0.0, 2: 0.0})
@@ -145,15 +145,15 @@
     assert few.borrowers[1].available(T + 6, "offers.live") == few.own[1], "a clock that jumped back ends it"
 
 
-def test_a_new_lender_renews_what_is_held_and_divides_anew_once_nothing_else_can_be_in_force() -> None:
+def test_new_lender_renews_held_loans_and_divides_once_former_ones_have_ended() -> None:
     few = Few()
     for tick in range(3):
         few.turn(T + tick, {0: 1.0, 1: 0.2, 2: 0.0})
     held = few.parts(T + 2)
     few.won(T + 2.5)
     for tick in range(3, 7):
-        few.turn(T + tick, {0: 0.0, 1: 1.0})  # 2 is silent: what it holds is not known
-        assert few.parts(T + tick)[1] == pytest.approx(held[1]), "no more than it said it holds, and no less"
+        few.turn(T + tick, {0: 0.0, 1: 1.0})  # 2 sends nothing, so its loan is unknown
+        assert few.parts(T + tick)[1] == pytest.approx(held[1]), "exactly what it reported as held"
     few.turn(T + 7.6, {0: 0.0, 1: 1.0})
     few.turn(T + 8.0, {0: 0.0})
     few.turn(T + 8.4, {1: 1.0})
@@ -161,10 +161,10 @@
     few.won(T + 9.0)
     few.turn(T + 9.1, {1: 1.0, 0: 0.0})
     few.turn(T + 9.5, {2: 0.2})
-    assert few.lender.waits_until == [T + 9.5], "all have spoken: it knows what is held"
+    assert few.lender.waits_until == [T + 9.5], "all have sent requests: the held loans are known"
 
 
-def test_what_is_still_out_counts_as_taken_though_the_loan_is_smaller() -> None:
+def test_parts_still_in_use_count_as_taken_after_the_loan_shrinks() -> None:
     few = Few(2, unit=COUNT)
     few.turn(T, {0: 1.0, 1: 0.1})
     few.turn(T + 1, {0: 1.0, 1: 0.1})
@@ -173,13 +173,13 @@
     for tick in range(2, 5):
         few.turn(T + tick, {1: 1.0})
         few.ask(T + tick, 0, 0.0, used)
-        assert used + few.parts(T + tick)[1] <= 1.0 + 1e-9, "the ten that are out are not lent again"
+        assert used + few.parts(T + tick)[1] <= 1.0 + 1e-9, "units in use are not lent again"
     few.turn(T + 5, {0: 0.0})
     few.turn(T + 6, {0: 0.0, 1: 1.0})
     assert few.parts(T + 6)[1] >= 0.8
 
 
-def test_an_own_part_waits_for_former_loans_where_it_is_new_or_was_raised_and_falls_at_once() -> None:
+def test_new_or_raised_own_part_waits_for_former_loans_and_a_lowered_one_does_not() -> None:
     three = MemberLists(("a", "b", "c"), lease=6.0, former_lease=6.0, own_part=0.3, former_own_part=0.3)
     longest = vote_duration(loan_duration(6.0))
     old, new = OwnPart(0.0, three, "a", [RATE]), OwnPart(0.0, three, "a", [RATE])
@@ -205,7 +205,7 @@
     assert old.parts_at(200.0, True, had_part=True) == third(0.15)
 
 
-def test_what_may_be_lent_during_a_change_leaves_the_larger_own_part_and_counts_both_lists() -> None:
+def test_lendable_parts_during_a_list_change_allow_for_both_versions() -> None:
     settled = MemberLists(("a", "b"), own_part=0.2, former_own_part=0.9)
     tenth = (WHOLE // 10,)
     assert lending_terms([RATE], settled, frozenset(), {"a": 0, "b": 1}) == (
@@ -218,7 +218,7 @@
     assert (own, pool) == ({0: tenth, 1: (0,)}, (WHOLE * 4 // 10,)) and members == {0, 1, UNNUMBERED}
 
 
-def test_answers_that_are_late_doubled_overtaken_or_for_another_change_nothing() -> None:
+def test_late_duplicated_overtaken_or_foreign_answers_change_nothing() -> None:
     few = Few()
     first, second = few.ask(T, 0, 1.0), few.ask(T + 0.5, 0, 0.3)
     assert first is not None and second is not None
@@ -234,7 +234,7 @@
     assert b.available(T + 1.2, "offers.live") == few.own[0]
 
 
-def test_a_lender_waits_for_loans_that_were_longer_before_leases_were_changed() -> None:
+def test_lender_waits_for_longer_loans_made_under_former_leases() -> None:
     lender = Lender(
         T, 2, [RATE, COUNT], {}, [WHOLE, WHOLE], range(3), [DIGEST], loan_duration(2.0), loan_duration(20.0)
     )
@@ -242,7 +242,7 @@
     assert lender.waits_until == pytest.approx([T + longest, T + longest + COUNT.lag])
 
 
-def test_a_lender_answers_nothing_to_who_is_of_another_term_version_or_number() -> None:
+def test_lender_refuses_requests_of_another_term_version_or_member() -> None:
     few = Few()
     words = few.borrowers[0].next_request(T, 1, {}, {"offers.live": WHOLE})
     assert words is not None
@@ -263,7 +263,7 @@
     )
 
 
-def test_who_needs_much_more_than_it_has_asks_soon_and_others_once_a_period() -> None:
+def test_borrower_with_a_jump_in_need_requests_early_and_otherwise_once_per_period() -> None:
     b = Borrower([RATE], [own_parts(RATE, 0.1, "abc")["a"]], 1, [DIGEST], LOAN)
     assert (
         b.next_request(T, 1, {}, {})
@@ -272,13 +272,13 @@
     )
     assert not b.next_request(T + PERIOD + 0.1, 1, {}, {"offers.live": WHOLE})
     assert b.next_request(T + PERIOD + 0.2, 1, {}, {"offers.live": WHOLE})
-    assert not b.next_request(T + 9, 0, {}, {}), "of a former term"
+    assert not b.next_request(T + 9, 0, {}, {}), "the term is a former one"
     assert b.next_request(T + 9, 2, {}, {"offers.live": 77 * WHOLE}).wanted == (WHOLE,)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_many_in_virtual_time_with_lenders_that_come_and_go_are_never_over_the_whole(seed: int) -> None:
-    """Messages are lost, late and doubled; members die and come back; the lender changes at any moment."""
+def test_changing_lenders_in_virtual_time_never_exceed_the_whole(seed: int) -> None:
+    """Messages are lost, delayed and duplicated; members restart; the lender changes at any moment."""
     chance = random.Random(seed)
     unit = COUNT if seed % 2 else RATE
     few = Few(6, unit=unit)
@@ -306,7 +306,7 @@
                     out[me] = 0
                 elif not out[me] and chance.random() < 0.3:
                     out[me], since[me] = mine, now
-            if chance.random() < 0.005:  # it is killed, what it had out goes on for a while
+            if chance.random() < 0.005:  # it is killed; its use continues for a while
                 lingers.append((out[me], since[me] + unit.lag))
                 out[me] = 0
                 few.borrowers[me] = Borrower([unit], [few.own[me]], 100 + step, [DIGEST], LOAN)
@@ -326,12 +326,12 @@
         assert used + sum(parts for parts, _ in lingers) <= WHOLE
 
 
-# ---- words -------------------------------------------------------------------------------------------------
+# ---- messages ----------------------------------------------------------------------------------------------
 
 
 @settings(max_examples=300, derandomize=True)
 @given(st.binary(max_size=120))
-def test_words_of_any_bytes_are_read_whole_or_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_completely_or_refused(data: bytes) -> None:
     try:
         words = decode(data)
     except InvalidMessage:
@@ -339,7 +339,7 @@
     assert encode(words) == data
 
 
-def test_words_above_the_whole_or_cut_off_are_refused() -> None:
+def test_messages_above_the_whole_or_truncated_are_refused() -> None:
     want = LoanMessage("want", DIGEST, 3, 4, 5, 6, 0.0, (7, 8), (9, 10), (11, WHOLE))
     data = encode(want)
     assert decode(data) == want
@@ -351,7 +351,7 @@
         decode(encode(want._replace(wanted=(11, WHOLE + 1))))
 
 
-def test_budgets_are_of_the_sites_limits_and_versions_that_differ_do_not_lend() -> None:
+def test_budgets_follow_the_site_limits_and_digests_differ_by_version() -> None:
     budgets = budgets_of({"live": 5.0, "event": 3.0}, 20, 4.0)
     assert [b.name for b in budgets] == ["offers.event", "offers.live", "set_ups"]
     assert budgets[2].grain == WHOLE // 20 and budgets[2].lag == 4.0 and budgets_of({}, 0.0, 4.0) == ()
@@ -359,7 +359,7 @@
     assert len({budgets_digest(*version) for version in versions}) == 4
 
 
-# ---- what the tool makes of what gateways say --------------------------------------------------------------
+# ---- the fleet tool's report -------------------------------------------------------------------------------
 
 
 def said(
@@ -385,7 +385,7 @@
     )
 
 
-def test_sums_are_told_as_they_are_and_what_does_not_add_up_is_named() -> None:
+def test_fleet_sums_are_reported_and_inconsistencies_named() -> None:
     book = {"budget": "offers.live", "pool": int(0.9 * WHOLE), "lent": {"0": WHOLE // 2}, "waits": 0.0}
     told = {"g0": read_said(said(0.05, 0.5, 0.9, [book])), "g1": read_said(said(0.05, 0.0, 0.01))}
     good = {name: t for name, t in told.items() if not isinstance(t, str)}
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -1,4 +1,4 @@
-"""Budgets as several processes of the program, faults between them; judged from what crossed the sockets."""
+"""Budgets of several processes, with faults between them; checked by the traffic on the sockets."""
 
 import time
 from pathlib import Path
@@ -17,7 +17,8 @@
 
 
 def lending(directory: Path, gateways: int, **more: Any) -> FleetRig:
-    """Viewers ask for three times what the fleet may let in, and watch so shortly that hosts have room."""
+    """Returns a rig whose viewers request three times the admitted rate and watch so briefly that hosts have
+    room."""
     return FleetRig(directory, gateways, hosts=9, rate=3 * RATE, watch=0.3, door=DOOR, **more)
 
 
@@ -27,7 +28,7 @@
 
 
 def used(rig: FleetRig, seconds: float = 4.0) -> float:
-    """Of the whole rate, what was let in over the last seconds, by what media hosts saw."""
+    """Returns the fraction of the whole rate that was admitted recently, as seen by the media hosts."""
     now = time.monotonic()
     return rig.let_in(now - seconds, now) / seconds / RATE
 
@@ -37,7 +38,7 @@
     return bool(told and told["alone"]) and part(rig, name) <= 0.1 / len(rig.names) + 1e-6
 
 
-def test_what_the_dead_had_goes_to_those_who_live_and_comes_back_with_them(tmp_path: Path) -> None:
+def test_parts_of_dead_gateways_are_lent_to_others_and_return_with_them(tmp_path: Path) -> None:
     def script(rig: FleetRig) -> None:
         rig.start_all()
         rig.owner("budgets")
@@ -50,7 +51,7 @@
         rig.until(lambda: used(rig) >= 0.9, 60.0, 0.5)
         rig.start_all(dead)
         rig.until(lambda: min(part(rig, n) for n in rig.names) > 0.05, 60.0)
-        # A fourth is missing: own parts alone, said so, until it is back.
+        # Without a fourth gateway there are only own parts, which is reported, until it returns.
         for name in rig.names[3:]:
             rig.kill(name)
         rig.until(lambda: all(alone(rig, n) for n in dead), 60.0)
@@ -66,7 +67,7 @@
     assert rig.over_budget() == [] and any(x["ev"] == "lent" for x in rig.lines())
 
 
-def test_lenders_die_wait_and_wake_up_late_and_a_borrower_stands_still_past_its_loan(tmp_path: Path) -> None:
+def test_failing_and_suspended_lenders_and_a_borrower_suspended_past_its_loan(tmp_path: Path) -> None:
     def script(rig: FleetRig) -> None:
         rig.start_all()
         first = rig.owner("budgets")
@@ -75,11 +76,11 @@
         still = next(n for n in rig.names if n != first and part(rig, n) > 0.05)
         rig.still(still)
         rig.loop.sleep(1.5 * loan_duration(rig.lease))
-        rig.goes_on(still)  # its loan is over, and requests wait in its sockets
-        rig.wires.lent_late = 0.2  # answers are under way when their lender stops
+        rig.goes_on(still)  # its loan has expired, and requests wait in its sockets
+        rig.wires.lent_late = 0.2  # answers are in flight when their lender is suspended
         rig.still(first)
         second = rig.owner("budgets", but=[first], within=60.0)
-        rig.kill(second)  # while it waits for what the first one lent
+        rig.kill(second)  # while it waits for loans of the first one
         rig.owner("budgets", but=[first, second], within=60.0)
         rig.goes_on(first)
         rig.start_all([second])
@@ -91,7 +92,7 @@
     assert rig.over_budget() == []
 
 
-def test_a_fleet_that_is_cut_and_healed_ten_times_is_never_over_its_budgets(tmp_path: Path) -> None:
+def test_repeated_partitions_never_exceed_the_budgets(tmp_path: Path) -> None:
     def script(rig: FleetRig) -> None:
         rig.start_all()
         rig.owner("budgets")
@@ -103,7 +104,7 @@
             rig.loop.sleep(0.2 + 0.2 * turn)
             rig.heal()
             rig.loop.sleep(0.3)
-        # 3 of 6 are cut off for good: nobody lends, on either side.
+        # A lasting partition of 3 of 6 gateways: there is no lender on either side.
         rig.cut("hall z0")
         rig.until(lambda: all(alone(rig, n) for n in rig.names), 60.0)
         rig.heal()
@@ -114,8 +115,8 @@
     assert rig.over_budget() == []
 
 
-def test_halves_that_are_cut_from_each_other_let_in_by_own_units_on_both_sides(tmp_path: Path) -> None:
-    """Of thirty set-ups at once a tenth is three: fewer than gateways, and some on each side have one."""
+def test_partitioned_halves_admit_by_own_units_on_both_sides(tmp_path: Path) -> None:
+    """The own part is a tenth of thirty set-ups, three units for six gateways: some on each side have one."""
 
     def script(rig: FleetRig) -> None:
         rig.start_all()
@@ -135,7 +136,7 @@
     assert rig.over_budget() == []
 
 
-def test_a_limit_that_is_halved_by_a_reload_counts_at_once(tmp_path: Path) -> None:
+def test_limit_halved_by_a_reload_takes_effect_at_once(tmp_path: Path) -> None:
     def script(rig: FleetRig) -> Any:
         rig.start_all()
         rig.owner("budgets")
@@ -153,7 +154,7 @@
     assert rig.over_budget(rig.run(script)) == []
 
 
-def test_one_is_added_and_the_dead_are_declared_gone_while_loans_go_on(tmp_path: Path) -> None:
+def test_adding_a_gateway_and_declaring_dead_ones_gone_while_loans_continue(tmp_path: Path) -> None:
     def script(rig: FleetRig) -> None:
         five = rig.site
         rig.site = msgspec.structs.replace(five, gateways=five.gateways[:4])
@@ -169,11 +170,11 @@
             rig.kill(name)
             rig.start_all([name])
             if number < 3:
-                assert part(rig, "g4") <= 0.0, "others do not count it yet"
+                assert part(rig, "g4") <= 0.0, "the others do not count it yet"
                 rig.until(lambda name=name: part(rig, name) > 0.1, 60.0)  # type: ignore[misc]
-        # No viewer asks the newcomer: it has its own part, as the others have theirs and the rest.
+        # No viewer uses the newcomer: it has only its own part, the others share the rest.
         rig.until(lambda: part(rig, "g4") > 0.0 and min(part(rig, n) for n in rig.names[:4]) > 0.1, 60.0)
-        # Three of five are lost; an operator vouches for two of them.
+        # Three of five fail; an operator declares two of them gone.
         for name in ("g1", "g2", "g3"):
             rig.kill(name)
         rig.until(lambda: alone(rig, "g0") and alone(rig, "g4"), 60.0)
@@ -184,7 +185,7 @@
             rig.kill(name)
             rig.start_all([name])
         rig.until(lambda: part(rig, "g0") + part(rig, "g4") > 0.9, 60.0)
-        rig.start_all(["g1"])  # it turns up all the same: it takes nothing
+        rig.start_all(["g1"])  # a gateway declared gone that starts anyway gets nothing
         rig.until(lambda: bool((rig.asked("g1", "/v1/budgets") or {}).get("alone")), 60.0)
         rig.loop.sleep(2 * loan_duration(rig.lease))
         assert part(rig, "g1") == 0.0 and part(rig, "g0") + part(rig, "g4") > 0.9
@@ -194,7 +195,7 @@
     assert rig.over_budget() == []
 
 
-# ---- the checker is seen to fail ---------------------------------------------------------------------------
+# ---- checks of tapes ---------------------------------------------------------------------------------------
 
 
 Told = list[tuple[float, str, dict[str, Any]]]
@@ -224,7 +225,7 @@
 
 
 def lent(who: str, t: float, number: int, share: float, life: int = 1, by: str = "g9", term: int = 1) -> Told:
-    """Asked, answered a little later, and said to be taken."""
+    """Returns the events of a loan: request, answer, and a later request that confirms it."""
     ask = {"who": who, "to": by, "term": term, "life": life}
     return [
         (t, "want", {**ask, "sequence": number, "number": 0}),
@@ -255,7 +256,7 @@
 
 
 @pytest.mark.parametrize("promise", PLANTED)
-def test_each_check_is_seen_to_fail_on_a_planted_tape(promise: str) -> None:
+def test_each_check_fails_on_a_faulty_tape(promise: str) -> None:
     assert [b.invariant for b in check_budgets(tape(PLANTED[promise]), WHOLES)] == [promise]
     good = [x for n in range(60) for x in setup(n, n / 9, n / 9 + 0.3)]
     good += [*lent("g0", 1.0, 1, 0.6), *lent("g1", 6.1, 2, 0.4), *lent("g2", 12.0, 3, 0.9)]
@@ -264,14 +265,14 @@
     assert check_budgets(tape(good), WHOLES) == []
 
 
-def test_what_a_lender_had_under_a_former_term_counts_until_it_lends_itself() -> None:
-    """What it lends to itself crosses no wire, and takes the place of what it had."""
+def test_loan_under_a_former_term_counts_until_its_holder_lends() -> None:
+    """A lender's loan to itself crosses no socket, and replaces its former loan."""
     had = lent("g0", 1.0, 1, 0.6)
     with_it = [*had, *lent("g1", 2.0, 2, 0.4, by="g0", term=2)]
     assert check_budgets(tape(with_it), WHOLES) == []
     for other in (lent("g1", 2.0, 2, 0.4, by="g2", term=2), lent("g1", 2.0, 2, 0.4, by="g0", term=1)):
         assert [b.invariant for b in check_budgets(tape([*had, *other]), WHOLES)] == [
             "parts are within the whole"
-        ], "another lends, or it does under no later term"
+        ], "another gateway lends, or the term is not a later one"
     before = [*had, *lent("g1", 1.5, 2, 0.4), *lent("g2", 3.0, 3, 0.1, by="g0", term=2)]
     assert [b.invariant for b in check_budgets(tape(before), WHOLES)] == ["parts are within the whole"]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership: news in any order, refutation, parts within the whole, fleets in virtual time, datagrams."""
+"""Membership: updates in any order, refutation, messages, fleets in virtual time, datagrams."""
 
 import random
 from pathlib import Path
@@ -25,12 +25,12 @@
 )
 
 
-# ---- what is believed --------------------------------------------------------------------------------------
+# ---- roster and messages -----------------------------------------------------------------------------------
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(NEWS, max_size=30), st.randoms(use_true_random=False))
-def test_news_in_any_order_and_any_number_lead_to_the_same_belief(
+def test_updates_in_any_order_and_repetition_give_the_same_roster(
     some: list[MemberStatus], chance: random.Random
 ) -> None:
     def believed(order: list[MemberStatus]) -> Any:
@@ -45,7 +45,7 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(NEWS, max_size=20))
-def test_whatever_is_said_of_a_member_it_refutes_it(some: list[MemberStatus]) -> None:
+def test_member_refutes_any_claim_about_itself(some: list[MemberStatus]) -> None:
     roster, other = Roster(T, 0, 5, 1), Roster(T, 1, 5, 1)
     other.merge(T, some)
     roster.merge(T, [MemberStatus(n, e.incarnation, e.status) for n, e in other.entries.items()])
@@ -55,7 +55,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
-def test_bytes_of_any_kind_are_read_or_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_refused(data: bytes) -> None:
     try:
         words = decode(data)
     except InvalidMessage:
@@ -65,7 +65,9 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.sampled_from(KINDS), st.integers(0, 2**32 - 1), st.lists(NEWS, max_size=140))
-def test_words_come_through_within_their_bound(kind: Any, sequence: int, some: list[MemberStatus]) -> None:
+def test_messages_round_trip_within_their_size_bound(
+    kind: Any, sequence: int, some: list[MemberStatus]
+) -> None:
     words = MembershipMessage(kind, sequence, 3, tuple(some))
     data = encode(words)
     assert len(data) <= 1152 and decode(data) == words._replace(news=tuple(some[:MAX_UPDATES]))
@@ -74,7 +76,7 @@
 # ---- fleets in virtual time --------------------------------------------------------------------------------
 
 
-def test_a_death_is_known_by_all_and_nobody_is_taken_for_dead_who_is_not() -> None:
+def test_death_is_known_to_all_without_false_positives() -> None:
     crowd = Crowd(30, loss=0.1)
     crowd.run(40.0)
     assert not any(status == "dead" for *_, status in crowd.became)
@@ -87,7 +89,7 @@
     assert crowd.knows("alive", 7) == 1.0, "its new incarnation counts"
 
 
-def test_a_wave_of_restarts_makes_nobody_doubt_for_good_and_a_parted_fleet_grows_together() -> None:
+def test_rolling_restart_causes_no_deaths_and_partitioned_fleet_merges_again() -> None:
     crowd = Crowd(20)
     crowd.run(5.0)
     for n in range(20):
@@ -105,7 +107,7 @@
     assert all(crowd.knows("alive", n) == 1.0 for n in range(20))
 
 
-def test_who_leaves_for_good_is_known_to_have_left_and_counts_when_it_is_back() -> None:
+def test_member_that_left_is_known_as_left_and_alive_again_after_its_return() -> None:
     crowd = Crowd(5)
     crowd.run(5.0)
     crowd.leave(4, True)
@@ -116,7 +118,7 @@
     assert crowd.knows("alive", 4) == 1.0
 
 
-def test_one_that_stood_still_doubts_nobody_when_it_goes_on() -> None:
+def test_suspended_member_suspects_nobody_when_it_resumes() -> None:
     crowd = Crowd(10)
     crowd.run(5.0)
     one = crowd.all[0]
@@ -128,7 +130,7 @@
     assert not any(isinstance(d, StatusChanged) for d in decisions)
 
 
-def test_viewers_are_sent_to_a_gateway_that_is_there_of_their_hall_where_one_is() -> None:
+def test_viewers_are_sent_to_a_present_gateway_preferably_of_their_zone() -> None:
     one = site().gateways[0]
     some = [msgspec.structs.replace(one, name=f"g{n}", at=f"a{n}", zone="xxy"[n]) for n in range(3)]
     chance = random.Random(1)
@@ -147,7 +149,7 @@
     return msgspec.structs.replace(one, gateways=some)
 
 
-def test_gateways_find_one_another_by_datagrams_and_strangers_are_not_heard(tmp_path: Path) -> None:
+def test_gateways_discover_each_other_by_datagrams_and_ignore_unauthenticated_ones(tmp_path: Path) -> None:
     some, loop, key = three(), Loop(), bytes(range(32))
 
     def main() -> None:
@@ -179,8 +181,8 @@
     loop.run(main)
 
 
-def test_who_is_held_for_alive_is_always_what_the_roster_says() -> None:
-    """It is kept between changes: each decision on owners asks for it."""
+def test_cached_set_of_alive_members_always_matches_the_roster() -> None:
+    """The set is cached between changes, since each decision on owners reads it."""
     crowd = Crowd(12, loss=0.3)
     for step in range(60):
         if step == 20:
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Owners: votes, leases and fences in all interleavings, many members in virtual time, what comes spoilt."""
+"""Owners: votes, leases and fences in all interleavings, many members in virtual time, malformed messages."""
 
 import os
 import random
@@ -19,33 +19,33 @@
 from ledgehitch.owners.votes import Fence, Lease, Voter
 from ledgehitch.owners.words import KINDS, DutyMessage, InvalidMessage, decode, encode
 from ledgehitch.quality.keep import Keep as File
-from tests.explore_owners import CORNERS, PLANTED, explored, walked
+from tests.explore_owners import INJECTED_FAULTS, SCENARIOS, explore, walk
 
 T = 1000.0
 ROOT = Path(__file__).parent.parent
 
 
-# ---- what the promises rest on -----------------------------------------------------------------------------
+# ---- votes, leases and fences ------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("name", CORNERS)
-def test_no_interleaving_has_two_owners_or_an_old_effect(name: str) -> None:
-    found = explored(4000, CORNERS[name])
+@pytest.mark.parametrize("name", SCENARIOS)
+def test_no_interleaving_has_two_owners_or_a_stale_effect(name: str) -> None:
+    found = explore(4000, SCENARIOS[name])
     assert found.states == 4000 and found.unsafe is None, found.breach
-    deeper = walked(5, 40, 40, CORNERS[name])
+    deeper = walk(5, 40, 40, SCENARIOS[name])
     assert deeper.states > 300 and deeper.unsafe is None, deeper.breach
 
 
-@pytest.mark.parametrize("fault", PLANTED)
-def test_each_planted_fault_is_found_and_the_same_way_is_safe_without_it(fault: str) -> None:
-    corner, way = PLANTED[fault]
-    found = explored(60_000, CORNERS[corner], fault, way)
+@pytest.mark.parametrize("fault", INJECTED_FAULTS)
+def test_each_injected_fault_is_detected_and_its_path_is_safe_without_it(fault: str) -> None:
+    corner, way = INJECTED_FAULTS[fault]
+    found = explore(60_000, SCENARIOS[corner], fault, way)
     assert found.unsafe is not None
     assert found.breach.startswith(("two owners", "an effect of term"))
-    assert explored(min(found.states, 3000), CORNERS[corner], "", way).unsafe is None
+    assert explore(min(found.states, 3000), SCENARIOS[corner], "", way).unsafe is None
 
 
-def test_a_lease_that_was_over_is_not_woken_by_a_late_answer_nor_kept_by_a_clock_that_jumps_back() -> None:
+def test_expired_lease_is_not_revived_by_late_grant_or_clock_jumping_back() -> None:
     lease = Lease(3, MemberLists(("a", "b", "c")), 10.0)
     lease.on_grant("a", T)
     assert not lease.is_valid(T)
@@ -53,13 +53,13 @@
     assert lease.is_valid(T + 9.9) and lease.expires_at() == T + 10
     assert not lease.is_valid(T + 10)
     lease.on_grant("c", T + 9)
-    assert not lease.is_valid(T + 11), "it was noticed to be over"
+    assert not lease.is_valid(T + 11), "its expiry was detected"
     other = Lease(4, MemberLists(("a",)), 10.0)
     other.on_grant("a", T)
     assert other.is_valid(T + 5) and not other.is_valid(T + 4.9) and not other.is_valid(T + 5)
 
 
-def test_a_voter_binds_itself_and_no_term_is_given_twice_or_out_of_reach() -> None:
+def test_voter_is_bound_and_grants_no_term_twice_or_out_of_range() -> None:
     voter = Voter(10.0)
     assert (
         voter.on_vote_request(T, 1, "a")
@@ -67,9 +67,9 @@
         and voter.bound_until == T + 15
     )
     assert not voter.on_vote_request(T + 14, 2, "b") and not voter.on_vote_request(T + 14, 1, "b")
-    assert voter.on_vote_request(T + 14, 2, "a"), "the same one may take a higher term"
+    assert voter.on_vote_request(T + 14, 2, "a"), "the same member may take a higher term"
     assert not voter.on_release(1, "a") and voter.on_release(2, "a")
-    assert not voter.on_vote_request(T + 14, 2, "a"), "what was given back is never given again"
+    assert not voter.on_vote_request(T + 14, 2, "a"), "a released term is never granted again"
     assert not voter.on_vote_request(T + 14, 3 + MAX_TERM_STEP, "b") and not voter.on_vote_request(
         T + 14, MAX_TERM + 1, "b"
     )
@@ -79,7 +79,7 @@
     assert not again.on_vote_request(T + 9.9, 4, "c") and again.on_vote_request(T + 10, 4, "c")
 
 
-def test_a_fence_refuses_what_is_lower_none_or_out_of_reach() -> None:
+def test_fence_refuses_lower_zero_and_out_of_range_terms() -> None:
     fence = Fence({"restarts": 5})
     assert not fence.accepts("restarts", 4) and not fence.accepts("restarts", 0)
     assert not fence.accepts("restarts", 6 + MAX_TERM_STEP) and not fence.accepts("restarts", MAX_TERM + 1)
@@ -87,7 +87,7 @@
     assert fence.accepts("verdicts", 1) and fence.refused == {"restarts": 5}
 
 
-def test_a_changed_list_needs_a_majority_of_both_until_it_is_settled() -> None:
+def test_changed_list_needs_majority_of_both_until_settled() -> None:
     old, new = tuple("abc"), tuple("abcdefg")
     both = MemberLists(new, old)
     assert not both.has_majority("defg") and not both.has_majority("abc") and both.has_majority("abde")
@@ -99,24 +99,24 @@
         "one change at a time"
     )
     m.on_member_list(T, "d", m.lists.digests()[0])
-    assert not m.settle(T + 99), "no member of the former list but itself goes by the new one"
+    assert not m.settle(T + 99), "no other member of the former list uses the new one"
     m.on_member_list(T, "b", m.lists.digests()[0])
-    assert not m.settle(T + 99), "none has a majority: three of seven are there, and one of three is left"
+    assert not m.settle(T + 99), "no majority: three of seven use the new list, one of three the former"
     m.on_member_list(T, "e", m.lists.digests()[0])
     assert not m.settle(T + 10.0) and m.settle(T + m.vote_duration) and m.lists == MemberLists(new)
 
 
-def test_a_clock_that_jumps_back_stands_still_or_goes_slow_is_not_gone_by() -> None:
+def test_clock_that_jumps_back_stops_or_runs_slow_is_not_trusted() -> None:
     clock = ClockCheck(T, 50.0)
     assert clock.check(T + 1, 51.0) and clock.check(T + 2.01, 52.0)
-    assert clock.check(T + 600, 53.5), "the machine slept: the second clock did not go on"
+    assert clock.check(T + 600, 53.5), "the machine was suspended: the second clock stopped"
     assert not clock.check(T + 599.9, 54.0), "it jumped back"
-    assert not clock.check(T + 600.4, 54.5) and clock.check(T + 601, 55.1), "it went right for a second"
+    assert not clock.check(T + 600.4, 54.5) and clock.check(T + 601, 55.1), "it was right for a second"
     assert not clock.check(T + 601, 56.2), "it stood still"
-    assert not clock.check(T + 601.9, 57.2), "it goes slower than the bound allows"
+    assert not clock.check(T + 601.9, 57.2), "it runs slower than the bound allows"
 
 
-def test_duties_spread_over_the_members_and_all_rank_them_alike() -> None:
+def test_duties_spread_over_members_and_all_rank_alike() -> None:
     names = [f"g{n}" for n in range(12)]
     firsts = {rank_members(f"duty-{n}", names)[0] for n in range(40)}
     assert len(firsts) > 8 and rank_members("restarts", names) == rank_members("restarts", list(names))
@@ -126,7 +126,7 @@
 # ---- many members in virtual time --------------------------------------------------------------------------
 
 
-def test_a_fleet_that_starts_at_once_has_one_owner_a_duty_and_replaces_a_dead_one_in_time() -> None:
+def test_fleet_elects_one_owner_per_duty_and_replaces_a_failed_one_in_time() -> None:
     crowd = Crowd(5, lease=10.0, seed=3)
     crowd.run(25.0)
     owners = {d: crowd.owners(d) for d in DUTIES}
@@ -140,13 +140,13 @@
     assert crowd.most_owners == 1
 
 
-def test_halves_that_are_cut_from_each_other_say_little_for_as_long_as_it_lasts() -> None:
-    """Without a majority everybody asked everybody, again and again: bytes by the square of the members."""
+def test_partitioned_halves_without_majority_send_few_messages() -> None:
+    """Without a majority, repeated polls of all members would grow traffic with the square of the members."""
     crowd, halves = Crowd(40, lease=10.0, seed=2), (set(range(20)), set(range(20, 40)))
     crowd.run(25.0)
     crowd.part(halves[0])
     sent = crowd.bytes
-    crowd.run(15.0, 0.05)  # membership does not know it yet: polls of all come rarer
+    crowd.run(15.0, 0.05)  # membership has not detected the partition yet: polls of all members back off
     assert crowd.bytes - sent < 15.0 * 40 * 40 * 40
     for n, one in crowd.all.items():
         assert one is not None
@@ -164,8 +164,8 @@
     assert crowd.now - at <= 2 * 10.0 + 1.0 and crowd.most_owners == 1
 
 
-def test_a_majority_that_hears_of_no_owner_elects_one_though_half_of_the_polls_were_in_vain() -> None:
-    """How often polls were in vain is forgotten with the next owner: the one after it is elected as soon."""
+def test_majority_elects_owner_although_polls_failed_before() -> None:
+    """A new owner resets the count of failed polls, so the owner after it is elected without extra delay."""
     crowd = Crowd(9, lease=10.0, seed=5)
     crowd.run(25.0)
     crowd.part(range(4))
@@ -184,7 +184,7 @@
     assert crowd.most_owners == 1
 
 
-def test_an_owner_on_its_way_out_hands_over_within_half_a_second() -> None:
+def test_owner_shutting_down_hands_over_within_half_a_second() -> None:
     crowd = Crowd(5, lease=10.0, seed=4)
     crowd.run(25.0)
     (before,) = crowd.owners("restarts")
@@ -193,10 +193,10 @@
     crowd.until(lambda: crowd.owners("restarts") not in ([], [before]), 10.0)
     assert crowd.now - at <= 0.5 and crowd.term("restarts") == term + 1 and crowd.most_owners == 1
     crowd.run(40.0)
-    assert before not in crowd.owners("restarts"), "one on its way out stands no more"
+    assert before not in crowd.owners("restarts"), "a member shutting down is no candidate"
 
 
-def test_a_minority_has_no_owner_and_raises_no_terms_meanwhile() -> None:
+def test_minority_has_no_owner_and_raises_no_terms() -> None:
     crowd = Crowd(5, lease=10.0, seed=5)
     crowd.run(25.0)
     (owner,) = crowd.owners("restarts")
@@ -212,7 +212,7 @@
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_whatever_dies_parts_stops_or_comes_back_empty_no_moment_has_two_owners(seed: int) -> None:
+def test_crashes_partitions_and_lost_disks_never_cause_two_owners(seed: int) -> None:
     chance = random.Random(seed)
     rates = [chance.uniform(1.0, 1.0099) for _ in range(5)]
     crowd = Crowd(5, lease=4.0, seed=seed, loss=chance.choice([0.0, 0.2]), rates=rates)
@@ -256,7 +256,7 @@
 
 
 def pulled(owners: Owners, now: float, disk: bool = True) -> list[Any]:
-    """What is decided; `disk`: whether it takes what must be kept."""
+    """Returns the decisions. `disk`: whether records can be stored."""
     out: list[Any] = []
     while (decision := owners.decide(now)) is not None:
         if isinstance(decision, Store):
@@ -278,7 +278,7 @@
     return owners
 
 
-def test_a_single_gateway_owns_all_and_a_full_disk_lets_it_own_nothing() -> None:
+def test_single_gateway_owns_all_duties_and_none_with_a_full_disk() -> None:
     owners = lone()
     won: list[Any] = []
     for tick in range(200):
@@ -290,7 +290,7 @@
     assert not full.owned_term(T + 30, "restarts") and full.counts["votes that could not be stored"] > 0
 
 
-def test_what_a_lease_ends_by() -> None:
+def test_lease_ends_by_bad_clock_refused_effect_or_higher_term() -> None:
     owners = owning(T)
     term = owners.owned_term(T + 15, "restarts")
     assert term
@@ -305,12 +305,12 @@
     while not owners.owned_term(now, "restarts"):
         now += 0.1
         pulled(owners, now)
-    assert owners.owned_term(now, "restarts") == term + 41, "the next one stands above what is known"
+    assert owners.owned_term(now, "restarts") == term + 41, "the next term is above the highest known one"
     assert owners.accepts_effect("restarts", term + 50) and not owners.owned_term(now, "restarts")
     assert not owners.accepts_effect("restarts", term + 41) and not owners.accepts_effect("nothing", 1)
 
 
-def test_one_that_lost_its_file_takes_no_effect_and_votes_only_when_it_may() -> None:
+def test_member_without_its_file_accepts_no_effect_and_votes_only_after_waiting() -> None:
     owners = lone(5)
     pulled(owners, T)
     assert not owners.accepts_effect("restarts", 3)
@@ -330,8 +330,8 @@
     assert [d for d in pulled(owners, T + 11) if isinstance(d, Send) and d.message.kind == "grant"]
 
 
-def test_a_newcomer_that_cannot_vote_yet_settles_no_change_of_the_list() -> None:
-    """Found where a restart took long: two of three had the new list, and the fourth could not vote."""
+def test_newcomer_that_cannot_vote_yet_does_not_settle_a_list_change() -> None:
+    """During a long restart, two of three had the new list, and the fourth could not vote yet."""
     old, new = ("g0", "g1", "g2"), ("g0", "g1", "g2", "g3")
     held = DurableState(T, "g0", old, DUTIES, 10.0, None, 1).record()
     owners = Owners(T, 0, new, DurableState(T, "g0", new, DUTIES, 10.0, held, 2), random.Random(1))
@@ -347,8 +347,8 @@
     assert owners.durable.settle(T + 11) and not owners.durable.lists.former
 
 
-def test_who_is_declared_gone_is_not_waited_for_and_counts_for_nothing() -> None:
-    """Four of seven are dead: by the former list nobody is elected any more. Two of them are vouched for."""
+def test_gateway_declared_gone_is_not_waited_for_and_not_counted() -> None:
+    """Four of seven are dead, so the former list cannot elect an owner. Two of them are declared gone."""
     old = tuple(f"g{n}" for n in range(7))
     new, gone = old[:5], frozenset(old[5:])
     held = DurableState(T, "g0", old, DUTIES, 10.0, None, 1, own_part=0.1).record()
@@ -364,8 +364,8 @@
     assert not back.joined(T + 60) and not any(isinstance(d, Won) for d in pulled(back, T + 60))
 
 
-def test_versions_of_the_own_part_are_versions_of_the_list() -> None:
-    """Also of a program that lent nothing: its file and its words name none, it went by 1/n."""
+def test_changed_own_part_is_a_change_of_the_list() -> None:
+    """This includes an older release without loans: its file and messages name no own part, it used 1/n."""
     names = ("g0", "g1", "g2")
     held = DurableState(T, "g0", names, DUTIES, 10.0, None, 1, own_part=1.0).record()
     for key in ("own_part", "former_own_part", "joined"):
@@ -386,7 +386,7 @@
     )
 
 
-def test_a_newcomer_that_starts_anew_during_the_change_has_no_part_before_the_others_count_it() -> None:
+def test_newcomer_restarted_during_the_change_has_no_part_before_others_count_it() -> None:
     new = tuple(f"g{n}" for n in range(4))
     first = Owners(T, 3, new, DurableState(T, "g3", new, DUTIES, 10.0, None, 1), random.Random(1))
     pulled(first, T)
@@ -407,7 +407,7 @@
     assert owners.joined(T + 60) and owners.durable.record()["joined"]
 
 
-def test_who_was_told_of_an_owner_says_so_to_who_asks_until_what_it_was_told_has_ended() -> None:
+def test_notified_member_names_the_owner_to_pollers_until_the_notice_expires() -> None:
     owners = lone(5, lone(5).durable.record())
     told = DutyMessage(
         "told", 0, 0, 3, owners.name_digests[1], *owners.durable.lists.digests(), member=1, left=15.0
@@ -421,12 +421,12 @@
     owners.on_message(T, 1, told)
     said = answer(T + 5, 2)
     assert (said.kind, said.member, said.term) == ("deny", 1, 3) and said.left == pytest.approx(10.0)
-    assert answer(T + 5, 1).kind == "free", "it is the owner itself that asks: it has lost its lease"
+    assert answer(T + 5, 1).kind == "free", "the owner itself polls: it has lost its lease"
     assert answer(T + 15, 2).kind == "free"
 
 
-def test_a_copy_that_was_put_back_is_not_taken_for_the_last_word(tmp_path: Path) -> None:
-    """Its number of lives says nothing, it may be of the same life: its place on the disk does."""
+def test_restored_copy_of_the_file_is_not_taken_for_the_latest(tmp_path: Path) -> None:
+    """The number of lives does not reveal a copy of the same life, but its location on the disk does."""
     keep = File(tmp_path / "g0.owners", synced=True)
     path = tmp_path / "g0.owners.0"
     keep.write({"term": 1})
@@ -444,11 +444,11 @@
     for cut in range(0, len(path.read_bytes()), 7):
         whole = path.read_bytes()
         path.write_bytes(whole[:cut])
-        assert keep.read() is None, "torn anywhere it does not count"
+        assert keep.read() is None, "a torn file counts as lost"
         keep.write({"term": 3})
 
 
-def test_an_old_copy_of_the_state_counts_as_lost() -> None:
+def test_stale_copy_of_the_state_counts_as_lost() -> None:
     held = lone(3).durable.record()
     owners = lone(3, held)
     assert owners.durable.intact
@@ -462,12 +462,12 @@
     assert owners.counts["stale copy of the state directory"] == 1
 
 
-# ---- what comes spoilt -------------------------------------------------------------------------------------
+# ---- malformed messages ------------------------------------------------------------------------------------
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=120))
-def test_words_of_any_bytes_are_read_whole_or_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_completely_or_refused(data: bytes) -> None:
     try:
         words = decode(data)
     except InvalidMessage:
@@ -477,7 +477,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_no_words_of_a_broken_member_end_elections_or_grow_what_is_kept(seed: int) -> None:
+def test_messages_of_a_faulty_member_neither_stop_elections_nor_grow_state(seed: int) -> None:
     chance = random.Random(seed)
     owners, now = lone(3), T
     for _ in range(60):
@@ -499,7 +499,7 @@
             intact=chance.random() < 0.5,
             terms=(term,) * chance.randrange(4),
         )
-        if sender == 2:  # one is broken, the other says what is true
+        if sender == 2:  # the other member is faulty
             words = words._replace(terms=(3, 3), term=min(term, 3), known_life=0)
         owners.on_message(now, sender, decode(encode(words)))
         pulled(owners, now)
@@ -513,12 +513,12 @@
     )
 
 
-# ---- off in `run` and `sim` --------------------------------------------------------------------------------
+# ---- not loaded on the platform ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("entry", ["platform", "simhost"])
-def test_what_the_bench_starts_loads_nothing_of_owners_members_or_daemons(entry: str) -> None:
-    """The entries of deploy/balancer.toml, started with nothing to do, tell what they have loaded."""
+def test_bench_entry_points_load_no_fleet_packages(entry: str) -> None:
+    """Starts the entry points of deploy/balancer.toml without work and lists the modules they loaded."""
     assert f"ledgehitch.{entry}" in (ROOT / "deploy" / "balancer.toml").read_text()
     code = f"""
 import atexit, runpy, sys
@@ -541,7 +541,7 @@
         assert f"ledgehitch.{off}" not in loaded
 
 
-def test_a_record_has_all_lives_that_were_greeted_and_an_earlier_one_stays_as_it_was() -> None:
+def test_record_contains_all_greeted_lives_and_earlier_records_do_not_change() -> None:
     memory = DurableState(T, "a", tuple("abc"), DUTIES, 10.0, None, 1)
     before = memory.record()
     memory.on_greeting("b", 3, 7)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Two regions as several processes, cut from each other; judged from what crossed the sockets."""
+"""Two regions of several processes, partitioned from each other; checked by the traffic on the sockets."""
 
 import time
 from pathlib import Path
@@ -16,18 +16,19 @@
 RATE, SET_UPS = 20.0, 30.0
 DOOR = {"on": True, "package_rates": {"recorded": RATE}, "set_ups": SET_UPS}
 REGIONS = ({"name": "north", "zones": ["z0"]}, {"name": "south", "zones": ["z1"]})
-WITHIN, CUT = 15.0, 20.0  # seconds until the whole is in use again, and that the regions are apart
+WITHIN, CUT = 15.0, 20.0  # seconds until the whole is in use again, and of the partition
 
 
 def rig_of(directory: Path, **more: Any) -> FleetRig:
-    """Viewers ask for three times what the fleet may let in, and watch so shortly that hosts have room."""
+    """Returns a rig whose viewers request three times the admitted rate and watch so briefly that hosts have
+    room."""
     return FleetRig(
         directory, 6, halls=2, hosts=9, rate=3 * RATE, watch=0.3, door=DOOR, regions=REGIONS, **more
     )
 
 
 def used(rig: FleetRig, seconds: float = 4.0) -> float:
-    """Of the whole rate, what was let in over the last seconds, by what media hosts saw."""
+    """Returns the fraction of the whole rate that was admitted recently, as seen by the media hosts."""
     now = time.monotonic()
     return rig.let_in(now - seconds, now) / seconds / RATE
 
@@ -41,7 +42,7 @@
     return told["share"]["in_force"] / WHOLE if told else -1.0
 
 
-def test_regions_that_are_cut_from_each_other_own_their_duties_and_let_in_the_whole(tmp_path: Path) -> None:
+def test_partitioned_regions_own_their_duties_and_admit_the_whole(tmp_path: Path) -> None:
     def script(rig: FleetRig) -> None:
         rig.start_all()
         both_own(rig)
@@ -53,7 +54,7 @@
         rig.until(lambda: used(rig) >= 0.9, WITHIN, 0.5)
         since = time.monotonic()
         rig.loop.sleep(cut + CUT - since)
-        assert rig.let_in(since) / (time.monotonic() - since) / RATE >= 0.9, "as long as the cut lasts"
+        assert rig.let_in(since) / (time.monotonic() - since) / RATE >= 0.9, "during the whole partition"
         both_own(rig, 2 * rig.lease + 1.0)
         code, said = rig.fleet("owners")
         assert code == 1 and "budgets (north)" in said and "budgets (south)" in said, said
@@ -62,7 +63,7 @@
         assert "share 0.500" in said and "nobody is known to lend" not in said, said
         rig.heal()
         rig.owner("restarts")
-        # Apart again, one way each, and an owner that stands still meanwhile and wakes up late.
+        # Partitions in one direction each, with an owner that is suspended meanwhile and resumes late.
         for there, back in ((True, False), (False, True)):
             rig.cut("region north", there=there, back=back)
             stopped = rig.owner("budgets", region="north")
@@ -72,7 +73,7 @@
             both_own(rig)
             rig.heal()
         rig.owner("restarts")
-        # One gateway of three is lost while they are apart: nothing changes there.
+        # One gateway of three fails during a partition: the others of its region go on.
         rig.cut("region north")
         lost = rig.owner("budgets", region="south")
         rig.kill(lost)
@@ -84,7 +85,7 @@
     assert rig.over_budget() == [] and rig.broken() == []
 
 
-def test_shares_change_carefully_and_a_region_that_is_gone_leaves_its_share(tmp_path: Path) -> None:
+def test_shares_change_safely_and_a_gone_regions_share_is_distributed(tmp_path: Path) -> None:
     north, south = ("g0", "g2", "g4"), ("g1", "g3", "g5")
 
     def stating(rig: FleetRig, *regions: dict[str, Any]) -> None:
@@ -106,7 +107,7 @@
         anew(rig, *north)
         both_own(rig)
         rig.until(lambda: all(rig.asked(n, "/v1/owners")["region"]["settled"] for n in north), 60.0)
-        assert [in_force(rig, n) for n in north] == [0.5] * 3, "the south goes by the former version"
+        assert [in_force(rig, n) for n in north] == [0.5] * 3, "the south uses the former version"
         code, said = rig.fleet("owners")
         assert "its region uses 0.500 of the whole, 0.750 is stated" in said, said
         anew(rig, "g1")  # no majority of three yet
@@ -115,20 +116,20 @@
         rig.loop.sleep(3 * rig.lease)
         assert [in_force(rig, n) for n in north] == [0.5] * 3
         rig.kill("g0")
-        rig.start_all(["g0"])  # it has not forgotten for what it waits
+        rig.start_all(["g0"])  # a restart keeps the wait
         assert in_force(rig, "g0") == 0.5
         anew(rig, "g3", "g5")
         rig.until(lambda: all(in_force(rig, n) == 0.75 for n in north), 60.0)
         both_own(rig)
         rig.until(lambda: used(rig) >= 0.9, 60.0, 0.5)
-        # The south is lost as a whole, and an operator vouches for that.
+        # The whole south fails, and an operator declares it gone.
         for name in south:
             rig.kill(name)
         stating(rig, {**REGIONS[0], "share": 0.75}, {**REGIONS[1], "share": 0.25, "gone": True})
         anew(rig, *north)
         rig.until(lambda: all(in_force(rig, n) == 1.0 for n in north), 60.0)
         rig.owner("budgets", region="north")
-        rig.owner("restarts")  # three of three that are stated
+        rig.owner("restarts")  # by all three remaining gateways
         with pytest.raises(DidNotStart):
             rig.start_gateway("g1")
         assert "g1: region 'south' has no gateway that is not declared gone" in rig.log_of("g1")
@@ -136,7 +137,7 @@
 
     rig = rig_of(tmp_path)
     rig.run(script)
-    # Own parts were of two versions: loans and what was let in are judged.
+    # Own parts were of two versions, so only loans and admissions are checked.
     patience = max(p.patience for p in rig.site.packages)
     assert check_budgets(rig.lines(), FleetLimits({"recorded": RATE}, SET_UPS, 6, patience)) == []
     assert rig.broken() == []
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Regions without processes: what a site states, shares, owners in two scopes, what operators are told."""
+"""Regions without processes: the site's regions, shares, owners in two scopes, reports for operators."""
 
 import random
 from fractions import Fraction
@@ -30,7 +30,7 @@
 from ledgehitch.regions import facts, shares
 from ledgehitch.regions.facts import REGIONAL_DUTIES, WHOLE, Region, region_of, regions_digest, regions_of
 from ledgehitch.regions.shares import RegionShares
-from tests.explore_regions import CORNERS, PLANTED, explored, walked
+from tests.explore_regions import INJECTED_FAULTS, SCENARIOS, explore, walk
 from tests.rig import site as one_gateway
 from tests.test_config import GOOD, messages
 from tests.test_owners import pulled
@@ -38,24 +38,24 @@
 T = 1000.0
 
 
-# ---- what the promises rest on -----------------------------------------------------------------------------
+# ---- shares ------------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("name", CORNERS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_no_interleaving_has_two_owners_in_a_scope_or_regions_over_the_whole(name: str) -> None:
-    found = explored(1500, CORNERS[name])
+    found = explore(1500, SCENARIOS[name])
     assert found.states == 1500 and found.unsafe is None, found.breach
-    deeper = walked(5, 25, 30, CORNERS[name])
+    deeper = walk(5, 25, 30, SCENARIOS[name])
     assert deeper.states > 200 and deeper.unsafe is None, deeper.breach
 
 
-@pytest.mark.parametrize("fault", PLANTED)
-def test_each_planted_fault_is_found_and_the_same_way_is_safe_without_it(fault: str) -> None:
-    corner, way = PLANTED[fault]
-    found = explored(30_000, CORNERS[corner], fault, way)
+@pytest.mark.parametrize("fault", INJECTED_FAULTS)
+def test_each_injected_fault_is_detected_and_its_path_is_safe_without_it(fault: str) -> None:
+    corner, way = INJECTED_FAULTS[fault]
+    found = explore(30_000, SCENARIOS[corner], fault, way)
     assert found.unsafe is not None
     assert found.breach.startswith(("two owners of", "regions have"))
-    assert explored(min(found.states, 1500), CORNERS[corner], "", way).unsafe is None
+    assert explore(min(found.states, 1500), SCENARIOS[corner], "", way).unsafe is None
 
 
 NORTH = Region("north", WHOLE // 2, ("g0", "g2", "g4"))
@@ -70,25 +70,25 @@
     return found
 
 
-def test_a_share_rises_when_no_majority_of_any_region_can_go_by_the_former_version() -> None:
+def test_share_rises_when_no_region_has_a_majority_on_the_former_version() -> None:
     held = RegionShares("north", EVEN, EVEN, True).record()
     one = begun("north", RAISED, held)
     assert (one.in_force(), one.stated_share()) == (WHOLE // 2, WHOLE * 3 // 4)
     on_new = {"g0", "g2", "g4", "g1"}
     one.on_versions(T, on_new, set(), 20.0)
-    assert one.settles_at > T + 1e9, "two of three of the south may go by the former one"
+    assert one.settles_at > T + 1e9, "two of three in the south may use the former version"
     one.on_versions(T, on_new | {"g3"}, set(), 20.0)
     assert not one.settle(T + 19.9) and one.in_force() == WHOLE // 2
     again = begun("north", RAISED, msgspec.json.decode(msgspec.json.encode(one.record())))
-    assert again.in_force() == WHOLE // 2 and again.settles_at > T + 1e9, "a restart waits anew"
+    assert again.in_force() == WHOLE // 2 and again.settles_at > T + 1e9, "a restart repeats the wait"
     assert one.settle(T + 20.0) and one.in_force() == WHOLE * 3 // 4
     assert begun("north", RAISED, one.record()).in_force() == WHOLE * 3 // 4
     lower = begun("south", RAISED, RegionShares("south", EVEN, EVEN, True).record())
-    assert lower.in_force() == WHOLE // 4, "a lower one counts at once"
+    assert lower.in_force() == WHOLE // 4, "a lower share takes effect at once"
 
 
 @given(st.integers(0, WHOLE), st.integers(0, WHOLE), st.floats(0.0, 1.0))
-def test_own_parts_by_a_former_larger_share_and_what_is_lent_stay_within_the_share(
+def test_own_parts_of_a_former_larger_share_and_loans_stay_within_the_share(
     before: int, now: int, own_part: float
 ) -> None:
     changed = RegionShares(
@@ -98,13 +98,13 @@
     assert changed.lendable(own_part, False) == mine == min(before, now)
     to_lend = changed.lendable(own_part, True)
     assert 0 <= to_lend <= mine
-    own = own_part * max(before, mine)  # at most, of gateways that go by either version
+    own = own_part * max(before, mine)  # at most, of gateways that use either version
     assert to_lend == 0 or own + (1.0 - own_part) * to_lend <= mine + 1e-3
     if own_part == 0.0 or before <= now:
-        assert to_lend == mine, "nothing is held back without need"
+        assert to_lend == mine, "nothing is withheld without need"
 
 
-def test_who_remembers_no_version_and_who_changes_to_a_third_has_the_least() -> None:
+def test_no_remembered_version_or_a_third_one_gives_the_smallest_share() -> None:
     lost = begun("north", EVEN, None)
     assert lost.in_force() == 0 and lost.stated_share() == WHOLE // 2
     lost.on_versions(T, {"g0", "g2", "g1", "g3"}, set(), 5.0)
@@ -113,7 +113,7 @@
     third = (NORTH._replace(share=WHOLE // 10), SOUTH._replace(share=WHOLE * 9 // 10))
     assert begun("south", third, second.record()).in_force() == WHOLE // 4
     assert begun("north", third, begun("north", RAISED, None).record()).in_force() == 0
-    # Back to no regions: all of it waits for both.
+    # Back to a site without regions: the whole waits for both regions.
     none = shares.initial_shares(
         "", (), ["g0", "g1"], RegionShares("north", EVEN, EVEN, True).record(), False
     )
@@ -121,7 +121,7 @@
     assert shares.initial_shares("", (), ["g0"], None, False) is None
 
 
-def test_a_region_that_is_declared_gone_is_not_waited_for() -> None:
+def test_region_declared_gone_is_not_waited_for() -> None:
     alone = (NORTH._replace(share=WHOLE),)
     one = begun("north", alone, RegionShares("north", EVEN, EVEN, True).record())
     assert one.in_force() == WHOLE // 2
@@ -131,12 +131,12 @@
     assert one.settle(T + 14) and one.in_force() == WHOLE
 
 
-def test_a_whole_is_the_same_for_regions_and_budgets_and_duties_have_their_scopes() -> None:
+def test_regions_and_budgets_share_one_whole_and_only_budgets_are_regional() -> None:
     assert WHOLE == OF_BUDGETS
     assert [d for d in DUTIES if d in REGIONAL_DUTIES] == [BUDGETS]
 
 
-# ---- what a site states ------------------------------------------------------------------------------------
+# ---- regions of a site -------------------------------------------------------------------------------------
 
 
 def two_regions(*regions: RegionRecord, gone: tuple[str, ...] = ()) -> Site:
@@ -161,7 +161,7 @@
         assert all(abs(p - WHOLE * n / sum(gateways)) <= 1 for p, n in zip(parts, gateways, strict=True))
 
 
-def test_regions_are_read_off_a_site_and_what_is_gone_goes_to_the_others() -> None:
+def test_regions_of_a_site_and_distribution_of_a_gone_regions_share() -> None:
     north, south = RegionRecord(name="north", zones=["z0"]), RegionRecord(name="south", zones=["z1"])
     assert regions_of(two_regions()) == () and regions_digest(()) == ""
     site = two_regions(north, south)
@@ -204,14 +204,14 @@
 
 
 @pytest.mark.parametrize("text, place, reason", WRONG)
-def test_wrong_regions_are_refused_with_their_place(
+def test_invalid_regions_are_refused_with_their_location(
     text: str, place: str, reason: str, tmp_path: Path
 ) -> None:
     gateways = 'gateways: { g1: { at: "127.0.0.1:82", zone: "a" }, g2: { at: "127.0.0.1:83", zone: "b" } }'
     good = GOOD.replace('g0: { at: "127.0.0.1:8080" }', 'g0: { at: "127.0.0.1:8080", zone: "a" }')
     said = messages(load_text(f"{good}{gateways}\n{text}\n"))
     assert f"{place}: {reason}" in said, said
-    # And as JSON.
+    # The same site as JSON.
     both = load_text(f'{good}{gateways}\nregions: {{ north: zones: ["a"], south: zones: ["b"] }}\n')
     assert both.mistakes == [] and both.site is not None
     raw = msgspec.to_builtins(both.site)
@@ -223,10 +223,10 @@
     assert str(wrong.value).startswith(f"{tmp_path}/site.json: {place}: {reason}")
 
 
-def test_a_change_of_regions_waits_for_a_restart_and_says_what_it_may_break() -> None:
+def test_change_of_regions_needs_a_restart_and_states_its_risk() -> None:
     good = GOOD.replace('g0: { at: "127.0.0.1:8080" }', 'g0: { at: "127.0.0.1:8080", zone: "a" }')
     a, b = load_text(good), load_text(f'{good}regions: north: {{ zones: ["a"], share: 40% }}\n')
-    assert "regions" not in a.data, "the digest of a site without regions is what it was"
+    assert "regions" not in a.data, "the digest of a site without regions is unchanged"
     found = {c.path: c for c in changes(a.data, b.data)}
     share = found["regions.north.share"]
     assert share.effect == "restart" and "restart all" in share.risk
@@ -239,7 +239,7 @@
 # ---- owners in two scopes ----------------------------------------------------------------------------------
 
 
-def test_a_site_without_regions_has_the_digest_the_file_and_the_words_that_it_had() -> None:
+def test_site_without_regions_keeps_its_digest_file_and_messages() -> None:
     names = ("g0", "g1", "g2")
     before = blake3(b"g0\ng1\ng2\n10.000\n0.100000").digest(4)
     m = DurableState(T, "g0", names, DUTIES, 10.0, None, 1, own_part=0.1)
@@ -267,7 +267,7 @@
 
 
 class TwoRegions(Crowd):
-    """The duty of a region: gateways with even numbers are in one, the others in the other."""
+    """A regional duty: gateways with even numbers are in one region, the others in another."""
 
     def start(self, n: int, disk: str) -> None:
         if self.all.get(n) is not None:
@@ -292,7 +292,7 @@
         return [n for n in self.owners(BUDGETS) if n % 2 == region]
 
 
-def test_each_region_elects_its_owner_whatever_becomes_of_the_other_and_of_a_third_of_its_own() -> None:
+def test_each_region_elects_its_owner_independently_and_without_a_third_of_its_members() -> None:
     some = TwoRegions(6, duties=(BUDGETS,))
     some.until(lambda: bool(some.owner(0) and some.owner(1)), 60.0)
     some.run(5.0)
@@ -316,7 +316,7 @@
     assert some.most_owners == 2 and some.owner(1) == before[1]
 
 
-def test_words_of_another_region_an_unknown_duty_and_another_version_are_refused_and_counted() -> None:
+def test_messages_of_another_region_version_or_unknown_duty_are_refused_and_counted() -> None:
     names, north = tuple(f"g{n}" for n in range(6)), (0, 2, 4)
     memory = DurableState(
         T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=regions_digest(EVEN), scope="north"
@@ -345,7 +345,7 @@
     assert memory.voters[BUDGETS].member == "g2"
 
 
-def test_a_file_of_another_region_counts_as_lost_and_regions_are_versions_of_the_list() -> None:
+def test_file_of_another_region_counts_as_lost_and_changed_regions_change_the_list() -> None:
     first = DurableState(
         T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=regions_digest(EVEN), scope="north"
     )
@@ -371,7 +371,7 @@
     assert m.settle(T + 11) and not m.lists.former
 
 
-def test_a_duty_that_goes_to_regions_and_comes_back_goes_on_above_its_terms() -> None:
+def test_duty_moved_to_regions_and_back_keeps_its_terms() -> None:
     names = tuple(f"g{n}" for n in range(6))
     whole = DurableState(T, "g0", names, DUTIES, 10.0, None, 1)
     assert whole.voters[BUDGETS].on_vote_request(T, 7, "g3")
@@ -383,7 +383,7 @@
     assert back.voters[BUDGETS].term == 7 and back.record()["votes"].keys() == set(DUTIES)
 
 
-# ---- what operators are told -------------------------------------------------------------------------------
+# ---- reports for operators ---------------------------------------------------------------------------------
 
 
 def said(name: str, region: str, mine: tuple[str, ...] = (), stands: bool = True) -> Said:
@@ -403,7 +403,7 @@
     return Said(name, {"duties": duties, "region": {"name": region, "why_not": ""}, "share": share})
 
 
-def test_owners_are_named_with_their_region_and_a_standstill_with_its_reason() -> None:
+def test_owners_are_reported_with_region_and_missing_ones_with_reason() -> None:
     regions = {g: r.name for r in EVEN for g in r.gateways}
     some = [
         said("g0", "north", (BUDGETS,)),
@@ -419,7 +419,7 @@
     found = {o.duty: o for o in owned(all_six, regions)}
     assert found["budgets (south)"].kind == "nobody" and found["budgets (south)"].standstill == "no budgets"
     assert found["restarts"].why == "it needs a majority of the gateways of all regions; no restarts"
-    # Nobody of a region answers: it is named all the same.
+    # A region without any answer is listed, too.
     found = {o.duty: o for o in owned(some[:2], regions)}
     assert found["budgets (south)"].kind == "unknown"
     two = owned([said("g0", "north", (BUDGETS,)), said("g2", "north", (BUDGETS,))], regions)
@@ -428,7 +428,7 @@
     assert cannot_vote([said("g0", "north", stands=False)]) == []
 
 
-def test_budgets_are_summed_over_regions_and_what_does_not_add_up_is_told() -> None:
+def test_budgets_are_summed_over_regions_and_inconsistencies_reported() -> None:
     def told(region: str, loan: int, lends: bool = False, share: int = 500) -> Told:
         book = [Lends("b", 450, {0: loan}, 0.0)] if lends else None
         return Told(1000, {"b": Mine(50, loan, 400, 100, "rate")}, 1.0, "", 3, book, region, share)
@@ -444,11 +444,11 @@
     assert "more than the whole together" in more.wrong
 
 
-# ---- the checkers are seen to fail -------------------------------------------------------------------------
+# ---- checks of tapes ---------------------------------------------------------------------------------------
 
 
 def tape(*loans: tuple[str, str, float, int, float, int]) -> list[Line]:
-    """Lender, borrower, time, number, share, term: asked, answered a little later, and said to be taken."""
+    """Builds a tape of loans (lender, borrower, time, number, share, term) as request, answer, report."""
     lines: list[tuple[float, str, dict[str, Any]]] = []
     for lender, who, t, number, share, term in loans:
         ask = {"who": who, "to": lender, "term": term, "life": 1}
@@ -487,7 +487,7 @@
 OF = {g: r.name for r in EVEN for g in r.gateways}
 
 
-def test_each_check_by_region_is_seen_to_fail_on_a_planted_tape() -> None:
+def test_each_regional_check_fails_on_a_faulty_tape() -> None:
     good = tape(("g0", "g2", 1.0, 1, 0.4, 1), ("g1", "g3", 1.0, 1, 0.45, 1), ("g4", "g2", 9.0, 1, 0.4, 2))
     assert check_budgets(good, WHOLES) == [] and check_owners(good, regions=OF) == []
     over = tape(("g0", "g2", 1.0, 1, 0.3, 1), ("g0", "g4", 1.0, 2, 0.3, 1))
--- a/tests/test_whole_units.py
+++ b/tests/test_whole_units.py
@@ -1,4 +1,4 @@
-"""What is counted goes out in whole units: own parts, loans, turns, the door; sums stay within the whole."""
+"""Counts are divided into whole units: own parts, loans, turns, admission; sums stay within the whole."""
 
 import math
 import random
@@ -53,7 +53,7 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(wholes, parts_of_it, st.integers(1, 560), shares)
-def test_own_units_and_pool_are_whole_and_never_above_the_scopes_part(
+def test_own_units_and_pool_are_whole_and_within_the_scopes_share(
     whole: int, own_part: float, gateways: int, share: int
 ) -> None:
     budget = count(whole)
@@ -66,16 +66,14 @@
         have = sum(own.values()) // budget.grain
         assert have == (min(units, max(1, int(own_part * units + 1e-9))) if own_part else 0)
         assert max(own.values()) - min(own.values()) <= budget.grain
-        assert have + pool // budget.grain >= units - 1, "one unit at most is nobody's"
+        assert have + pool // budget.grain >= units - 1, "at most one unit is unassigned"
         if share == WHOLE:
             assert units == whole
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(wholes, st.lists(st.integers(0, WHOLE), max_size=30))
-def test_doors_that_hold_any_parts_of_a_whole_let_in_no_more_than_it_together(
-    whole: int, cuts: list[int]
-) -> None:
+def test_gateways_with_any_parts_of_a_whole_admit_at_most_the_whole(whole: int, cuts: list[int]) -> None:
     edges = [0, *sorted(cuts), WHOLE]
     parts = [b - a for a, b in zip(edges, edges[1:], strict=False)]
     assert sum(whole_units(p, whole) for p in parts) <= whole
@@ -98,7 +96,7 @@
     shares,
     st.randoms(use_true_random=False),
 )
-def test_while_a_list_changes_any_mixture_of_versions_is_within_what_is_not_lent(
+def test_any_mixture_of_versions_during_a_list_change_stays_within_the_unlent_parts(
     whole: int,
     own_part: float,
     now: set[int],
@@ -107,7 +105,7 @@
     share: int,
     chance: random.Random,
 ) -> None:
-    """Each gateway goes by the former version, or by both; the lender lends by both."""
+    """Each gateway uses the former version or both; the lender uses both."""
     budgets = [RATE, count(whole)]
     current, former = (tuple(f"g{n}" for n in sorted(some)) for some in (now, before))
     lists = MemberLists(current, former, own_part=own_part, former_own_part=former_part)
@@ -119,8 +117,8 @@
         mixed = [chance.choice([by_both[n], by_former[n] if n in former else by_both[n]]) for n in by_both]
         for i in range(2):
             assert sum(parts[i] for parts in mixed) + pool[i] <= share
-    # Settled: those who have heard, and those who have not yet. What the version before had lent may be in
-    # force at first: a newcomer waits for it (`OwnPart.at`).
+    # Settled: gateways that know it and others that do not yet. Loans of the former version may still be in
+    # force: a newcomer waits for them (`OwnPart.parts_at`).
     settled = lists._replace(former=())
     for surely, names, most in (
         (False, current, lendable_in_all_versions(budgets, settled, share)),
@@ -140,7 +138,7 @@
     st.integers(1, 40),
     st.randoms(use_true_random=False),
 )
-def test_while_a_whole_changes_by_a_reload_the_sum_is_within_the_larger_one(
+def test_sum_stays_within_the_larger_whole_during_a_reload(
     one: int, other: int, own_part: float, gateways: int, chance: random.Random
 ) -> None:
     names = names_of(gateways)
@@ -154,7 +152,7 @@
         assert total <= max(one, other)
 
 
-def test_who_has_an_own_unit_is_the_same_at_every_gateway_and_only_more_as_units_rise() -> None:
+def test_own_units_are_assigned_alike_everywhere_and_only_gained_as_units_rise() -> None:
     names = names_of(550)
     before = spread_units(0, SET_UPS, names)
     for units in range(1, 1200):
@@ -168,7 +166,7 @@
     assert sorted(set(five.values())) == [0, WHOLE // 5000] and sum(five.values()) == WHOLE // 10
 
 
-def test_an_own_unit_waits_until_what_the_last_life_or_holder_began_is_over() -> None:
+def test_own_unit_waits_for_use_begun_by_the_last_life_or_holder() -> None:
     budgets = [RATE, Budget(SET_UPS, "count", 3.0, WHOLE // 10)]
     lists = MemberLists(("a", "b"), lease=6.0, former_lease=6.0, own_part=0.2, former_own_part=0.2)
     lag, longest = vote_duration(3.0), vote_duration(loan_duration(6.0))
@@ -179,7 +177,7 @@
     assert new.parts_at(T + 1.0, True, had_part=False) == (0, 0)
     assert new.parts_at(T + 1.0 + longest, True, had_part=False) == (WHOLE // 10, 0)
     assert new.parts_at(T + 1.0 + longest + lag, True, had_part=False) == (WHOLE // 10, WHOLE // 10)
-    # A unit that comes with a change of the list, and goes with one at once.
+    # A unit gained by a change of the list waits; a lost one is lost at once.
     names = names_of(6)
     first, *_, last = sorted(names, key=lambda n: -own_parts(budgets[1], 0.1, names)[n])
     six = MemberLists(names, own_part=0.1, former_own_part=0.1)
@@ -195,14 +193,14 @@
     loses.on_list_change(T + 100.0, six._replace(former=five.current))
     assert loses.parts_at(T + 100.0, True, had_part=True)[1] == 0
     assert last not in (first, heir)
-    # A lower whole counts at once.
+    # A lower whole takes effect at once.
     one.set_budgets([RATE, Budget(SET_UPS, "count", 3.0, WHOLE // 4)])
     assert one.parts_at(T + 300.0, True, had_part=True)[1] == (
         WHOLE // 4 if own_parts(count(4), 0.2, "ab")["a"] else 0
     )
 
 
-def test_the_lender_lends_a_scopes_share_beside_its_own_parts() -> None:
+def test_lender_lends_the_scopes_share_minus_own_parts() -> None:
     budgets, names = [RATE, count(30)], names_of(3)
     numbers = {name: n for n, name in enumerate(names)}
     lists = MemberLists(names, own_part=0.1, former_own_part=0.1)
@@ -212,11 +210,11 @@
     assert sorted(parts[1] // (WHOLE // 30) for parts in own.values()) == [0, 0, 1]
 
 
-# ---- whose turn it is --------------------------------------------------------------------------------------
+# ---- turns -------------------------------------------------------------------------------------------------
 
 
 class Asking:
-    """Borrowers of one count and a lender, that ask in turns and hear each other at once."""
+    """Borrowers of one count and a lender, with requests in turn and immediate delivery."""
 
     def __init__(self, gateways: int, units: int) -> None:
         self.budget = Budget(SET_UPS, "count", 0.2, WHOLE // units)
@@ -227,7 +225,7 @@
         self.now = T
 
     def round(self, wanted: dict[int, int]) -> list[int]:
-        """All ask once, within a period; gives the units that each has then."""
+        """Lets all request once within a period; returns the units that each has then."""
         for me, b in enumerate(self.borrowers):
             self.now += PERIOD / len(self.borrowers)
             b._next_request_at = -1e18
@@ -246,7 +244,7 @@
 
 @settings(max_examples=40, derandomize=True, deadline=None)
 @given(st.integers(1, 14), st.integers(1, 6), st.randoms(use_true_random=False))
-def test_of_many_who_go_on_asking_for_few_units_each_has_one_in_its_turn(
+def test_each_of_many_borrowers_gets_a_scarce_unit_within_its_turn(
     gateways: int, units: int, chance: random.Random
 ) -> None:
     some = Asking(gateways, units)
@@ -261,7 +259,7 @@
             assert some.now - last[me] <= within + PERIOD, (me, gateways, units)
 
 
-def test_units_go_to_those_who_want_most_and_idle_ones_hold_none() -> None:
+def test_units_go_to_the_largest_needs_and_idle_borrowers_hold_none() -> None:
     some = Asking(10, 3)
     wanted = {m: units * some.budget.grain for m, units in {1: 1, 4: 9, 5: 9, 7: 9}.items()}
     first = some.lender.turns[0].order(T, wanted, {}, {})
@@ -271,14 +269,14 @@
         held = some.round({4: 9, 5: 9, 7: 9})
     assert held == [0, 0, 0, 0, 1, 1, 0, 1, 0, 0]
     for _ in range(5):
-        held = some.round({1: 1, 2: 1})  # the others have nothing to do any more
+        held = some.round({1: 1, 2: 1})  # the others want nothing any more
     assert held[1] >= 1 and held[2] >= 1 and sum(held) == 3
     for _ in range(5):
         held = some.round({0: 1, 3: 1, 8: 1})
     assert [held[0], held[3], held[8]] == [1, 1, 1]
 
 
-def test_who_wants_one_unit_keeps_it_for_a_turn_though_others_come_to_want_more() -> None:
+def test_borrower_keeps_its_unit_for_one_turn_although_others_want_more() -> None:
     some = Asking(4, 1)
     for _ in range(3):
         held = some.round({0: 1})
@@ -286,13 +284,13 @@
     began = some.now
     while some.units()[0]:
         some.round({0: 1, 1: 50, 2: 40})
-    assert some.now - began <= LOAN + PERIOD, "not for longer where others wait"
+    assert some.now - began <= LOAN + PERIOD, "no longer than a turn while others wait"
     for _ in range(4):
         held = some.round({0: 1, 1: 50, 2: 40})
     assert held == [0, 1, 0, 0]
 
 
-def test_equal_ones_take_their_turns_in_another_order_under_another_lender() -> None:
+def test_turn_order_of_equal_borrowers_differs_by_lender_term() -> None:
     firsts = set()
     for term in range(1, 5):
         some = Asking(4, 1)
@@ -302,11 +300,11 @@
     assert firsts == {0, 1, 2, 3}
 
 
-# ---- where nothing is lent ---------------------------------------------------------------------------------
+# ---- sites without lending ---------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("set_ups", [1, 2, 7, 100, 6000])
-def test_a_site_that_lends_nothing_divides_its_set_ups_in_whole_ones(set_ups: int) -> None:
+def test_site_without_lending_divides_set_ups_into_whole_units(set_ups: int) -> None:
     some = site()
     gateways = [GatewayRecord(name=f"g{n}", at="127.0.0.1:1") for n in range(9)]
     door = msgspec.structs.replace(some.door, set_ups=float(set_ups))
@@ -321,9 +319,9 @@
     assert sum(each) == set_ups and max(each) - min(each) <= 1
 
 
-def test_a_small_rate_lets_one_in_after_its_time_and_at_most_one_at_each_of_many_at_once() -> None:
-    """Of two a second, 550 gateways have a 275th each: one lets somebody in every 275 s. All that have been
-    idle for so long let one in each: 550 at once, as the page of budgets says."""
+def test_small_rate_admits_one_after_its_interval_and_at_most_one_per_gateway_at_once() -> None:
+    """Of two per second, each of 550 gateways has a 275th and admits one every 275 s. Gateways that have been
+    idle that long admit one each, 550 at once, as the documentation of budgets says."""
     own = own_parts(RATE, 1.0, names_of(550))["g0"] / WHOLE
     part, rates = BudgetShare(own), PackageRateLimits()
     rates.set_limits({"live": 2.0})
