--- a/ledgehitch/owners/decide.py
+++ b/ledgehitch/owners/decide.py
@@ -150,9 +150,7 @@
         self.withheld: dict[str, str] = {}  # duties without a candidacy of this member, with the reason
         self.counts: dict[str, int] = {}
         self._joining = not durable.joined
-        self._unsettled_peers: dict[
-            str, bool
-        ] = {}  # of members that answered: whether their list is unsettled
+        self._unsettled_peers: dict[str, bool] = {}  # by peer: whether its list is unsettled
         self._pending: dict[int, tuple[str, int, int, float]] = {}  # by sequence: duty, term, member, sent at
         self._sequence = 0
         self._own_votes: list[tuple[str, int, float]] = []  # votes for itself that are not on disk yet
--- a/ledgehitch/owners/memory.py
+++ b/ledgehitch/owners/memory.py
@@ -106,7 +106,7 @@
         return tuple(max(v.term, self.fence.highest_term(d)) for d, v in self.voters.items())
 
     def may_vote(self, now: float) -> bool:
-        """Returns whether no vote of a former life can still be in force."""
+        """Returns whether the terms are known and no vote of a former life can still be in force."""
         return self.confirmed and now >= self.may_vote_from
 
     def on_greeting(self, member: str, life: int, nonce: int) -> int:
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -23,7 +23,7 @@
 from ledgehitch.budgets.words import InvalidMessage, LoanMessage, decode, encode
 from ledgehitch.fleet.shared import Told, remarks
 from ledgehitch.fleet.shared import divided as shares
-from ledgehitch.fleet.shared import read as read_said
+from ledgehitch.fleet.shared import read as decode_report
 from ledgehitch.owners.facts import MemberLists, vote_duration
 from tests.explore_budgets import INJECTED_FAULTS, SCENARIOS, explore, walk
 
@@ -96,87 +96,89 @@
 # ---- one lender and its borrowers --------------------------------------------------------------------------
 
 
-class Few:
+class LendingFleet:
     """Borrowers and one lender with immediate delivery of messages."""
 
     def __init__(self, n: int = 3, own_part: float = 0.1, unit: Budget = RATE) -> None:
         self.names = tuple(f"g{me}" for me in range(n))
         self.own = list(own_parts(unit, own_part, self.names).values())
         self.pool = lendable(unit, own_part)
-        self.unit, self.n, self.term = unit, n, 0
+        self.budget, self.n, self.term = unit, n, 0
         self.borrowers = [Borrower([unit], [self.own[me]], me + 1, [DIGEST], LOAN) for me in range(n)]
-        self.lender = self.won(T - 100.0)
+        self.lender = self.elect_lender(T - 100.0)
 
-    def won(self, now: float) -> Lender:
+    def elect_lender(self, now: float) -> Lender:
         self.term += 1
         own = {me: (parts,) for me, parts in enumerate(self.own)}
-        self.lender = Lender(now, self.term, [self.unit], own, [self.pool], range(self.n), [DIGEST], LOAN)
+        self.lender = Lender(now, self.term, [self.budget], own, [self.pool], range(self.n), [DIGEST], LOAN)
         return self.lender
 
-    def ask(self, now: float, me: int, wanted: float, used: float = 0.0) -> LoanMessage | None:
+    def request(self, now: float, me: int, wanted: float, used: float = 0.0) -> LoanMessage | None:
         b = self.borrowers[me]
         b._next_request_at = -1e18
-        name = self.unit.name
-        words = b.next_request(now, self.term, {name: int(used * WHOLE)}, {name: int(wanted * WHOLE)})
-        assert words is not None
-        return self.lender.on_request(now, me, decode(encode(words)))
+        name = self.budget.name
+        message = b.next_request(now, self.term, {name: int(used * WHOLE)}, {name: int(wanted * WHOLE)})
+        assert message is not None
+        return self.lender.on_request(now, me, decode(encode(message)))
 
-    def turn(self, now: float, wanted: dict[int, float]) -> None:
+    def exchange(self, now: float, wanted: dict[int, float]) -> None:
         for me, want in wanted.items():
-            answer = self.ask(now, me, want)
+            answer = self.request(now, me, want)
             if answer is not None:
                 self.borrowers[me].on_loan(now, decode(encode(answer)))
 
     def parts(self, now: float) -> list[float]:
-        return [b.available(now, self.unit.name) / WHOLE for b in self.borrowers]
+        return [b.available(now, self.budget.name) / WHOLE for b in self.borrowers]
 
 
 def test_loans_follow_need_and_expire_to_the_own_part() -> None:
-    few = Few()
+    fleet = LendingFleet()
     for tick in range(3):
-        few.turn(T + tick, {0: 1.0, 1: 0.0, 2: 0.0})
-    parts = few.parts(T + 2)
+        fleet.exchange(T + tick, {0: 1.0, 1: 0.0, 2: 0.0})
+    parts = fleet.parts(T + 2)
     assert parts[0] == pytest.approx(1 / 30 + 0.9, abs=0.01) and sum(parts) <= 1
     for tick in range(3, 8):
-        few.turn(T + tick, {0: 0.0, 1: 0.5, 2: 0.5})
-    parts = few.parts(T + 7)
+        fleet.exchange(T + tick, {0: 0.0, 1: 0.5, 2: 0.5})
+    parts = fleet.parts(T + 7)
     assert min(parts[1:]) >= 0.45 and sum(parts) <= 1
-    assert few.parts(T + 7 + LOAN) == [pytest.approx(1 / 30, abs=1e-8)] * 3
-    assert few.borrowers[1].available(T + 6, "offers.live") == few.own[1], "a clock that jumped back ends it"
+    assert fleet.parts(T + 7 + LOAN) == [pytest.approx(1 / 30, abs=1e-8)] * 3
+    assert fleet.borrowers[1].available(T + 6, "offers.live") == fleet.own[1], (
+        "a clock that jumped back ends it"
+    )
 
 
 def test_new_lender_renews_held_loans_and_divides_once_former_ones_have_ended() -> None:
-    few = Few()
+    fleet = LendingFleet()
     for tick in range(3):
-        few.turn(T + tick, {0: 1.0, 1: 0.2, 2: 0.0})
-    held = few.parts(T + 2)
-    few.won(T + 2.5)
+        fleet.exchange(T + tick, {0: 1.0, 1: 0.2, 2: 0.0})
+    held = fleet.parts(T + 2)
+    fleet.elect_lender(T + 2.5)
     for tick in range(3, 7):
-        few.turn(T + tick, {0: 0.0, 1: 1.0})  # 2 sends nothing, so its loan is unknown
-        assert few.parts(T + tick)[1] == pytest.approx(held[1]), "exactly what it reported as held"
-    few.turn(T + 7.6, {0: 0.0, 1: 1.0})
-    few.turn(T + 8.0, {0: 0.0})
-    few.turn(T + 8.4, {1: 1.0})
-    assert few.parts(T + 8.4)[1] > 0.9
-    few.won(T + 9.0)
-    few.turn(T + 9.1, {1: 1.0, 0: 0.0})
-    few.turn(T + 9.5, {2: 0.2})
-    assert few.lender.waits_until == [T + 9.5], "all have sent requests: the held loans are known"
+        fleet.exchange(T + tick, {0: 0.0, 1: 1.0})  # 2 sends nothing, so its loan is unknown
+        assert fleet.parts(T + tick)[1] == pytest.approx(held[1]), "exactly what it reported as held"
+    fleet.exchange(T + 7.6, {0: 0.0, 1: 1.0})
+    fleet.exchange(T + 8.0, {0: 0.0})
+    fleet.exchange(T + 8.4, {1: 1.0})
+    assert fleet.parts(T + 8.4)[1] > 0.9
+    fleet.elect_lender(T + 9.0)
+    fleet.exchange(T + 9.1, {1: 1.0, 0: 0.0})
+    fleet.exchange(T + 9.5, {2: 0.2})
+    assert fleet.lender.waits_until == [T + 9.5], "all have sent requests: the held loans are known"
 
 
 def test_parts_still_in_use_count_as_taken_after_the_loan_shrinks() -> None:
-    few = Few(2, unit=COUNT)
-    few.turn(T, {0: 1.0, 1: 0.1})
-    few.turn(T + 1, {0: 1.0, 1: 0.1})
-    used = few.borrowers[0].available(T + 1, "set_ups") / WHOLE
+    fleet = LendingFleet(2, unit=COUNT)
+    fleet.exchange(T, {0: 1.0, 1: 0.1})
+    fleet.exchange(T + 1, {0: 1.0, 1: 0.1})
+    used = fleet.borrowers[0].available(T + 1, "set_ups") / WHOLE
     assert used >= 0.8
     for tick in range(2, 5):
-        few.turn(T + tick, {1: 1.0})
-        few.ask(T + tick, 0, 0.0, used)
-        assert used + few.parts(T + tick)[1] <= 1.0 + 1e-9, "units in use are not lent again"
-    few.turn(T + 5, {0: 0.0})
-    few.turn(T + 6, {0: 0.0, 1: 1.0})
-    assert few.parts(T + 6)[1] >= 0.8
+        fleet.exchange(T + tick, {1: 1.0})
+        fleet.request(T + tick, 0, 0.0, used)
+        assert used + fleet.parts(T + tick)[1] <= 1.0 + 1e-9, "units in use are not lent again"
+    fleet.exchange(T + 5, {0: 0.0})
+    fleet.exchange(T + 6, {0: 0.0, 1: 1.0})
+    assert fleet.parts(T + 6)[1] >= 0.8
 
 
 def test_new_or_raised_own_part_waits_for_former_loans_and_a_lowered_one_does_not() -> None:
@@ -219,19 +221,19 @@
 
 
 def test_late_duplicated_overtaken_or_foreign_answers_change_nothing() -> None:
-    few = Few()
-    first, second = few.ask(T, 0, 1.0), few.ask(T + 0.5, 0, 0.3)
+    fleet = LendingFleet()
+    first, second = fleet.request(T, 0, 1.0), fleet.request(T + 0.5, 0, 0.3)
     assert first is not None and second is not None
-    b = few.borrowers[0]
+    b = fleet.borrowers[0]
     for more in ({"life": 9}, {"digest": b"else"}, {"term": 0}, {"loans": (1, 1)}, {"sequence": 77}):
         assert not b.on_loan(T + 0.6, second._replace(**more))
     assert b.on_loan(T + 0.6, second) and b.loan_until == T + 0.5 + LOAN
     assert not b.on_loan(T + 0.6, second) and not b.on_loan(T + 0.6, first)
-    third = few.ask(T + 1, 0, 0.3)
+    third = fleet.request(T + 1, 0, 0.3)
     assert third is not None and not b.on_loan(T + 1 + LOAN, third._replace(seconds=900.0))
     assert sum(b.counts.values()) == 8
     b.on_clock_check(False)
-    assert b.available(T + 1.2, "offers.live") == few.own[0]
+    assert b.available(T + 1.2, "offers.live") == fleet.own[0]
 
 
 def test_lender_waits_for_longer_loans_made_under_former_leases() -> None:
@@ -243,23 +245,27 @@
 
 
 def test_lender_refuses_requests_of_another_term_version_or_member() -> None:
-    few = Few()
-    words = few.borrowers[0].next_request(T, 1, {}, {"offers.live": WHOLE})
-    assert words is not None
-    for other in (words._replace(term=2), words._replace(digest=b"else"), words._replace(loans=(), held=())):
-        assert few.lender.on_request(T, 0, other) is None
-    assert few.lender.on_request(T, 3, words) is None
-    assert few.lender.on_request(T, 0, words) is not None and few.lender.on_request(T, 0, words) is None, (
-        "doubled"
-    )
+    fleet = LendingFleet()
+    message = fleet.borrowers[0].next_request(T, 1, {}, {"offers.live": WHOLE})
+    assert message is not None
+    for other in (
+        message._replace(term=2),
+        message._replace(digest=b"else"),
+        message._replace(loans=(), held=()),
+    ):
+        assert fleet.lender.on_request(T, 0, other) is None
+    assert fleet.lender.on_request(T, 3, message) is None
+    assert (
+        fleet.lender.on_request(T, 0, message) is not None and fleet.lender.on_request(T, 0, message) is None
+    ), "duplicated"
     for number in range(2, 40):
-        few.lender.on_request(T, 0, words._replace(sequence=number))
-    assert len(few.lender.ledger.borrowers[0][1].loans) == MAX_OPEN_LOANS
+        fleet.lender.on_request(T, 0, message._replace(sequence=number))
+    assert len(fleet.lender.ledger.borrowers[0][1].loans) == MAX_OPEN_LOANS
     for life in range(2, 9):
-        few.lender.on_request(T, 0, words._replace(life=life))
+        fleet.lender.on_request(T, 0, message._replace(life=life))
     assert (
-        len(few.lender.ledger.borrowers[0]) <= 4
-        and few.lender.ledger.reserved_sums[0] <= few.lender.ledger.pool[0]
+        len(fleet.lender.ledger.borrowers[0]) <= 4
+        and fleet.lender.ledger.reserved_sums[0] <= fleet.lender.ledger.pool[0]
     )
 
 
@@ -281,7 +287,7 @@
     """Messages are lost, delayed and duplicated; members restart; the lender changes at any moment."""
     chance = random.Random(seed)
     unit = COUNT if seed % 2 else RATE
-    few = Few(6, unit=unit)
+    fleet = LendingFleet(6, unit=unit)
     wire: list[tuple[float, int, LoanMessage]] = []
     out, lingers = [0] * 6, list[tuple[int, float]]()
     since = [0.0] * 6
@@ -289,19 +295,19 @@
     for step in range(1500):
         now = T + step * 0.05
         if now >= lease or chance.random() < 0.004:
-            few.won(now)
+            fleet.elect_lender(now)
             lease = now + chance.uniform(1.0, 12.0)
-        for me, b in enumerate(few.borrowers):
-            words = b.next_request(
+        for me, b in enumerate(fleet.borrowers):
+            message = b.next_request(
                 now,
-                few.term,
-                {unit.name: few.own[me] + out[me]},
+                fleet.term,
+                {unit.name: fleet.own[me] + out[me]},
                 {unit.name: chance.choice([0, WHOLE // 5, WHOLE])},
             )
-            for _ in range(chance.choice([0, 1, 1, 1, 2]) if words is not None else 0):
-                wire.append((now + chance.random(), me, words))  # type: ignore[arg-type]
+            for _ in range(chance.choice([0, 1, 1, 1, 2]) if message is not None else 0):
+                wire.append((now + chance.random(), me, message))  # type: ignore[arg-type]
             if unit.unit == "count":
-                mine = max(0, b.available(now, unit.name) - few.own[me])
+                mine = max(0, b.available(now, unit.name) - fleet.own[me])
                 if out[me] and (now - since[me] >= unit.lag or chance.random() < 0.1):
                     out[me] = 0
                 elif not out[me] and chance.random() < 0.3:
@@ -309,19 +315,19 @@
             if chance.random() < 0.005:  # it is killed; its use continues for a while
                 lingers.append((out[me], since[me] + unit.lag))
                 out[me] = 0
-                few.borrowers[me] = Borrower([unit], [few.own[me]], 100 + step, [DIGEST], LOAN)
+                fleet.borrowers[me] = Borrower([unit], [fleet.own[me]], 100 + step, [DIGEST], LOAN)
         for item in [x for x in wire if x[0] <= now]:
             wire.remove(item)
-            _, me, words = item
-            if words.kind == "want":
-                answer = few.lender.on_request(now, me, words)
+            _, me, message = item
+            if message.kind == "want":
+                answer = fleet.lender.on_request(now, me, message)
                 for _ in range(chance.choice([0, 1, 1, 2]) if answer is not None else 0):
                     wire.append((now + chance.random(), me, answer))  # type: ignore[arg-type]
             else:
-                few.borrowers[me].on_loan(now, words)
+                fleet.borrowers[me].on_loan(now, message)
         lingers = [x for x in lingers if x[1] > now]
         used = sum(
-            max(b.available(now, unit.name), few.own[me] + out[me]) for me, b in enumerate(few.borrowers)
+            max(b.available(now, unit.name), fleet.own[me] + out[me]) for me, b in enumerate(fleet.borrowers)
         )
         assert used + sum(parts for parts, _ in lingers) <= WHOLE
 
@@ -333,10 +339,10 @@
 @given(st.binary(max_size=120))
 def test_arbitrary_bytes_are_decoded_completely_or_refused(data: bytes) -> None:
     try:
-        words = decode(data)
+        message = decode(data)
     except InvalidMessage:
         return
-    assert encode(words) == data
+    assert encode(message) == data
 
 
 def test_messages_above_the_whole_or_truncated_are_refused() -> None:
@@ -362,7 +368,7 @@
 # ---- the fleet tool's report -------------------------------------------------------------------------------
 
 
-def said(
+def encode_report(
     own: float, loan: float, wanted: float, lends: list[dict[str, object]] | None = None, alone: str = ""
 ) -> bytes:
     one = {
@@ -387,7 +393,10 @@
 
 def test_fleet_sums_are_reported_and_inconsistencies_named() -> None:
     book = {"budget": "offers.live", "pool": int(0.9 * WHOLE), "lent": {"0": WHOLE // 2}, "waits": 0.0}
-    told = {"g0": read_said(said(0.05, 0.5, 0.9, [book])), "g1": read_said(said(0.05, 0.0, 0.01))}
+    told = {
+        "g0": decode_report(encode_report(0.05, 0.5, 0.9, [book])),
+        "g1": decode_report(encode_report(0.05, 0.0, 0.01)),
+    }
     good = {name: t for name, t in told.items() if not isinstance(t, str)}
     (one,) = shares(good)
     assert len(good) == 2 and (one.own, one.lent, one.wrong) == (0.1, 0.5, "")
@@ -395,7 +404,9 @@
     good["g2"] = good["g0"]
     (one,) = shares(good)
     assert "gateways say 1.1500 of the whole" in one.wrong and "g0, g2 say that they lend" in one.wrong
-    over = read_said(said(0.0, 0.0, 0.0, [{**book, "lent": {"0": WHOLE}}], "nobody is known to lend"))
+    over = decode_report(
+        encode_report(0.0, 0.0, 0.0, [{**book, "lent": {"0": WHOLE}}], "nobody is known to lend")
+    )
     assert isinstance(over, Told) and "has lent 1.0000 of 0.9000" in shares({"g0": over})[0].wrong
     lines = remarks({"g0": over}, [("g9", "timed out")])
     assert lines == [
@@ -403,5 +414,5 @@
         "g0: own parts alone: nobody is known to lend",
         "g0 lends under term 3",
     ]
-    for spoilt in (b"{", b"[]", said(0, 0, 0).replace(b'"own":0', b'"own":"all"')):
-        assert "does not read" in str(read_said(spoilt))
+    for malformed in (b"{", b"[]", encode_report(0, 0, 0).replace(b'"own":0', b'"own":"all"')):
+        assert "does not read" in str(decode_report(malformed))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -20,7 +20,7 @@
 from tests.rig import site
 
 T = 100.0
-NEWS = st.builds(
+UPDATES = st.builds(
     MemberStatus, st.integers(0, 4), st.integers(0, 3 * INCARNATIONS_PER_LIFE), st.sampled_from(STATUSES)
 )
 
@@ -29,25 +29,25 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(NEWS, max_size=30), st.randoms(use_true_random=False))
+@given(st.lists(UPDATES, max_size=30), st.randoms(use_true_random=False))
 def test_updates_in_any_order_and_repetition_give_the_same_roster(
-    some: list[MemberStatus], chance: random.Random
+    updates: list[MemberStatus], chance: random.Random
 ) -> None:
     def believed(order: list[MemberStatus]) -> Any:
         roster = Roster(T, 0, 5, 1)
         roster.merge(T, order)
         return [(e.incarnation, e.status) for n, e in roster.entries.items() if n != 0]
 
-    other = some + chance.sample(some, len(some) // 2)
+    other = updates + chance.sample(updates, len(updates) // 2)
     chance.shuffle(other)
-    assert believed(some) == believed(other)
+    assert believed(updates) == believed(other)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
-@given(st.lists(NEWS, max_size=20))
-def test_member_refutes_any_claim_about_itself(some: list[MemberStatus]) -> None:
+@given(st.lists(UPDATES, max_size=20))
+def test_member_refutes_any_claim_about_itself(updates: list[MemberStatus]) -> None:
     roster, other = Roster(T, 0, 5, 1), Roster(T, 1, 5, 1)
-    other.merge(T, some)
+    other.merge(T, updates)
     roster.merge(T, [MemberStatus(n, e.incarnation, e.status) for n, e in other.entries.items()])
     other.merge(T, roster.outgoing)
     assert other.status(0) == "alive" and other.entries[0].incarnation == roster.incarnation
@@ -57,20 +57,20 @@
 @given(st.binary(max_size=200))
 def test_arbitrary_bytes_are_decoded_or_refused(data: bytes) -> None:
     try:
-        words = decode(data)
+        message = decode(data)
     except InvalidMessage:
         return
-    assert decode(encode(words)) == words and len(encode(words)) == len(data)
+    assert decode(encode(message)) == message and len(encode(message)) == len(data)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
-@given(st.sampled_from(KINDS), st.integers(0, 2**32 - 1), st.lists(NEWS, max_size=140))
+@given(st.sampled_from(KINDS), st.integers(0, 2**32 - 1), st.lists(UPDATES, max_size=140))
 def test_messages_round_trip_within_their_size_bound(
-    kind: Any, sequence: int, some: list[MemberStatus]
+    kind: Any, sequence: int, updates: list[MemberStatus]
 ) -> None:
-    words = MembershipMessage(kind, sequence, 3, tuple(some))
-    data = encode(words)
-    assert len(data) <= 1152 and decode(data) == words._replace(news=tuple(some[:MAX_UPDATES]))
+    message = MembershipMessage(kind, sequence, 3, tuple(updates))
+    data = encode(message)
+    assert len(data) <= 1152 and decode(data) == message._replace(news=tuple(updates[:MAX_UPDATES]))
 
 
 # ---- fleets in virtual time --------------------------------------------------------------------------------
@@ -132,11 +132,11 @@
 
 def test_viewers_are_sent_to_a_present_gateway_preferably_of_their_zone() -> None:
     one = site().gateways[0]
-    some = [msgspec.structs.replace(one, name=f"g{n}", at=f"a{n}", zone="xxy"[n]) for n in range(3)]
+    updates = [msgspec.structs.replace(one, name=f"g{n}", at=f"a{n}", zone="xxy"[n]) for n in range(3)]
     chance = random.Random(1)
-    assert {pick_gateway("g0", some, lambda name: True, chance) for _ in range(20)} == {"a1"}
-    assert pick_gateway("g0", some, lambda name: name != "g1", chance) == "a2"
-    assert pick_gateway("g0", some, lambda name: False, chance) == ""
+    assert {pick_gateway("g0", updates, lambda name: True, chance) for _ in range(20)} == {"a1"}
+    assert pick_gateway("g0", updates, lambda name: name != "g1", chance) == "a2"
+    assert pick_gateway("g0", updates, lambda name: False, chance) == ""
 
 
 # ---- datagrams ---------------------------------------------------------------------------------------------
@@ -145,17 +145,17 @@
 def three() -> Site:
     one = site(3)
     at = [f"127.0.0.1:{port}" for port in free_ports(3)]
-    some = [msgspec.structs.replace(one.gateways[0], name=f"g{n}", members_at=at[n]) for n in range(3)]
-    return msgspec.structs.replace(one, gateways=some)
+    updates = [msgspec.structs.replace(one.gateways[0], name=f"g{n}", members_at=at[n]) for n in range(3)]
+    return msgspec.structs.replace(one, gateways=updates)
 
 
 def test_gateways_discover_each_other_by_datagrams_and_ignore_unauthenticated_ones(tmp_path: Path) -> None:
-    some, loop, key = three(), Loop(), bytes(range(32))
+    updates, loop, key = three(), Loop(), bytes(range(32))
 
     def main() -> None:
-        first = Membership(loop, some, "g0", [key], tmp_path / "0", 1)
-        second = Membership(loop, some, "g1", [key], tmp_path / "1", 2)
-        stranger = Membership(loop, some, "g2", [bytes(32)], tmp_path / "2", 3)
+        first = Membership(loop, updates, "g0", [key], tmp_path / "0", 1)
+        second = Membership(loop, updates, "g1", [key], tmp_path / "1", 2)
+        stranger = Membership(loop, updates, "g2", [bytes(32)], tmp_path / "2", 3)
         for _ in range(400):
             loop.sleep(0.02)
             if first.members.counts["answered"] and second.members.counts["answered"]:
@@ -170,7 +170,7 @@
                 break
         assert second.told()["g0"] == "left" and not second.there("g0")
         first.close()
-        again = Membership(loop, some, "g0", [key], tmp_path / "0", 1)
+        again = Membership(loop, updates, "g0", [key], tmp_path / "0", 1)
         assert again.life == 2
         for _ in range(200):
             loop.sleep(0.02)
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -249,13 +249,13 @@
 # ---- one member --------------------------------------------------------------------------------------------
 
 
-def lone(n: int = 1, held: Any = None, seed: int = 1) -> Owners:
+def make_owners(n: int = 1, held: Any = None, seed: int = 1) -> Owners:
     names = tuple(f"g{i}" for i in range(n))
     memory = DurableState(T, "g0", names, DUTIES, 10.0, held, 7)
     return Owners(T, 0, names, memory, random.Random(seed))
 
 
-def pulled(owners: Owners, now: float, disk: bool = True) -> list[Any]:
+def take_decisions(owners: Owners, now: float, disk: bool = True) -> list[Any]:
     """Returns the decisions. `disk`: whether records can be stored."""
     out: list[Any] = []
     while (decision := owners.decide(now)) is not None:
@@ -270,53 +270,55 @@
     return out
 
 
-def owning(now: float) -> Owners:
-    owners = lone()
+def make_elected(now: float) -> Owners:
+    owners = make_owners()
     while not owners.owned_term(now, "restarts"):
         now += 0.1
-        pulled(owners, now)
+        take_decisions(owners, now)
     return owners
 
 
 def test_single_gateway_owns_all_duties_and_none_with_a_full_disk() -> None:
-    owners = lone()
+    owners = make_owners()
     won: list[Any] = []
     for tick in range(200):
-        won += [d for d in pulled(owners, T + tick * 0.1) if isinstance(d, Won)]
+        won += [d for d in take_decisions(owners, T + tick * 0.1) if isinstance(d, Won)]
     assert {w.duty for w in won} == set(DUTIES)
-    full = lone()
+    full = make_owners()
     for tick in range(300):
-        assert not any(isinstance(d, Won | Send) for d in pulled(full, T + tick * 0.1, disk=False))
+        assert not any(isinstance(d, Won | Send) for d in take_decisions(full, T + tick * 0.1, disk=False))
     assert not full.owned_term(T + 30, "restarts") and full.counts["votes that could not be stored"] > 0
 
 
 def test_lease_ends_by_bad_clock_refused_effect_or_higher_term() -> None:
-    owners = owning(T)
+    owners = make_elected(T)
     term = owners.owned_term(T + 15, "restarts")
     assert term
     owners.on_clock_check(T + 15, False)
     assert not owners.owned_term(T + 15, "restarts")
-    assert [d.reason for d in pulled(owners, T + 15) if isinstance(d, Lost)][0].startswith("the clock stood")
-    owners = owning(T)
+    assert [d.reason for d in take_decisions(owners, T + 15) if isinstance(d, Lost)][0].startswith(
+        "the clock stood"
+    )
+    owners = make_elected(T)
     now = T + 15
     term = owners.owned_term(now, "restarts")
     owners.on_effect_refused(now, "restarts", term, term + 40, "g7")
     assert not owners.owned_term(now, "restarts")
     while not owners.owned_term(now, "restarts"):
         now += 0.1
-        pulled(owners, now)
+        take_decisions(owners, now)
     assert owners.owned_term(now, "restarts") == term + 41, "the next term is above the highest known one"
     assert owners.accepts_effect("restarts", term + 50) and not owners.owned_term(now, "restarts")
     assert not owners.accepts_effect("restarts", term + 41) and not owners.accepts_effect("nothing", 1)
 
 
 def test_member_without_its_file_accepts_no_effect_and_votes_only_after_waiting() -> None:
-    owners = lone(5)
-    pulled(owners, T)
+    owners = make_owners(5)
+    take_decisions(owners, T)
     assert not owners.accepts_effect("restarts", 3)
     ask = DutyMessage("ask", 0, 9, 1, owners.name_digests[1], *owners.durable.lists.digests())
     owners.on_message(T, 1, ask)
-    assert not [d for d in pulled(owners, T) if isinstance(d, Send) and d.message.kind == "grant"]
+    assert not [d for d in take_decisions(owners, T) if isinstance(d, Send) and d.message.kind == "grant"]
     for n in (1, 2, 3):
         owners.on_message(
             T + 1,
@@ -325,9 +327,9 @@
         )
     assert not owners.accepts_effect("restarts", 3) and owners.accepts_effect("restarts", 4)
     owners.on_message(T + 2, 1, ask._replace(term=5))
-    assert not [d for d in pulled(owners, T + 2) if isinstance(d, Send) and d.message.kind == "grant"]
+    assert not [d for d in take_decisions(owners, T + 2) if isinstance(d, Send) and d.message.kind == "grant"]
     owners.on_message(T + 11, 1, ask._replace(term=5))
-    assert [d for d in pulled(owners, T + 11) if isinstance(d, Send) and d.message.kind == "grant"]
+    assert [d for d in take_decisions(owners, T + 11) if isinstance(d, Send) and d.message.kind == "grant"]
 
 
 def test_newcomer_that_cannot_vote_yet_does_not_settle_a_list_change() -> None:
@@ -361,7 +363,7 @@
     back = Owners(
         T, 6, old, DurableState(T, "g6", new, DUTIES, 10.0, held, 3, own_part=0.1), random.Random(1)
     )
-    assert not back.joined(T + 60) and not any(isinstance(d, Won) for d in pulled(back, T + 60))
+    assert not back.joined(T + 60) and not any(isinstance(d, Won) for d in take_decisions(back, T + 60))
 
 
 def test_changed_own_part_is_a_change_of_the_list() -> None:
@@ -389,7 +391,7 @@
 def test_newcomer_restarted_during_the_change_has_no_part_before_others_count_it() -> None:
     new = tuple(f"g{n}" for n in range(4))
     first = Owners(T, 3, new, DurableState(T, "g3", new, DUTIES, 10.0, None, 1), random.Random(1))
-    pulled(first, T)
+    take_decisions(first, T)
     again = DurableState(T, "g3", new, DUTIES, 10.0, first.durable.record(), 2)
     assert again.intact and not again.joined
     owners = Owners(T, 3, new, again, random.Random(1))
@@ -403,12 +405,12 @@
         owners.on_message(
             T, n, DutyMessage("greeted", 0, 2, 0, owners.name_digests[n], both[0], b"\0" * 4, intact=True)
         )
-    pulled(owners, T + 60)
+    take_decisions(owners, T + 60)
     assert owners.joined(T + 60) and owners.durable.record()["joined"]
 
 
 def test_notified_member_names_the_owner_to_pollers_until_the_notice_expires() -> None:
-    owners = lone(5, lone(5).durable.record())
+    owners = make_owners(5, make_owners(5).durable.record())
     told = DutyMessage(
         "told", 0, 0, 3, owners.name_digests[1], *owners.durable.lists.digests(), member=1, left=15.0
     )
@@ -416,7 +418,9 @@
 
     def answer(now: float, sender: int) -> DutyMessage:
         owners.on_message(now, sender, poll._replace(who=owners.name_digests[sender]))
-        return next(d.message for d in pulled(owners, now) if isinstance(d, Send) and d.message.sequence == 9)
+        return next(
+            d.message for d in take_decisions(owners, now) if isinstance(d, Send) and d.message.sequence == 9
+        )
 
     owners.on_message(T, 1, told)
     said = answer(T + 5, 2)
@@ -449,8 +453,8 @@
 
 
 def test_stale_copy_of_the_state_counts_as_lost() -> None:
-    held = lone(3).durable.record()
-    owners = lone(3, held)
+    held = make_owners(3).durable.record()
+    owners = make_owners(3, held)
     assert owners.durable.intact
     greeted = DutyMessage(
         "greeted", 0, 7, 0, owners.name_digests[1], *owners.durable.lists.digests(), intact=True
@@ -479,7 +483,7 @@
 @given(st.integers(0, 2**32))
 def test_messages_of_a_faulty_member_neither_stop_elections_nor_grow_state(seed: int) -> None:
     chance = random.Random(seed)
-    owners, now = lone(3), T
+    owners, now = make_owners(3), T
     for _ in range(60):
         kind = chance.choice(KINDS)
         term = chance.choice([0, 1, 2**20, 2**40, MAX_TERM, MAX_TERM + 1, 2**64 - 1])
@@ -502,7 +506,7 @@
         if sender == 2:  # the other member is faulty
             words = words._replace(terms=(3, 3), term=min(term, 3), known_life=0)
         owners.on_message(now, sender, decode(encode(words)))
-        pulled(owners, now)
+        take_decisions(owners, now)
         now += chance.choice([0.0, 0.3, 5.0])
     assert all(v.term < 2**32 for v in owners.durable.voters.values())
     assert all(one.highest_seen_term < 2**32 for one in owners.duties.values())
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -19,7 +19,7 @@
 WITHIN, CUT = 15.0, 20.0  # seconds until the whole is in use again, and of the partition
 
 
-def rig_of(directory: Path, **more: Any) -> FleetRig:
+def make_rig(directory: Path, **more: Any) -> FleetRig:
     """Returns a rig whose viewers request three times the admitted rate and watch so briefly that hosts have
     room."""
     return FleetRig(
@@ -27,13 +27,13 @@
     )
 
 
-def used(rig: FleetRig, seconds: float = 4.0) -> float:
+def admitted_share(rig: FleetRig, seconds: float = 4.0) -> float:
     """Returns the fraction of the whole rate that was admitted recently, as seen by the media hosts."""
     now = time.monotonic()
     return rig.let_in(now - seconds, now) / seconds / RATE
 
 
-def both_own(rig: FleetRig, within: float = 60.0) -> list[str]:
+def wait_for_owners(rig: FleetRig, within: float = 60.0) -> list[str]:
     return [rig.owner("budgets", within=within, region=r) for r in ("north", "south")]
 
 
@@ -45,17 +45,17 @@
 def test_partitioned_regions_own_their_duties_and_admit_the_whole(tmp_path: Path) -> None:
     def script(rig: FleetRig) -> None:
         rig.start_all()
-        both_own(rig)
+        wait_for_owners(rig)
         rig.viewers()
-        rig.until(lambda: used(rig) >= 0.9, 60.0, 0.5)
+        rig.until(lambda: admitted_share(rig) >= 0.9, 60.0, 0.5)
         rig.cut("region north")
         cut = time.monotonic()
-        both_own(rig, 2 * rig.lease + 1.0)
-        rig.until(lambda: used(rig) >= 0.9, WITHIN, 0.5)
+        wait_for_owners(rig, 2 * rig.lease + 1.0)
+        rig.until(lambda: admitted_share(rig) >= 0.9, WITHIN, 0.5)
         since = time.monotonic()
         rig.loop.sleep(cut + CUT - since)
         assert rig.let_in(since) / (time.monotonic() - since) / RATE >= 0.9, "during the whole partition"
-        both_own(rig, 2 * rig.lease + 1.0)
+        wait_for_owners(rig, 2 * rig.lease + 1.0)
         code, said = rig.fleet("owners")
         assert code == 1 and "budgets (north)" in said and "budgets (south)" in said, said
         assert "it needs a majority of the gateways of all regions" in said, said
@@ -70,7 +70,7 @@
             rig.still(stopped)
             rig.owner("budgets", but=[stopped], region="north")
             rig.goes_on(stopped)
-            both_own(rig)
+            wait_for_owners(rig)
             rig.heal()
         rig.owner("restarts")
         # One gateway of three fails during a partition: the others of its region go on.
@@ -78,9 +78,9 @@
         lost = rig.owner("budgets", region="south")
         rig.kill(lost)
         rig.owner("budgets", but=[lost], region="south")
-        rig.until(lambda: used(rig) >= 0.9, 60.0, 0.5)
+        rig.until(lambda: admitted_share(rig) >= 0.9, 60.0, 0.5)
 
-    rig = rig_of(tmp_path)
+    rig = make_rig(tmp_path)
     rig.run(script)
     assert rig.over_budget() == [] and rig.broken() == []
 
@@ -100,12 +100,12 @@
     def script(rig: FleetRig) -> None:
         rig.start_all()
         rig.until(lambda: all(in_force(rig, n) == 0.5 for n in rig.names), 60.0)
-        both_own(rig)
+        wait_for_owners(rig)
         rig.viewers()
-        rig.until(lambda: used(rig) >= 0.9, 60.0, 0.5)
+        rig.until(lambda: admitted_share(rig) >= 0.9, 60.0, 0.5)
         stating(rig, {**REGIONS[0], "share": 0.75}, {**REGIONS[1], "share": 0.25})
         anew(rig, *north)
-        both_own(rig)
+        wait_for_owners(rig)
         rig.until(lambda: all(rig.asked(n, "/v1/owners")["region"]["settled"] for n in north), 60.0)
         assert [in_force(rig, n) for n in north] == [0.5] * 3, "the south uses the former version"
         code, said = rig.fleet("owners")
@@ -120,8 +120,8 @@
         assert in_force(rig, "g0") == 0.5
         anew(rig, "g3", "g5")
         rig.until(lambda: all(in_force(rig, n) == 0.75 for n in north), 60.0)
-        both_own(rig)
-        rig.until(lambda: used(rig) >= 0.9, 60.0, 0.5)
+        wait_for_owners(rig)
+        rig.until(lambda: admitted_share(rig) >= 0.9, 60.0, 0.5)
         # The whole south fails, and an operator declares it gone.
         for name in south:
             rig.kill(name)
@@ -133,9 +133,9 @@
         with pytest.raises(DidNotStart):
             rig.start_gateway("g1")
         assert "g1: region 'south' has no gateway that is not declared gone" in rig.log_of("g1")
-        rig.until(lambda: used(rig) >= 0.9, 60.0, 0.5)
+        rig.until(lambda: admitted_share(rig) >= 0.9, 60.0, 0.5)
 
-    rig = rig_of(tmp_path)
+    rig = make_rig(tmp_path)
     rig.run(script)
     # Own parts were of two versions, so only loans and admissions are checked.
     patience = max(p.patience for p in rig.site.packages)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -23,7 +23,7 @@
 from ledgehitch.owners.facts import BUDGETS, DUTIES, MemberLists, rank_members
 from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.words import DutyMessage, encode
-from ledgehitch.owners.words import decode as read_words
+from ledgehitch.owners.words import decode as decode
 from ledgehitch.proof.budgeted import FleetLimits, check_budgets
 from ledgehitch.proof.owned import check_owners
 from ledgehitch.proof.tape import Line
@@ -33,7 +33,7 @@
 from tests.explore_regions import INJECTED_FAULTS, SCENARIOS, explore, walk
 from tests.rig import site as one_gateway
 from tests.test_config import GOOD, messages
-from tests.test_owners import pulled
+from tests.test_owners import take_decisions
 
 T = 1000.0
 
@@ -64,7 +64,7 @@
 RAISED = (NORTH._replace(share=WHOLE * 3 // 4), SOUTH._replace(share=WHOLE // 4))
 
 
-def begun(mine: str, regions: tuple[Region, ...], held: Any) -> RegionShares:
+def start_shares(mine: str, regions: tuple[Region, ...], held: Any) -> RegionShares:
     found = shares.initial_shares(mine, regions, [g for r in EVEN for g in r.gateways], held, False)
     assert found is not None
     return found
@@ -72,18 +72,18 @@
 
 def test_share_rises_when_no_region_has_a_majority_on_the_former_version() -> None:
     held = RegionShares("north", EVEN, EVEN, True).record()
-    one = begun("north", RAISED, held)
+    one = start_shares("north", RAISED, held)
     assert (one.in_force(), one.stated_share()) == (WHOLE // 2, WHOLE * 3 // 4)
     on_new = {"g0", "g2", "g4", "g1"}
     one.on_versions(T, on_new, set(), 20.0)
     assert one.settles_at > T + 1e9, "two of three in the south may use the former version"
     one.on_versions(T, on_new | {"g3"}, set(), 20.0)
     assert not one.settle(T + 19.9) and one.in_force() == WHOLE // 2
-    again = begun("north", RAISED, msgspec.json.decode(msgspec.json.encode(one.record())))
+    again = start_shares("north", RAISED, msgspec.json.decode(msgspec.json.encode(one.record())))
     assert again.in_force() == WHOLE // 2 and again.settles_at > T + 1e9, "a restart repeats the wait"
     assert one.settle(T + 20.0) and one.in_force() == WHOLE * 3 // 4
-    assert begun("north", RAISED, one.record()).in_force() == WHOLE * 3 // 4
-    lower = begun("south", RAISED, RegionShares("south", EVEN, EVEN, True).record())
+    assert start_shares("north", RAISED, one.record()).in_force() == WHOLE * 3 // 4
+    lower = start_shares("south", RAISED, RegionShares("south", EVEN, EVEN, True).record())
     assert lower.in_force() == WHOLE // 4, "a lower share takes effect at once"
 
 
@@ -105,14 +105,14 @@
 
 
 def test_no_remembered_version_or_a_third_one_gives_the_smallest_share() -> None:
-    lost = begun("north", EVEN, None)
+    lost = start_shares("north", EVEN, None)
     assert lost.in_force() == 0 and lost.stated_share() == WHOLE // 2
     lost.on_versions(T, {"g0", "g2", "g1", "g3"}, set(), 5.0)
     assert lost.settle(T + 5) and lost.in_force() == WHOLE // 2
-    second = begun("south", RAISED, RegionShares("south", EVEN, EVEN, True).record())
+    second = start_shares("south", RAISED, RegionShares("south", EVEN, EVEN, True).record())
     third = (NORTH._replace(share=WHOLE // 10), SOUTH._replace(share=WHOLE * 9 // 10))
-    assert begun("south", third, second.record()).in_force() == WHOLE // 4
-    assert begun("north", third, begun("north", RAISED, None).record()).in_force() == 0
+    assert start_shares("south", third, second.record()).in_force() == WHOLE // 4
+    assert start_shares("north", third, start_shares("north", RAISED, None).record()).in_force() == 0
     # Back to a site without regions: the whole waits for both regions.
     none = shares.initial_shares(
         "", (), ["g0", "g1"], RegionShares("north", EVEN, EVEN, True).record(), False
@@ -123,7 +123,7 @@
 
 def test_region_declared_gone_is_not_waited_for() -> None:
     alone = (NORTH._replace(share=WHOLE),)
-    one = begun("north", alone, RegionShares("north", EVEN, EVEN, True).record())
+    one = start_shares("north", alone, RegionShares("north", EVEN, EVEN, True).record())
     assert one.in_force() == WHOLE // 2
     one.on_versions(T, {"g0", "g2"}, set(), 5.0)
     assert not one.settle(T + 9)
@@ -149,13 +149,13 @@
 
 @given(st.lists(st.integers(1, 600), min_size=1, max_size=12), st.booleans(), st.integers())
 def test_shares_are_never_more_than_the_whole(gateways: list[int], stating: bool, seed: int) -> None:
-    said: list[Fraction | None] = [None] * len(gateways)
+    make_report: list[Fraction | None] = [None] * len(gateways)
     if stating:
         chance = random.Random(seed)
         cuts = sorted(chance.random() for _ in gateways)
-        said = [Fraction(str(b)) - Fraction(str(a)) for a, b in zip([0.0, *cuts], cuts, strict=False)]
-    parts = facts.divide_whole(said, gateways)
-    assert 0 <= sum(parts) <= WHOLE and parts == facts.divide_whole(said, gateways)
+        make_report = [Fraction(str(b)) - Fraction(str(a)) for a, b in zip([0.0, *cuts], cuts, strict=False)]
+    parts = facts.divide_whole(make_report, gateways)
+    assert 0 <= sum(parts) <= WHOLE and parts == facts.divide_whole(make_report, gateways)
     if not stating:
         assert sum(parts) == WHOLE
         assert all(abs(p - WHOLE * n / sum(gateways)) <= 1 for p, n in zip(parts, gateways, strict=True))
@@ -170,13 +170,13 @@
     assert (region_of(site, "g3"), region_of(two_regions(), "g3")) == ("south", "")
     fewer = regions_of(two_regions(north, south, gone=("g0", "g2")))
     assert [(r.share, r.gateways) for r in fewer] == [(WHOLE // 4, ("g4",)), (WHOLE * 3 // 4, SOUTH.gateways)]
-    said = [msgspec.structs.replace(r, share=s) for r, s in ((north, 0.2), (south, 0.6))]
-    assert [r.share for r in regions_of(two_regions(*said))] == [WHOLE // 5, WHOLE * 3 // 5]
-    lost = two_regions(said[0], msgspec.structs.replace(said[1], gone=True))
+    make_report = [msgspec.structs.replace(r, share=s) for r, s in ((north, 0.2), (south, 0.6))]
+    assert [r.share for r in regions_of(two_regions(*make_report))] == [WHOLE // 5, WHOLE * 3 // 5]
+    lost = two_regions(make_report[0], msgspec.structs.replace(make_report[1], gone=True))
     assert stated(lost) == NORTH.gateways and regions_of(lost) == (NORTH._replace(share=WHOLE * 4 // 5),)
 
 
-WRONG: list[tuple[str, str, str]] = [
+INVALID_REGIONS: list[tuple[str, str, str]] = [
     ("regions: north: zones: []", "regions.north.zones", "a region has a zone at least"),
     ('regions: north: zones: ["a", "z9"]', "regions.north.zones.1", "no gateway is in zone 'z9'"),
     (
@@ -203,14 +203,14 @@
 ]
 
 
-@pytest.mark.parametrize("text, place, reason", WRONG)
+@pytest.mark.parametrize("text, place, reason", INVALID_REGIONS)
 def test_invalid_regions_are_refused_with_their_location(
     text: str, place: str, reason: str, tmp_path: Path
 ) -> None:
     gateways = 'gateways: { g1: { at: "127.0.0.1:82", zone: "a" }, g2: { at: "127.0.0.1:83", zone: "b" } }'
     good = GOOD.replace('g0: { at: "127.0.0.1:8080" }', 'g0: { at: "127.0.0.1:8080", zone: "a" }')
-    said = messages(load_text(f"{good}{gateways}\n{text}\n"))
-    assert f"{place}: {reason}" in said, said
+    make_report = messages(load_text(f"{good}{gateways}\n{text}\n"))
+    assert f"{place}: {reason}" in make_report, make_report
     # The same site as JSON.
     both = load_text(f'{good}{gateways}\nregions: {{ north: zones: ["a"], south: zones: ["b"] }}\n')
     assert both.mistakes == [] and both.site is not None
@@ -323,17 +323,17 @@
     )
     memory.confirmed, memory.may_vote_from = True, T
     one = Owners(T, 0, names, memory, random.Random(1), north, [2])
-    pulled(one, T)
+    take_decisions(one, T)
     before = memory.record()
     good = DutyMessage("ask", 2, 9, 1, one.name_digests[2], *memory.lists.digests())
     other = MemberLists(NORTH.gateways, (), 10.0, 10.0, regions=regions_digest(RAISED)).digests()
-    for sender, words in (
+    for sender, message in (
         (1, good._replace(who=one.name_digests[1])),
         (2, good._replace(duty=1)),
         (2, good._replace(list=other[0])),
         (2, good._replace(term=1 << 63)),
     ):
-        one.on_message(T, sender, read_words(encode(words)))
+        one.on_message(T, sender, decode(encode(message)))
     assert sorted(one.counts.items()) == [
         ("message about an unknown duty", 1),
         ("request under another version of the site", 1),
@@ -386,7 +386,7 @@
 # ---- reports for operators ---------------------------------------------------------------------------------
 
 
-def said(name: str, region: str, mine: tuple[str, ...] = (), stands: bool = True) -> Said:
+def make_report(name: str, region: str, mine: tuple[str, ...] = (), stands: bool = True) -> Said:
     def one(duty: str) -> dict[str, Any]:
         return {
             "owner": name if duty in mine else "",
@@ -406,26 +406,26 @@
 def test_owners_are_reported_with_region_and_missing_ones_with_reason() -> None:
     regions = {g: r.name for r in EVEN for g in r.gateways}
     some = [
-        said("g0", "north", (BUDGETS,)),
-        said("g2", "north"),
-        said("g1", "south"),
+        make_report("g0", "north", (BUDGETS,)),
+        make_report("g2", "north"),
+        make_report("g1", "south"),
         *(Said(name, None, "timed out") for name in ("g3", "g4", "g5")),
     ]
     found = {o.duty: o for o in owned(some, regions)}
     assert sorted(found) == ["budgets (north)", "budgets (south)", "restarts", "verdicts"]
     assert (found["budgets (north)"].kind, found["budgets (north)"].owner) == ("owned", "g0")
     assert found["budgets (south)"].kind == "unknown" and "1 of 3 answered" in found["budgets (south)"].why
-    all_six = [said(n, regions[n]) for n in sorted(regions)]
+    all_six = [make_report(n, regions[n]) for n in sorted(regions)]
     found = {o.duty: o for o in owned(all_six, regions)}
     assert found["budgets (south)"].kind == "nobody" and found["budgets (south)"].standstill == "no budgets"
     assert found["restarts"].why == "it needs a majority of the gateways of all regions; no restarts"
     # A region without any answer is listed, too.
     found = {o.duty: o for o in owned(some[:2], regions)}
     assert found["budgets (south)"].kind == "unknown"
-    two = owned([said("g0", "north", (BUDGETS,)), said("g2", "north", (BUDGETS,))], regions)
+    two = owned([make_report("g0", "north", (BUDGETS,)), make_report("g2", "north", (BUDGETS,))], regions)
     assert two[0].kind == "contradicting"
     assert "g0: its region uses 0.250 of the whole, 0.500 is stated" in cannot_vote(all_six)[0]
-    assert cannot_vote([said("g0", "north", stands=False)]) == []
+    assert cannot_vote([make_report("g0", "north", stands=False)]) == []
 
 
 def test_budgets_are_summed_over_regions_and_inconsistencies_reported() -> None:
@@ -447,7 +447,7 @@
 # ---- checks of tapes ---------------------------------------------------------------------------------------
 
 
-def tape(*loans: tuple[str, str, float, int, float, int]) -> list[Line]:
+def make_tape(*loans: tuple[str, str, float, int, float, int]) -> list[Line]:
     """Builds a tape of loans (lender, borrower, time, number, share, term) as request, answer, report."""
     lines: list[tuple[float, str, dict[str, Any]]] = []
     for lender, who, t, number, share, term in loans:
@@ -476,7 +476,7 @@
     return out
 
 
-WHOLES = FleetLimits(
+LIMITS = FleetLimits(
     {},
     0.0,
     6,
@@ -484,17 +484,19 @@
     {g: [WHOLE // 100] for r in EVEN for g in r.gateways},
     regions={r.name: (r.gateways, r.share) for r in EVEN},
 )
-OF = {g: r.name for r in EVEN for g in r.gateways}
+REGION_OF = {g: r.name for r in EVEN for g in r.gateways}
 
 
 def test_each_regional_check_fails_on_a_faulty_tape() -> None:
-    good = tape(("g0", "g2", 1.0, 1, 0.4, 1), ("g1", "g3", 1.0, 1, 0.45, 1), ("g4", "g2", 9.0, 1, 0.4, 2))
-    assert check_budgets(good, WHOLES) == [] and check_owners(good, regions=OF) == []
-    over = tape(("g0", "g2", 1.0, 1, 0.3, 1), ("g0", "g4", 1.0, 2, 0.3, 1))
-    (broken,) = check_budgets(over, WHOLES)
+    good = make_tape(
+        ("g0", "g2", 1.0, 1, 0.4, 1), ("g1", "g3", 1.0, 1, 0.45, 1), ("g4", "g2", 9.0, 1, 0.4, 2)
+    )
+    assert check_budgets(good, LIMITS) == [] and check_owners(good, regions=REGION_OF) == []
+    over = make_tape(("g0", "g2", 1.0, 1, 0.3, 1), ("g0", "g4", 1.0, 2, 0.3, 1))
+    (broken,) = check_budgets(over, LIMITS)
     assert broken.invariant == "parts are within the region's share"
     assert "north: g2, g4 had 1.24" in broken.message
-    both = tape(("g0", "g2", 1.0, 1, 0.4, 1), ("g4", "g2", 9.0, 1, 0.4, 1))
-    assert [b.invariant for b in check_owners(both, regions=OF)] == ["one owner a term"]
-    across = tape(("g0", "g2", 1.0, 1, 0.1, 1), ("g0", "g3", 1.0, 2, 0.1, 1))
-    assert [b.invariant for b in check_owners(across, regions=OF)] == ["each region lends for itself"]
+    both = make_tape(("g0", "g2", 1.0, 1, 0.4, 1), ("g4", "g2", 9.0, 1, 0.4, 1))
+    assert [b.invariant for b in check_owners(both, regions=REGION_OF)] == ["one owner a term"]
+    across = make_tape(("g0", "g2", 1.0, 1, 0.1, 1), ("g0", "g3", 1.0, 2, 0.1, 1))
+    assert [b.invariant for b in check_owners(across, regions=REGION_OF)] == ["each region lends for itself"]
--- a/tests/test_whole_units.py
+++ b/tests/test_whole_units.py
@@ -38,9 +38,9 @@
 T, LOAN, DIGEST = 1000.0, 5.0, b"same"
 PERIOD = LOAN / REQUESTS_PER_LOAN
 RATE = Budget("offers.live", "rate")
-wholes = st.one_of(st.integers(1, 700), st.integers(1, MAX_COUNTED), st.integers(MAX_COUNTED + 1, 10**6))
+whole_sizes = st.one_of(st.integers(1, 700), st.integers(1, MAX_COUNTED), st.integers(MAX_COUNTED + 1, 10**6))
 shares = st.one_of(st.just(WHOLE), st.integers(1, WHOLE))
-parts_of_it = st.one_of(st.sampled_from([0.0, 0.05, 0.1, 0.25, 0.29, 1.0]), st.floats(0.0, 1.0))
+fractions = st.one_of(st.sampled_from([0.0, 0.05, 0.1, 0.25, 0.29, 1.0]), st.floats(0.0, 1.0))
 
 
 def count(whole: int) -> Budget:
@@ -52,7 +52,7 @@
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
-@given(wholes, parts_of_it, st.integers(1, 560), shares)
+@given(whole_sizes, fractions, st.integers(1, 560), shares)
 def test_own_units_and_pool_are_whole_and_within_the_scopes_share(
     whole: int, own_part: float, gateways: int, share: int
 ) -> None:
@@ -72,7 +72,7 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(wholes, st.lists(st.integers(0, WHOLE), max_size=30))
+@given(whole_sizes, st.lists(st.integers(0, WHOLE), max_size=30))
 def test_gateways_with_any_parts_of_a_whole_admit_at_most_the_whole(whole: int, cuts: list[int]) -> None:
     edges = [0, *sorted(cuts), WHOLE]
     parts = [b - a for a, b in zip(edges, edges[1:], strict=False)]
@@ -88,11 +88,11 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(
-    wholes,
-    parts_of_it,
+    whole_sizes,
+    fractions,
     st.sets(st.integers(0, 40), min_size=1),
     st.sets(st.integers(0, 40), min_size=1),
-    parts_of_it,
+    fractions,
     shares,
     st.randoms(use_true_random=False),
 )
@@ -107,7 +107,7 @@
 ) -> None:
     """Each gateway uses the former version or both; the lender uses both."""
     budgets = [RATE, count(whole)]
-    current, former = (tuple(f"g{n}" for n in sorted(some)) for some in (now, before))
+    current, former = (tuple(f"g{n}" for n in sorted(fleet)) for fleet in (now, before))
     lists = MemberLists(current, former, own_part=own_part, former_own_part=former_part)
     by_both = smallest_own_parts(budgets, lists, share=share)
     old = MemberLists(former, own_part=former_part, former_own_part=former_part)
@@ -134,7 +134,7 @@
 @given(
     st.integers(1, 900),
     st.integers(1, 900),
-    parts_of_it,
+    fractions,
     st.integers(1, 40),
     st.randoms(use_true_random=False),
 )
@@ -213,7 +213,7 @@
 # ---- turns -------------------------------------------------------------------------------------------------
 
 
-class Asking:
+class UnitFleet:
     """Borrowers of one count and a lender, with requests in turn and immediate delivery."""
 
     def __init__(self, gateways: int, units: int) -> None:
@@ -247,55 +247,55 @@
 def test_each_of_many_borrowers_gets_a_scarce_unit_within_its_turn(
     gateways: int, units: int, chance: random.Random
 ) -> None:
-    some = Asking(gateways, units)
+    fleet = UnitFleet(gateways, units)
     most = {me: chance.randint(1, 8) for me in range(gateways)}
     within = math.ceil(gateways / units) * (LOAN + 5 * PERIOD)
-    last = dict.fromkeys(range(gateways), some.now)
+    last = dict.fromkeys(range(gateways), fleet.now)
     for _ in range(200):
-        held = some.round({me: chance.randint(1, wants) for me, wants in most.items()})
+        held = fleet.round({me: chance.randint(1, wants) for me, wants in most.items()})
         for me, has in enumerate(held):
             if has:
-                last[me] = some.now
-            assert some.now - last[me] <= within + PERIOD, (me, gateways, units)
+                last[me] = fleet.now
+            assert fleet.now - last[me] <= within + PERIOD, (me, gateways, units)
 
 
 def test_units_go_to_the_largest_needs_and_idle_borrowers_hold_none() -> None:
-    some = Asking(10, 3)
-    wanted = {m: units * some.budget.grain for m, units in {1: 1, 4: 9, 5: 9, 7: 9}.items()}
-    first = some.lender.turns[0].order(T, wanted, {}, {})
-    loans = divide(WHOLE, {}, wanted, some.budget.grain, first)
+    fleet = UnitFleet(10, 3)
+    wanted = {m: units * fleet.budget.grain for m, units in {1: 1, 4: 9, 5: 9, 7: 9}.items()}
+    first = fleet.lender.turns[0].order(T, wanted, {}, {})
+    loans = divide(WHOLE, {}, wanted, fleet.budget.grain, first)
     assert loans == {1: 0, 4: WHOLE // 3, 5: WHOLE // 3, 7: WHOLE // 3}
     for _ in range(4):
-        held = some.round({4: 9, 5: 9, 7: 9})
+        held = fleet.round({4: 9, 5: 9, 7: 9})
     assert held == [0, 0, 0, 0, 1, 1, 0, 1, 0, 0]
     for _ in range(5):
-        held = some.round({1: 1, 2: 1})  # the others want nothing any more
+        held = fleet.round({1: 1, 2: 1})  # the others want nothing any more
     assert held[1] >= 1 and held[2] >= 1 and sum(held) == 3
     for _ in range(5):
-        held = some.round({0: 1, 3: 1, 8: 1})
+        held = fleet.round({0: 1, 3: 1, 8: 1})
     assert [held[0], held[3], held[8]] == [1, 1, 1]
 
 
 def test_borrower_keeps_its_unit_for_one_turn_although_others_want_more() -> None:
-    some = Asking(4, 1)
+    fleet = UnitFleet(4, 1)
     for _ in range(3):
-        held = some.round({0: 1})
+        held = fleet.round({0: 1})
     assert held == [1, 0, 0, 0]
-    began = some.now
-    while some.units()[0]:
-        some.round({0: 1, 1: 50, 2: 40})
-    assert some.now - began <= LOAN + PERIOD, "no longer than a turn while others wait"
+    began = fleet.now
+    while fleet.units()[0]:
+        fleet.round({0: 1, 1: 50, 2: 40})
+    assert fleet.now - began <= LOAN + PERIOD, "no longer than a turn while others wait"
     for _ in range(4):
-        held = some.round({0: 1, 1: 50, 2: 40})
+        held = fleet.round({0: 1, 1: 50, 2: 40})
     assert held == [0, 1, 0, 0]
 
 
 def test_turn_order_of_equal_borrowers_differs_by_lender_term() -> None:
     firsts = set()
     for term in range(1, 5):
-        some = Asking(4, 1)
-        some.lender = Lender(T - 100.0, term, [some.budget], {}, [WHOLE], range(4), [DIGEST], LOAN)
-        order = some.lender.turns[0].order(T, dict.fromkeys(range(4), WHOLE), {}, {})
+        fleet = UnitFleet(4, 1)
+        fleet.lender = Lender(T - 100.0, term, [fleet.budget], {}, [WHOLE], range(4), [DIGEST], LOAN)
+        order = fleet.lender.turns[0].order(T, dict.fromkeys(range(4), WHOLE), {}, {})
         firsts.add(order[0])
     assert firsts == {0, 1, 2, 3}
 
@@ -305,13 +305,13 @@
 
 @pytest.mark.parametrize("set_ups", [1, 2, 7, 100, 6000])
 def test_site_without_lending_divides_set_ups_into_whole_units(set_ups: int) -> None:
-    some = site()
+    fleet = site()
     gateways = [GatewayRecord(name=f"g{n}", at="127.0.0.1:1") for n in range(9)]
-    door = msgspec.structs.replace(some.door, set_ups=float(set_ups))
-    some = msgspec.structs.replace(some, gateways=gateways, door=door)
+    door = msgspec.structs.replace(fleet.door, set_ups=float(set_ups))
+    fleet = msgspec.structs.replace(fleet, gateways=gateways, door=door)
     each = []
     for g in gateways:
-        rest, own = own_shares(some, g.name)
+        rest, own = own_shares(fleet, g.name)
         part = BudgetShare(1.0)
         part.update(rest, {}, 0.0, own)
         each.append(part.whole_units(T, SET_UPS, set_ups))
