--- a/ledgehitch/budgets/borrower.py
+++ b/ledgehitch/budgets/borrower.py
@@ -122,9 +122,8 @@
         if not requested_at <= now < until:
             return self._count("a loan that came after its end")
         if any(new < old for new, old in zip(message.loans, self.loans, strict=True)):
-            self._next_request_at = min(
-                self._next_request_at, now
-            )  # returned parts are lent again once reported
+            # Returned parts are lent again once they have been reported.
+            self._next_request_at = min(self._next_request_at, now)
         self._unanswered = self.digests.index(message.digest) * REQUESTS_PER_VERSION
         self.number, self.loans, self.loan_until = message.number, message.loans, until
         return True
--- a/ledgehitch/budgets/units.py
+++ b/ledgehitch/budgets/units.py
@@ -34,7 +34,9 @@
 
 
 def own_units(budget: Budget, own_part: float, share: int = WHOLE) -> int:
-    """Returns the units of a count that are not lent: at least one if there is any own part."""
+    """Returns the units of a count that are not lent.
+
+    It is at least one if there is any own part, so that rounding alone does not leave none."""
     units = budget.units(share)
     return min(units, max(1, int(own_part * units + ROUNDING_TOLERANCE))) if own_part > 0 else 0
 
--- a/ledgehitch/owners/decide.py
+++ b/ledgehitch/owners/decide.py
@@ -180,8 +180,8 @@
         if message.kind in ("greet", "greeted"):
             self._on_greeting(now, sender, message)
             return
-        duty = next((o for o in self.duties.values() if o.number == message.duty), None)
-        if duty is None:
+        state = next((s for s in self.duties.values() if s.number == message.duty), None)
+        if state is None:
             self._count("message about an unknown duty")
             return
         if message.term > MAX_TERM:
@@ -189,19 +189,19 @@
             return
         match message.kind:
             case "poll" | "ask":
-                self._on_request(now, duty, sender, message)
+                self._on_request(now, state, sender, message)
             case "free" | "grant" | "deny":
-                self._on_response(now, duty, sender, message)
+                self._on_response(now, state, sender, message)
             case "yield":
-                self._on_yield(now, duty, sender, message)
+                self._on_yield(now, state, sender, message)
             case "told":
-                if message.term >= max(duty.known_owner[1], self.durable.voters[duty.name].term):
-                    duty.known_owner = (
+                if message.term >= max(state.known_owner[1], self.durable.voters[state.name].term):
+                    state.known_owner = (
                         sender,
                         message.term,
                         now + min(message.left, OWNER_NOTICE_LEASES * self.lease),
                     )
-                    duty.failed_polls = 0
+                    state.failed_polls = 0
 
     def on_membership(self, reachable: set[int], eligible: bool, why_not: str = "") -> None:
         """Sets which members are reachable, and whether this one may own duties now."""
@@ -252,10 +252,10 @@
     def on_stored(self, record: dict[str, Any]) -> None:
         """Handles the success of a `Store`: counts the votes for this member that are on disk now."""
         self._stored = record
-        for duty, term, asked_at in self._own_votes:
+        for duty, term, requested_at in self._own_votes:
             lease = self.duties[duty].lease
             if lease is not None and lease.term == term:
-                lease.on_grant(self.names[self.me], asked_at)
+                lease.on_grant(self.names[self.me], requested_at)
                 self._check_won(self.duties[duty])
         self._own_votes = []
 
@@ -481,11 +481,11 @@
         for to in self._others():
             self._send_about(to, "yield", state, 0, lease.term, successor)
 
-    def _end_lease(self, now: float, state: DutyState, why: str) -> None:
+    def _end_lease(self, now: float, state: DutyState, reason: str) -> None:
         lease, won = state.lease, state.won
         if lease is None:
             return
-        late = max(0.0, now - lease.expires_at()) if won else 0.0
+        overdue = max(0.0, now - lease.expires_at()) if won else 0.0
         lease.ended = True
         state.lease, state.won, state.retry_at = None, False, 1e18
         state.highest_seen_term = max(state.highest_seen_term, lease.term)
@@ -493,7 +493,7 @@
             state.known_owner = NO_MEMBER, lease.term, -1e18
         state.candidacy_at = now + self._rank_delay(state) + self.candidacy_timeout * self.rng.random()
         if won:
-            self._decisions.append(Lost(state.name, lease.term, why, late))
+            self._decisions.append(Lost(state.name, lease.term, reason, overdue))
 
     def owned_term(self, now: float, duty: str) -> int:
         """Returns the term under which an effect may be sent now, or 0. Must be called before each effect."""
