--- a/ledgehitch/http/__init__.py
+++ b/ledgehitch/http/__init__.py
@@ -1,13 +1,13 @@
-"""HTTP/1.1 over the loop: a server, a client with pools of connections, event streams, problem documents.
+"""HTTP/1.1 on the event loop: a server, a client with connection pools, event streams, problem documents.
 
-It never knows what a path means, and never sends a request twice: what may be repeated is decided above.
-Start reading at `message.py`; `parse.py` and `events.py` are free of I/O.
+It does not interpret paths and never retries a request: the caller decides what may be repeated. Start
+reading at `message.py`; `parse.py` and `events.py` are free of I/O.
 """
 
 from typing import TYPE_CHECKING, Any
 
 from ledgehitch.http.client import Client, ConnectFailed, Interrupted
-from ledgehitch.http.events import Feed, event, events_from
+from ledgehitch.http.events import Feed, encode_event, parse_events
 from ledgehitch.http.message import NoAnswer, Refused, Request, Response, problem
 
 if TYPE_CHECKING:
@@ -24,14 +24,14 @@
     "Request",
     "Response",
     "Server",
-    "event",
-    "events_from",
+    "encode_event",
+    "parse_events",
     "problem",
 ]
 
 
 def __getattr__(name: str) -> Any:
-    """The server is loaded where it is used, TLS with it: the platform's gateway has no room."""
+    """Loads the server, and TLS with it, on first use, to save memory in the platform's gateway."""
     if name in ("Limits", "Server"):
         from ledgehitch.http import server
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -110,7 +110,7 @@
     def twice(host: Host, request: Request) -> Response:
         response = host.plays(request)
         response.headers.append(("Content-Length", str(len(response.body))))
-        second = host.plays(request).written(keep=True)
+        second = host.plays(request).encode(keep_alive=True)
         body = response.body
 
         def stream(send) -> None:  # type: ignore[no-untyped-def]
@@ -207,10 +207,10 @@
         assert rig.offer().status == 201
         sent.wait()
         response = answer(slow)
-        assert response.status == 408 and rig.gateway.server.slow == 1
+        assert response.status == 408 and rig.gateway.server.timeouts == 1
         slow.close()
 
-    Rig(limits=Limits(request_within=0.4)).run(day)
+    Rig(limits=Limits(request_timeout_s=0.4)).run(day)
 
 
 def test_two_requests_in_one_segment_are_both_answered_in_order() -> None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Limits, Refused, Request, Response, Server
-from ledgehitch.http.events import Events, event
+from ledgehitch.http.events import EventParser, encode_event
 from ledgehitch.http.parse import RequestReader, ResponseReader
 from ledgehitch.loop import Loop, TimedOut, connect, endpoint
 
@@ -85,7 +85,7 @@
         assert told["status"] == status and told["detail"]
         assert client.request(at, "GET", "/").status == 200
 
-    served(hello, call, Limits(request_within=0.2))
+    served(hello, call, Limits(request_timeout_s=0.2))
 
 
 def test_over_the_limit_of_connections_refusal_is_one_write() -> None:
@@ -93,13 +93,13 @@
         held = [connect(loop, endpoint(at)) for _ in range(2)]
         loop.sleep(0.02)
         assert raw(loop, at, b"").startswith(b"HTTP/1.1 503")
-        assert server.turned_away == 1
+        assert server.rejected_connections == 1
         for stream in held:
             stream.close()
         loop.sleep(0.02)
         assert client.request(at, "GET", "/").status == 200
 
-    served(hello, call, Limits(connections=2))
+    served(hello, call, Limits(max_connections=2))
 
 
 def test_a_client_that_takes_no_answer_is_let_go() -> None:
@@ -110,9 +110,9 @@
         stream = connect(loop, endpoint(at))
         stream.send(GET)
         loop.sleep(0.6)
-        assert server.slow == 1 and not server.open
+        assert server.timeouts == 1 and not server.open
 
-    served(big, call, Limits(send_within=0.2))
+    served(big, call, Limits(send_timeout_s=0.2))
 
 
 def test_what_breaks_off_is_told_apart_from_what_never_left() -> None:
@@ -139,7 +139,7 @@
     seen: list[str] = []
 
     def wait(request: Request) -> Response:
-        request.hung_up(lambda: seen.append(request.path))
+        request.on_disconnect(lambda: seen.append(request.path))
         loops[0].sleep(0.1)
         return Response(204)
 
@@ -186,8 +186,8 @@
     st.lists(st.integers(1, 30), max_size=20), st.lists(st.text("ab:\n ", max_size=8), min_size=1, max_size=4)
 )
 def test_events_read_the_same_however_the_bytes_fall(cuts: list[int], texts: list[str]) -> None:
-    data = b": here\n\n" + b"".join(event(text, "note", str(i)) for i, text in enumerate(texts))
-    reader, found, at = Events(), list[tuple[str, str, str]](), 0
+    data = b": here\n\n" + b"".join(encode_event(text, "note", str(i)) for i, text in enumerate(texts))
+    reader, found, at = EventParser(), list[tuple[str, str, str]](), 0
     for cut in [*cuts, len(data)]:
         found += reader.feed(data[at : at + cut])
         at += cut
@@ -195,9 +195,9 @@
 
 
 def test_a_first_answer_stands_whatever_comes_behind_it() -> None:
-    one = Response(201, [], b"first").written(keep=True)
+    one = Response(201, [], b"first").encode(keep_alive=True)
     reader = ResponseReader()
-    got = reader.feed(b"HTTP/1.1 103 Early Hints\r\n\r\n" + one + Response(500, [], b"second").written(True))
+    got = reader.feed(b"HTTP/1.1 103 Early Hints\r\n\r\n" + one + Response(500, [], b"second").encode(True))
     assert got is not None and (got.status, got.body) == (201, b"first") and reader.extra
     broken = ResponseReader()
     got = broken.feed(one + b"garbage")
@@ -211,7 +211,7 @@
 
     def stream(send) -> None:  # type: ignore[no-untyped-def]
         try:
-            send(event("one"))
+            send(encode_event("one"))
             loops[0].sleep(60)
         finally:
             ended.append("ended")
