--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -20,7 +20,7 @@
 from ledgehitch.loop import Loop, TimedOut, run_forked
 from ledgehitch.loop.kernel import discard
 from ledgehitch.quality.facts import Seen, reports_in
-from ledgehitch.quality.judge import FEW, Judge, Verdict, look
+from ledgehitch.quality.judge import MIN_VIEWINGS, Judge, Verdict, look
 from ledgehitch.quality.keep import Keep
 from ledgehitch.quality.limits import Limits
 from ledgehitch.quality.passes import BadPass, Passes
@@ -248,7 +248,7 @@
 
     def _compute_verdict(self, table: dict[str, Cell]) -> Verdict:
         """A look; at a large table in a copy of the process, so that set-ups do not wait for it."""
-        expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= FEW}
+        expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= MIN_VIEWINGS}
         if len(table) <= MAX_INLINE_VIEWINGS:
             return look(table, expected)
         ours, theirs = os.pipe()
--- a/ledgehitch/quality/__init__.py
+++ b/ledgehitch/quality/__init__.py
@@ -1,5 +1,5 @@
-"""Quality of experience from players' reports: counted, merged over gateways, judged by rack and title.
+"""Quality of experience from players' reports: aggregated, merged and compared by rack and title.
 
-It places nothing and trusts no player's clock. Start reading at `tally.py` (what is counted) and `judge.py`
-(who is to blame); all of it but `keep.py` is free of I/O.
+It makes no placement decisions and does not trust players' clocks. Start reading at `tally.py` (aggregation)
+and `judge.py` (fault localisation). Everything but `keep.py` is free of I/O.
 """
--- a/ledgehitch/quality/facts.py
+++ b/ledgehitch/quality/facts.py
@@ -1,20 +1,23 @@
-"""What players report: keys after CTA-5004 (CMCD) where it has them, checked one by one. Free of I/O."""
+"""Players' reports and their validation. Keys follow CTA-5004 (CMCD) where it has them. Free of I/O."""
 
 from typing import Annotated, Any
 
 import msgspec
 
-MOST_REPORTS = 200  # of one batch
+MAX_REPORTS = 200  # in one batch
 Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=86_400_000)]
 
 
 class Report(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One report on one viewing. Times are milliseconds of the player's own clock; only their differences are
-    used. Counts are of the time since the report before."""
+    """One report on one viewing.
 
-    sn: Annotated[int, msgspec.Meta(ge=0, lt=2**31)]  # sequence number, one more for each report
-    ts: Annotated[int, msgspec.Meta(ge=0, lt=2**53)]  # the player's clock when it was made
-    msd: Milliseconds | None = None  # media start delay: from asking to the first picture
+    Times are in milliseconds of the player's own clock, and only their differences are used. Counts cover the
+    time since the previous report.
+    """
+
+    sn: Annotated[int, msgspec.Meta(ge=0, lt=2**31)]  # sequence number
+    ts: Annotated[int, msgspec.Meta(ge=0, lt=2**53)]  # time of the report on the player's clock
+    msd: Milliseconds | None = None  # media start delay: from the request to the first picture
     bsd: list[Milliseconds] = []  # lengths of stalls (buffer starvation)
     drops: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = msgspec.field(
         default=0, name="com.ledgehitch-drops"
@@ -23,15 +26,16 @@
 
 
 def reports_in(body: bytes) -> tuple[list[Report], list[dict[str, Any]]]:
-    """The good reports of a batch, and for each bad one its place, field and reason.
+    """Returns the valid reports of a batch, and the index, field and reason for each invalid one.
 
-    Raises `ValueError` for a body that is no batch at all."""
+    Raises `ValueError` if the body is not a batch.
+    """
     try:
         raw = msgspec.json.decode(body, type=list[msgspec.Raw])
     except msgspec.MsgspecError as wrong:
-        raise ValueError(f"a batch is a list of reports: {wrong}") from None
-    if len(raw) > MOST_REPORTS:
-        raise ValueError(f"{len(raw)} reports in a batch, {MOST_REPORTS} are allowed")
+        raise ValueError(f"a batch must be a list of reports: {wrong}") from None
+    if len(raw) > MAX_REPORTS:
+        raise ValueError(f"{len(raw)} reports in a batch, the limit is {MAX_REPORTS}")
     good, bad = [], []
     for i, one in enumerate(raw):
         try:
@@ -47,8 +51,10 @@
 
 
 class Seen(msgspec.Struct, array_like=True):
-    """What the gateway saw of a viewing: where and what it plays, and when it was asked for and answered, in
-    seconds of the gateway's wall clock."""
+    """The gateway's record of a viewing: where and what it plays, and when it was requested and answered.
+
+    Times are in seconds of the gateway's wall clock.
+    """
 
     rack: str
     title: str
--- a/ledgehitch/quality/keep.py
+++ b/ledgehitch/quality/keep.py
@@ -1,7 +1,8 @@
-"""Snapshots on disk: two are kept, each whole or not at all.
+"""Snapshots on disk: the two latest are stored, each written atomically.
 
-A snapshot is a magic line, its length, a `blake3` digest and msgpack. It is written beside the older of the
-two and moved into its place, so that a kill at any byte leaves at least the other one.
+A snapshot consists of a magic line, a serial number and length, a `blake3` digest and msgpack data. It is
+written to a temporary file that then replaces the older of the two, so that a crash at any byte leaves a
+valid one.
 """
 
 import os
@@ -13,17 +14,18 @@
 from blake3 import blake3
 
 MAGIC = b"ledgehitch quality 1\n"
-PLACE = struct.Struct(">QQ")  # number of the file, when it last changed in ns
-HEAD = struct.Struct(">QI")  # serial number, length
+PLACE = struct.Struct(">QQ")  # inode number, time of its last change in ns
+HEAD = struct.Struct(">QI")  # serial number, length of the data
 
 
 class Keep:
-    """Two files, `PATH.0` and `PATH.1`; the one with the higher serial that is whole counts.
+    """Two files, `PATH.0` and `PATH.1`; the valid one with the higher serial number is read.
 
-    `synced`: what is written outlives the machine as well, and there is one file alone, since an older one
-    must never be taken for the newest where that is torn. Beside it `PATH.mark` says which file of the disk
-    it is and when it last changed, so that a copy that was put back is not taken for what was written last
-    (`read` gives None then). A disk that was set back as a whole is not noticed."""
+    With `synced`, data survives a power failure, and there is only one file, since an older snapshot must
+    never be read in place of a damaged newer one. `PATH.mark` then holds the inode number and the change time
+    of the file, so that a restored copy is not mistaken for the latest snapshot (`read` returns None). A disk
+    that is restored as a whole is not detected.
+    """
 
     def __init__(self, path: Path, private: bool = False, synced: bool = False) -> None:
         self.path, self.private, self.synced = path, private, synced
@@ -42,7 +44,7 @@
                 os.fsync(directory)
             finally:
                 os.close(directory)
-            # Guards against a kill in between as well: without its mark the file does not count.
+            # After a crash before this line the file is ignored, since its mark does not match.
             self._put(self._mark, PLACE.pack(*self._place(slot)), 0)
 
     def _put(self, path: Path, data: bytes, more: int) -> None:
@@ -68,7 +70,7 @@
         return MAGIC + head + blake3(head + body).digest() + body
 
     def read(self) -> Any:
-        """What the newest whole snapshot holds; None without one."""
+        """Returns the data of the latest valid snapshot, or None."""
         found = sorted(self._whole(), key=lambda pair: pair[0])
         if not found:
             return None
@@ -77,6 +79,7 @@
         return msgspec.msgpack.decode(found[-1][1])
 
     def _written_here(self) -> bool:
+        """Returns whether the mark matches the file."""
         try:
             mark = self._mark.read_bytes()
             return mark == PLACE.pack(*self._place(self.path.with_name(f"{self.path.name}.0")))
@@ -84,6 +87,7 @@
             return False
 
     def _whole(self) -> list[tuple[int, bytes]]:
+        """Returns the serial number and data of each valid snapshot."""
         found = []
         for n in (0,) if self.synced else (0, 1):
             try:
--- a/ledgehitch/quality/page.py
+++ b/ledgehitch/quality/page.py
@@ -1,4 +1,4 @@
-"""The report as one self-contained page: verdict, tables, charts over time, culprits marked. Free of I/O."""
+"""Renders the quality report as a self-contained HTML page with verdict, tables and charts. Free of I/O."""
 
 import html
 import re
@@ -9,8 +9,8 @@
 import pygal
 from pygal.style import Style
 
-CHARTED = 6  # groups of a kind in one chart, the worst and the blamed
-SHOWN = 40  # rows of a table
+CHARTED = 6  # groups of a kind in one chart: the culprits and the worst
+SHOWN = 40  # rows in one table
 STYLE = Style(background="transparent", plot_background="transparent", font_family="sans-serif")
 Group = dict[str, Any]
 MEASURES: tuple[tuple[str, Callable[[Group], float | None]], ...] = (
@@ -31,7 +31,7 @@
 
 
 def page(told: dict[str, Any]) -> str:
-    """HTML from what a gateway's `/quality/report` says; needs nothing from elsewhere."""
+    """Returns the HTML page for the data of a gateway's `/quality/report`."""
     verdict = told["verdict"]
     blamed = {(c["kind"], c["name"]): c for c in verdict["culprits"]}
     parts = [HEAD, "<h1>Quality by rack and title</h1>"]
@@ -88,4 +88,4 @@
         label = f"{name} (to blame)" if (kind, name) in blamed else name
         chart.add(label, values, stroke_style={"width": 4 if (kind, name) in blamed else 1})
     drawn = str(chart.render(is_unicode=True, disable_xml_declaration=True))
-    return re.sub(r"<script.*?</script>", "", drawn, flags=re.DOTALL)  # nothing on the page moves
+    return re.sub(r"<script.*?</script>", "", drawn, flags=re.DOTALL)  # static page
--- a/ledgehitch/quality/tally.py
+++ b/ledgehitch/quality/tally.py
@@ -1,8 +1,8 @@
-"""Reports into counts by window, rack and title, in bounded memory. Free of I/O, clock and chance.
+"""Aggregates reports by window, rack and title in bounded memory. Free of I/O, clock and randomness.
 
-A viewing counts once a window, as good or bad, so that no player moves a count by more than one. Players'
-clocks are used for differences only, each held against the gateway's own time. Tables of one gateway are
-replaced by newer ones of the same gateway: merging is commutative, associative and idempotent.
+A viewing counts once in each window, as good or bad, so that no player changes a count by more than one. Only
+differences of players' clocks are used, and they are checked against the gateway's own time. A newer table of
+a gateway replaces its older one, so that merging is commutative, associative and idempotent.
 """
 
 from collections import OrderedDict
@@ -18,18 +18,18 @@
 
 WINDOW = 10.0  # seconds of the gateway's time in one window
 ALLOWANCE = 30.0  # seconds by which a report may be late and still count
-KEPT = 60  # windows that are kept
-MOST_VIEWINGS = 50_000  # whose clocks are followed; the one heard of longest ago is let go
-MOST_CELLS = 20_000  # of rack and title in a window; further titles count as OTHERS
-MOST_SIDES = 2_000  # groups of one kind in a window whose start times are kept as sketches; the same
+KEPT = 60  # windows that are stored
+MOST_VIEWINGS = 50_000  # tracked viewings; the least recently admitted is evicted
+MOST_CELLS = 20_000  # cells of rack and title in a window; further titles count as OTHERS
+MOST_SIDES = 2_000  # groups of one kind in a window; further titles count as OTHERS
 OTHERS = "(others)"
-FORM = 4  # of what is kept on disk; another form is not read
-DOUBLES, ERROR = 400_000, 1e-4  # reports remembered, at least; share wrongly taken for doubles
-RUNS, JUMPS = 0.05, 2.0  # a clock that runs so much too fast or slow, or jumps so many seconds, is marked
-LONG_ENOUGH = 8.0  # seconds over which a clock's rate is judged
-STALLED = 0.01  # share of the time in stalls from which a viewing is bad
-SLOW_START = 2.0  # join targets from which a start is bad
-MANY_DROPS = 2  # rung drops in one report from which it is bad
+FORM = 4  # version of the snapshot format; other versions are not read
+DOUBLES, ERROR = 400_000, 1e-4  # remembered reports, at least; share of new reports taken for duplicates
+RUNS, JUMPS = 0.05, 2.0  # tolerated rate error and tolerated jump in seconds of a player's clock
+LONG_ENOUGH = 8.0  # shortest time in seconds over which a clock's rate is checked
+STALLED = 0.01  # share of a window spent in stalls above which a viewing is bad
+SLOW_START = 2.0  # multiple of the join target above which a start is bad
+MANY_DROPS = 2  # rung drops in one report from which a viewing is bad
 
 
 class Cell(msgspec.Struct):
@@ -48,12 +48,14 @@
 
 Table = dict[str, Cell]  # by "rack\ttitle"
 KINDS = ("rack", "title", "package", "rung")
-STARTS = LogarithmicMapping(0.05)  # start times are kept to 5% of themselves
+STARTS = LogarithmicMapping(0.05)  # start times are stored with a relative accuracy of 5%
 
 
 class Side(Cell):
-    """Counts of one rack, title, package or rung in one window. `start` sums the starts' milliseconds,
-    `sketch` counts them by the mapping's key."""
+    """Counts of one rack, title, package or rung in one window.
+
+    `start` is the sum of the start times in milliseconds, `sketch` their histogram by the mapping's key.
+    """
 
     start: int = 0
     sketch: dict[int, int] = {}
@@ -74,7 +76,7 @@
         self.sketch[key] = self.sketch.get(key, 0) + 1
 
     def start_at(self, share: float) -> float | None:
-        """The start time, milliseconds, that `share` of the starts do not exceed, to 5%; None without any."""
+        """Returns the quantile `share` of the start times in milliseconds, to 5%; None without any."""
         rank, passed = share * (self.starts - 1), 0
         for key in sorted(self.sketch):
             passed += self.sketch[key]
@@ -84,7 +86,7 @@
 
 
 class Window(msgspec.Struct):
-    """One window of one gateway: by rack and title together, and by each kind of group ("kind\tname")."""
+    """One window of one gateway: cells by rack and title, and counts by kind of group ("kind\tname")."""
 
     cells: dict[str, Cell] = {}
     sides: dict[str, Side] = {}
@@ -92,15 +94,17 @@
 
 @dataclass(slots=True)
 class _Clock:
+    """The clock of a player, and what its viewing counts as."""
+
     seen: Seen
-    offset: float | None = None  # least of (gateway's time - player's time): the delay-free one
+    offset: float | None = None  # smallest (gateway's time - player's time), which has the least delay
     first_ts: float = 0.0
     last_ts: float = 0.0
     last_sn: int = -1
     marked: str = ""
-    windows: dict[int, int] = field(default_factory=dict)  # what it counts as, by window: bits
-    rungs: dict[int, int] = field(default_factory=dict)  # the rung that it counts under, by window
-    stalls: dict[int, float] = field(default_factory=dict)
+    windows: dict[int, int] = field(default_factory=dict)  # by window: the bits of `BITS` that are counted
+    rungs: dict[int, int] = field(default_factory=dict)  # by window: the rung under which it is counted
+    stalls: dict[int, float] = field(default_factory=dict)  # by window: seconds of stalls
 
 
 BITS = {"stalled": 1, "slow": 2, "dropped": 4}
@@ -108,39 +112,44 @@
 
 @dataclass
 class Counts:
+    """Reports by result."""
+
     taken: int = 0
     doubles: int = 0
     late: int = 0
     unknown: int = 0
-    marked: dict[str, int] = field(default_factory=dict)  # reports of players whose clocks cannot be used
-    impossible: int = 0  # durations longer than the time that passed
+    marked: dict[str, int] = field(default_factory=dict)  # reports of players with implausible clocks
+    impossible: int = 0  # durations longer than the elapsed time
 
 
 class Tally:
-    """One gateway's counts, and the newest tables that others told. `life` rises with each start."""
+    """One gateway's counts, and the latest tables of other gateways. `life` grows with each start."""
 
     def __init__(self, source: str, life: int) -> None:
         self.source, self.life = source, life
         self.counts = Counts()
         self.clocks: OrderedDict[str, _Clock] = OrderedDict()
         self.windows: dict[int, Window] = {}
-        self.changes = 0  # reports that were counted
-        self.versions: dict[int, int] = {}  # by window: `changes` when it last changed
-        # By source and window: life, version, window.
+        self.changes = 0  # counted reports
+        self.versions: dict[int, int] = {}  # by window: value of `changes` at its last change
+        # By source and window: life, version, counts.
         self.others: dict[str, dict[int, tuple[int, int, Window]]] = {}
         self._doubles = RecentKeys(DOUBLES, ERROR)
 
     # ---- reports -------------------------------------------------------------------------------------------
 
     def admitted(self, viewing: str, seen: Seen) -> None:
+        """A viewing was admitted; evicts the oldest ones above the limit."""
         self.clocks[viewing] = _Clock(seen)
         self.clocks.move_to_end(viewing)
         while len(self.clocks) > MOST_VIEWINGS:
             self.clocks.popitem(last=False)
 
     def reported(self, now: float, viewing: str, report: Report, seen: Seen | None = None) -> str:
-        """Takes one report; what became of it: taken, double, late, unknown, or why it is marked.
-        `seen`: what the gateway saw of the viewing, for one that is not known here yet."""
+        """Counts one report; returns "taken", "double", "late", "unknown" or why the player is marked.
+
+        `seen` is the gateway's record of the viewing, in case the viewing is not known here.
+        """
         clock = self.clocks.get(viewing)
         if clock is None and seen is not None:
             self.admitted(viewing, seen)
@@ -164,7 +173,7 @@
         return "taken"
 
     def _when(self, now: float, clock: _Clock, report: Report) -> float:
-        """When the report was made, in the gateway's time: by the least delay seen, never in the future."""
+        """Returns when the report was made in the gateway's time, by the smallest delay, at most `now`."""
         ts = report.ts / 1000
         offset = now - ts
         if clock.offset is None:
@@ -181,8 +190,8 @@
                 clock.marked = clock.marked or "its clock jumps back"
             elif ts == clock.last_ts:
                 clock.marked = clock.marked or "its clock stands still"
-        # Guards against players that hold their first reports back: what passed is counted from the answer,
-        # before which no report was made, not from when the first one came.
+        # A player may hold its first reports back, so the elapsed time counts from the answer, before which
+        # no report was made, rather than from the arrival of the first one.
         ran, passed = ts - clock.first_ts, now - clock.seen.answered_at
         if passed > LONG_ENOUGH and newer and ran > passed * (1 + RUNS) + JUMPS:
             clock.marked = clock.marked or "its clock runs fast or jumps ahead"
@@ -226,7 +235,7 @@
         self.versions[window] = self.changes
 
     def _counts(self, window: int, seen: Seen, rung: int) -> tuple[Cell, list[Side]]:
-        """All that a viewing counts in: its rack and title together, and each group that it is of."""
+        """Returns the counts of a viewing: the cell of its rack and title, and each of its groups."""
         held = self.windows.get(window)
         if held is None:
             held = self.windows[window] = Window()
@@ -247,14 +256,17 @@
     # ---- exchange ------------------------------------------------------------------------------------------
 
     def summaries(self, life: int = 0, after: int = 0) -> Iterator[tuple[str, int, int, int, Window]]:
-        """Own windows as they are told to others: source, window, life, version, window. All of them, or to
-        who heard of the first `after` changes in this life those that changed since."""
+        """Yields the own windows for other gateways: source, window, life, version and counts.
+
+        For a receiver that has the first `after` changes of this life, it yields only windows that changed
+        since.
+        """
         for window, held in self.windows.items():
             if life != self.life or self.versions[window] > after:
                 yield self.source, window, self.life, self.versions[window], held
 
     def merge(self, source: str, window: int, life: int, version: int, told: Window) -> bool:
-        """Takes another gateway's window if it is newer than what is known; whether it was."""
+        """Stores another gateway's window if it is newer than the known one; returns whether it was."""
         if source == self.source:
             return False
         held = self.others.setdefault(source, {})
@@ -267,8 +279,10 @@
         return True
 
     def forget(self, before: int) -> None:
-        """Lets go of windows before this one that others told, and of who told no later one: a gateway that
-        left is not remembered for ever."""
+        """Removes other gateways' windows before this one, and gateways without later ones.
+
+        Otherwise gateways that left would be held for ever.
+        """
         for source in list(self.others):
             held = self.others[source]
             for window in [w for w in held if w < before]:
@@ -282,7 +296,7 @@
             yield from (t[2] for w, t in told.items() if first <= w < last)
 
     def total(self, first: int, last: int) -> Table:
-        """Counts of all gateways over windows from `first` up to `last`, not included."""
+        """Returns the counts of all gateways over the windows from `first` to `last`, exclusive."""
         out: Table = {}
         for window in self._within(first, last):
             for key, cell in window.cells.items():
@@ -290,7 +304,7 @@
         return out
 
     def groups(self, first: int, last: int) -> dict[str, dict[str, Side]]:
-        """The same by kind of group and name, with sketches of start times."""
+        """Returns the same by kind of group and name, with sketches of start times."""
         out: dict[str, dict[str, Side]] = {kind: {} for kind in KINDS}
         for window in self._within(first, last):
             for key, side in window.sides.items():
@@ -298,10 +312,10 @@
                 out.setdefault(kind, {}).setdefault(name, Side()).merge(side)
         return out
 
-    # ---- for the file --------------------------------------------------------------------------------------
+    # ---- snapshot ------------------------------------------------------------------------------------------
 
     def frozen(self) -> dict[str, Any]:
-        """All that a restart needs so that nothing counts twice: tables, filters, clocks."""
+        """Returns what a restart needs so that no report counts twice: tables, filters, clocks."""
         return {
             "source": self.source,
             "life": self.life,
@@ -316,10 +330,10 @@
 
     @classmethod
     def thawed(cls, held: Any, life: int) -> "Tally":
-        """What was kept, in a new life: own tables are told anew under it and replace what others hold."""
+        """Restores a snapshot in a new life, under which the own tables replace those that others hold."""
         data = msgspec.convert(held, _Kept)
         if data.form != FORM:
-            raise ValueError(f"form {data.form}, this program writes {FORM}")
+            raise ValueError(f"snapshot format {data.form}, expected {FORM}")
         tally = cls(data.source, max(life, data.life + 1))
         tally.windows, tally.versions, tally.others = data.windows, data.versions, data.others
         tally.counts, tally.changes = data.counts, max(data.versions.values(), default=0)
