--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -61,13 +61,13 @@
 
     def _save(self) -> None:
         if self.key_store is not None:
-            self.key_store.write(self.passes.frozen())
+            self.key_store.write(self.passes.snapshot())
 
     def load(self) -> None:
         held = self.key_store.read() if self.key_store is not None else None
         try:
             if held is not None:
-                self.passes.thawed(held, time.time())
+                self.passes.restore(held, time.time())
         except msgspec.MsgspecError as wrong:
             log.error("the kept keys do not read, tokens of before are refused", why=str(wrong))
 
@@ -99,7 +99,7 @@
             self._read_at = now
             held = Keep(self.path).read()
             if held is not None:
-                self.passes.thawed(held, now)
+                self.passes.restore(held, now)
             return self.passes.check(now, token, resource)
 
 
@@ -174,7 +174,7 @@
             good, bad = reports_in(request.body)
         except ValueError as wrong:
             raise Refused(400, str(wrong)) from None
-        wait = self.limits.asks(now, resource, len(good) + len(bad))
+        wait = self.limits.acquire(now, resource, len(good) + len(bad))
         if wait:
             raise Refused(
                 429, "more reports than one client may send", [("Retry-After", str(math.ceil(wait)))]
@@ -242,7 +242,7 @@
         while True:
             self.loop.sleep(VERDICT_INTERVAL_S)
             before = self.judge.verdict.culprits
-            verdict = self.judge.heard(self._compute_verdict(self._totals(VERDICT_WINDOWS)))
+            verdict = self.judge.on_evaluation(self._compute_verdict(self._totals(VERDICT_WINDOWS)))
             if [(c.kind, c.name) for c in verdict.culprits] != [(c.kind, c.name) for c in before]:
                 log.warning("verdict", word=verdict.word)
 
--- a/ledgehitch/quality/facts.py
+++ b/ledgehitch/quality/facts.py
@@ -32,21 +32,21 @@
     """
     try:
         raw = msgspec.json.decode(body, type=list[msgspec.Raw])
-    except msgspec.MsgspecError as wrong:
-        raise ValueError(f"a batch must be a list of reports: {wrong}") from None
+    except msgspec.MsgspecError as error:
+        raise ValueError(f"a batch must be a list of reports: {error}") from None
     if len(raw) > MAX_REPORTS:
         raise ValueError(f"{len(raw)} reports in a batch, the limit is {MAX_REPORTS}")
     good, bad = [], []
-    for i, one in enumerate(raw):
+    for i, item in enumerate(raw):
         try:
-            good.append(msgspec.json.decode(one, type=Report))
-        except msgspec.ValidationError as wrong:
-            reason, _, at = str(wrong).partition(" - at `$")
+            good.append(msgspec.json.decode(item, type=Report))
+        except msgspec.ValidationError as error:
+            reason, _, at = str(error).partition(" - at `$")
             bad.append(
                 {"report": i, "field": at.rstrip("`").lstrip(".") or "the whole report", "reason": reason}
             )
-        except msgspec.DecodeError as wrong:
-            bad.append({"report": i, "field": "the whole report", "reason": str(wrong)})
+        except msgspec.DecodeError as error:
+            bad.append({"report": i, "field": "the whole report", "reason": str(error)})
     return good, bad
 
 
--- a/ledgehitch/quality/judge.py
+++ b/ledgehitch/quality/judge.py
@@ -71,44 +71,52 @@
     """Evaluates counts by rack and title. Racks in `expected` that sent no report are listed as unclear."""
     keys = sorted(table)
     pairs = [key.partition("\t")[::2] for key in keys]
-    n = np.array([table[k].viewings for k in keys], float)
-    bad = np.minimum(np.array([table[k].bad for k in keys], float), n)
-    total, all_bad = float(n.sum()), float(bad.sum())
-    silent = sorted(set(expected or ()) - {rack for rack, _ in pairs})
-    unclear = [f"rack {rack} sent no report" for rack in silent]
+    viewings_by_cell = np.array([table[k].viewings for k in keys], float)
+    bad = np.minimum(np.array([table[k].bad for k in keys], float), viewings_by_cell)
+    total, all_bad = float(viewings_by_cell.sum()), float(bad.sum())
+    silent_racks = sorted(set(expected or ()) - {rack for rack, _ in pairs})
+    unclear = [f"rack {rack} sent no report" for rack in silent_racks]
     if total < MIN_VIEWINGS:
         return Verdict(
             (), int(total), all_bad / max(1.0, total), tuple(unclear), "too few viewings to say anything"
         )
     sides = {"rack": _side([r for r, _ in pairs]), "title": _side([t for _, t in pairs])}
-    open_cells = n > 0
+    open_cells = viewings_by_cell > 0
     found: list[Culprit] = []
-    taken: set[tuple[str, str]] = set()
-    groups = sum(int((np.bincount(s.index, n, len(s.names)) >= MIN_VIEWINGS).sum()) for s in sides.values())
-    least_z = float(norm.isf(ALPHA / 2 / max(1, groups)))
+    excluded: set[tuple[str, str]] = set()
+    groups = sum(
+        int((np.bincount(s.index, viewings_by_cell, len(s.names)) >= MIN_VIEWINGS).sum())
+        for s in sides.values()
+    )
+    min_z = float(norm.isf(ALPHA / 2 / max(1, groups)))
     while len(found) < MAX_CULPRITS:
         best: tuple[float, Culprit] | None = None
         for kind, other in (("rack", "title"), ("title", "rack")):
             side, strata = sides[kind], sides[other]
-            z, excess, error = _compared(side, strata, n, bad, open_cells)
-            counts = np.bincount(side.index, np.where(open_cells, n, 0.0), len(side.names))
+            z, excess, error = _compared(side, strata, viewings_by_cell, bad, open_cells)
+            counts = np.bincount(side.index, np.where(open_cells, viewings_by_cell, 0.0), len(side.names))
             # Only the few groups that pass the filter are examined one by one, to keep this fast.
-            for g in np.flatnonzero((z > least_z) & (excess >= MIN_EXCESS) & (counts >= MIN_VIEWINGS)):
-                name = side.names[g]
-                if (kind, name) in taken or name == OTHERS or (best is not None and z[g] <= best[0]):
+            for group in np.flatnonzero((z > min_z) & (excess >= MIN_EXCESS) & (counts >= MIN_VIEWINGS)):
+                name = side.names[group]
+                if (kind, name) in excluded or name == OTHERS or (best is not None and z[group] <= best[0]):
                     continue
-                sure = 1 - min(1.0, float(norm.sf(z[g])) * groups)
-                low = max(0.0, float(excess[g] - 1.645 * error[g]))
-                its_bad = int(bad[(side.index == g) & open_cells].sum())
-                best = float(z[g]), Culprit(kind, name, float(excess[g]), low, int(counts[g]), its_bad, sure)
+                sure = 1 - min(1.0, float(norm.sf(z[group])) * groups)
+                lower_bound = max(0.0, float(excess[group] - 1.645 * error[group]))
+                bad_viewings = int(bad[(side.index == group) & open_cells].sum())
+                best = (
+                    float(z[group]),
+                    Culprit(
+                        kind, name, float(excess[group]), lower_bound, int(counts[group]), bad_viewings, sure
+                    ),
+                )
         if best is None:
             break
         culprit = best[1]
         found.append(culprit)
-        taken.add((culprit.kind, culprit.name))
-        mine = sides[culprit.kind].index == sides[culprit.kind].names.index(culprit.name)
-        open_cells &= ~mine
-    unclear += _confounded(found, sides, n)
+        excluded.add((culprit.kind, culprit.name))
+        of_culprit = sides[culprit.kind].index == sides[culprit.kind].names.index(culprit.name)
+        open_cells &= ~of_culprit
+    unclear += _confounded(found, sides, viewings_by_cell)
     share = all_bad / total
     return Verdict(tuple(found), int(total), share, tuple(unclear), _word(found, share, int(total)))
 
@@ -126,29 +134,31 @@
 
     In each stratum the cell of the group is compared with all other open cells.
     """
-    on, ob = np.where(open_cells, n, 0.0), np.where(open_cells, bad, 0.0)
-    stratum_n = np.bincount(strata.index, on, len(strata.names))[strata.index]
-    stratum_b = np.bincount(strata.index, ob, len(strata.names))[strata.index]
-    others = stratum_n - on
-    use = open_cells & (on > 0) & (others > 0)
-    t = np.where(use, stratum_n, 1.0)
-    expected = np.where(use, on * stratum_b / t, 0.0)
+    own_n, own_bad = np.where(open_cells, n, 0.0), np.where(open_cells, bad, 0.0)
+    stratum_n = np.bincount(strata.index, own_n, len(strata.names))[strata.index]
+    stratum_bad = np.bincount(strata.index, own_bad, len(strata.names))[strata.index]
+    others = stratum_n - own_n
+    comparable = open_cells & (own_n > 0) & (others > 0)
+    totals = np.where(comparable, stratum_n, 1.0)
+    expected = np.where(comparable, own_n * stratum_bad / totals, 0.0)
     variance = np.where(
-        use & (t > 1), on * others * stratum_b * (t - stratum_b) / (t * t * np.maximum(t - 1, 1)), 0.0
+        comparable & (totals > 1),
+        own_n * others * stratum_bad * (totals - stratum_bad) / (totals * totals * np.maximum(totals - 1, 1)),
+        0.0,
     )
     size = len(side.names)
-    seen = np.bincount(side.index, np.where(use, ob, 0.0), size)
-    due = np.bincount(side.index, expected, size)
-    over = seen - due
+    observed = np.bincount(side.index, np.where(comparable, own_bad, 0.0), size)
+    expected_bad = np.bincount(side.index, expected, size)
+    difference = observed - expected_bad
     spread = np.sqrt(np.bincount(side.index, variance, size))
     # For small counts the normal tail would make a handful of bad viewings significant, so Poisson's is used.
-    exact = norm.isf(np.clip(poisson.sf(seen - 1, np.maximum(due, 1e-9)), 1e-300, 1.0))
+    exact = norm.isf(np.clip(poisson.sf(observed - 1, np.maximum(expected_bad, 1e-9)), 1e-300, 1.0))
     with np.errstate(divide="ignore", invalid="ignore"):
-        z = np.where(spread > 0, (over - 0.5) / spread, 0.0)
-        z = np.where(due < SMALL_COUNT, np.minimum(z, exact), z)
-        weight = np.where(use, on * others / t, 0.0)
-        other_share = np.where(use, (stratum_b - ob) / np.where(others > 0, others, 1.0), 0.0)
-        own_share = np.where(use, ob / np.where(on > 0, on, 1.0), 0.0)
+        z = np.where(spread > 0, (difference - 0.5) / spread, 0.0)
+        z = np.where(expected_bad < SMALL_COUNT, np.minimum(z, exact), z)
+        weight = np.where(comparable, own_n * others / totals, 0.0)
+        other_share = np.where(comparable, (stratum_bad - own_bad) / np.where(others > 0, others, 1.0), 0.0)
+        own_share = np.where(comparable, own_bad / np.where(own_n > 0, own_n, 1.0), 0.0)
         weights = np.bincount(side.index, weight, size)
         excess = np.where(
             weights > 0, np.bincount(side.index, weight * (own_share - other_share), size) / weights, 0.0
@@ -157,20 +167,22 @@
     return z, excess, error
 
 
-def _confounded(found: list[Culprit], sides: dict[str, _Side], n: Floats) -> list[str]:
+def _confounded(found: list[Culprit], sides: dict[str, _Side], viewings: Floats) -> list[str]:
     """Describes culprits that share nearly all viewings with one group of the other kind."""
-    told = []
-    for c in found:
-        side = sides[c.kind]
-        other = sides["title" if c.kind == "rack" else "rack"]
-        mine = side.index == side.names.index(c.name)
-        counts = np.bincount(other.index, np.where(mine, n, 0.0), len(other.names))
+    described = []
+    for culprit in found:
+        side = sides[culprit.kind]
+        other = sides["title" if culprit.kind == "rack" else "rack"]
+        of_culprit = side.index == side.names.index(culprit.name)
+        counts = np.bincount(other.index, np.where(of_culprit, viewings, 0.0), len(other.names))
         top = int(counts.argmax())
-        of_other = float(np.where(other.index == top, n, 0.0).sum())
+        of_other = float(np.where(other.index == top, viewings, 0.0).sum())
         if counts[top] > 0.9 * counts.sum() and counts[top] > 0.9 * of_other:
-            kind = "title" if c.kind == "rack" else "rack"
-            told.append(f"{c.kind} {c.name} and {kind} {other.names[top]} cannot be distinguished")
-    return told
+            kind = "title" if culprit.kind == "rack" else "rack"
+            described.append(
+                f"{culprit.kind} {culprit.name} and {kind} {other.names[top]} cannot be distinguished"
+            )
+    return described
 
 
 def _word(found: list[Culprit], share: float, total: int) -> str:
@@ -189,34 +201,34 @@
 
     def __init__(self) -> None:
         self.named: dict[tuple[str, str], Culprit] = {}
-        self._seen: dict[tuple[str, str], int] = {}
-        self._missed: dict[tuple[str, str], int] = {}
+        self._found_times: dict[tuple[str, str], int] = {}
+        self._missed_times: dict[tuple[str, str], int] = {}
         self.verdict = Verdict()
 
-    def looked(self, table: Mapping[str, Cell], expected: Mapping[str, Any] | None = None) -> Verdict:
-        return self.heard(look(table, expected))
+    def evaluate(self, table: Mapping[str, Cell], expected: Mapping[str, Any] | None = None) -> Verdict:
+        return self.on_evaluation(look(table, expected))
 
-    def heard(self, found: Verdict) -> Verdict:
+    def on_evaluation(self, evaluation: Verdict) -> Verdict:
         """Takes the result of one evaluation; returns the verdict after it."""
-        now = {(c.kind, c.name): c for c in found.culprits}
+        now = {(c.kind, c.name): c for c in evaluation.culprits}
         for key, culprit in now.items():
-            self._seen[key] = self._seen.get(key, 0) + 1
-            self._missed.pop(key, None)
-            if self._seen[key] >= SET or key in self.named:
+            self._found_times[key] = self._found_times.get(key, 0) + 1
+            self._missed_times.pop(key, None)
+            if self._found_times[key] >= SET or key in self.named:
                 self.named[key] = culprit
-        for key in [k for k in self._seen if k not in now]:
-            self._missed[key] = self._missed.get(key, 0) + 1
-            if key not in self.named or self._missed[key] >= CLEARED:
-                for held in (self.named, self._seen, self._missed):
-                    held.pop(key, None)
+        for key in [k for k in self._found_times if k not in now]:
+            self._missed_times[key] = self._missed_times.get(key, 0) + 1
+            if key not in self.named or self._missed_times[key] >= CLEARED:
+                for records in (self.named, self._found_times, self._missed_times):
+                    records.pop(key, None)
         named = sorted(self.named.values(), key=lambda c: (-c.excess, c.kind, c.name))
         self.verdict = Verdict(
             tuple(named),
-            found.viewings,
-            found.bad_share,
-            found.unclear,
-            found.word
-            if not found.viewings or not named and found.word.startswith("too few")
-            else _word(named, found.bad_share, found.viewings),
+            evaluation.viewings,
+            evaluation.bad_share,
+            evaluation.unclear,
+            evaluation.word
+            if not evaluation.viewings or not named and evaluation.word.startswith("too few")
+            else _word(named, evaluation.bad_share, evaluation.viewings),
         )
         return self.verdict
--- a/ledgehitch/quality/keep.py
+++ b/ledgehitch/quality/keep.py
@@ -14,7 +14,7 @@
 from blake3 import blake3
 
 MAGIC = b"ledgehitch quality 1\n"
-PLACE = struct.Struct(">QQ")  # inode number, time of its last change in ns
+FILE_IDENTITY = struct.Struct(">QQ")  # inode number, time of its last change in ns
 HEAD = struct.Struct(">QI")  # serial number, length of the data
 
 
@@ -29,26 +29,26 @@
 
     def __init__(self, path: Path, private: bool = False, synced: bool = False) -> None:
         self.path, self.private, self.synced = path, private, synced
-        self.serial = max((s for s, _ in self._whole()), default=0)
+        self.serial = max((s for s, _ in self._valid_snapshots()), default=0)
 
-    def write(self, thing: Any) -> None:
+    def write(self, data: Any) -> None:
         self.serial += 1
-        slot = self.path.with_name(f"{self.path.name}.{0 if self.synced else self.serial % 2}")
-        slot.parent.mkdir(parents=True, exist_ok=True)
-        partly = slot.with_name(slot.name + ".new")
-        self._put(partly, self._whole_file(thing), os.O_TRUNC)
-        os.replace(partly, slot)
+        target = self.path.with_name(f"{self.path.name}.{0 if self.synced else self.serial % 2}")
+        target.parent.mkdir(parents=True, exist_ok=True)
+        temporary = target.with_name(target.name + ".new")
+        self._write_file(temporary, self._encode(data), os.O_TRUNC)
+        os.replace(temporary, target)
         if self.synced:
-            directory = os.open(slot.parent, os.O_RDONLY | os.O_DIRECTORY)
+            directory = os.open(target.parent, os.O_RDONLY | os.O_DIRECTORY)
             try:
                 os.fsync(directory)
             finally:
                 os.close(directory)
             # After a crash before this line the file is ignored, since its mark does not match.
-            self._put(self._mark, PLACE.pack(*self._place(slot)), 0)
+            self._write_file(self._mark_path, FILE_IDENTITY.pack(*self._identity(target)), 0)
 
-    def _put(self, path: Path, data: bytes, more: int) -> None:
-        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | more, 0o600 if self.private else 0o644)
+    def _write_file(self, path: Path, data: bytes, flags: int) -> None:
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | flags, 0o600 if self.private else 0o644)
         with open(descriptor, "wb") as file:
             file.write(data)
             if self.synced:
@@ -56,37 +56,37 @@
                 os.fsync(descriptor)
 
     @property
-    def _mark(self) -> Path:
+    def _mark_path(self) -> Path:
         return self.path.with_name(f"{self.path.name}.mark")
 
     @staticmethod
-    def _place(slot: Path) -> tuple[int, int]:
-        place = os.stat(slot)
+    def _identity(target: Path) -> tuple[int, int]:
+        place = os.stat(target)
         return place.st_ino, place.st_ctime_ns
 
-    def _whole_file(self, thing: Any) -> bytes:
-        body = msgspec.msgpack.encode(thing)
+    def _encode(self, data: Any) -> bytes:
+        body = msgspec.msgpack.encode(data)
         head = HEAD.pack(self.serial, len(body))
         return MAGIC + head + blake3(head + body).digest() + body
 
     def read(self) -> Any:
         """Returns the data of the latest valid snapshot, or None."""
-        found = sorted(self._whole(), key=lambda pair: pair[0])
+        found = sorted(self._valid_snapshots(), key=lambda pair: pair[0])
         if not found:
             return None
-        if self.synced and not self._written_here():
+        if self.synced and not self._mark_matches():
             return None
         return msgspec.msgpack.decode(found[-1][1])
 
-    def _written_here(self) -> bool:
+    def _mark_matches(self) -> bool:
         """Returns whether the mark matches the file."""
         try:
-            mark = self._mark.read_bytes()
-            return mark == PLACE.pack(*self._place(self.path.with_name(f"{self.path.name}.0")))
+            mark = self._mark_path.read_bytes()
+            return mark == FILE_IDENTITY.pack(*self._identity(self.path.with_name(f"{self.path.name}.0")))
         except OSError:
             return False
 
-    def _whole(self) -> list[tuple[int, bytes]]:
+    def _valid_snapshots(self) -> list[tuple[int, bytes]]:
         """Returns the serial number and data of each valid snapshot."""
         found = []
         for n in (0,) if self.synced else (0, 1):
--- a/ledgehitch/quality/limits.py
+++ b/ledgehitch/quality/limits.py
@@ -15,20 +15,20 @@
     """Token buckets for all clients of a gateway."""
 
     def __init__(self, secret: bytes) -> None:
-        self._secret, self._era = secret, -1
-        self._left = [BURST] * CELLS
-        self._at = [0.0] * CELLS
+        self._secret, self._epoch = secret, -1
+        self._tokens = [BURST] * CELLS
+        self._updated_at = [0.0] * CELLS
 
-    def asks(self, now: float, client: str, reports: int) -> float:
+    def acquire(self, now: float, client: str, reports: int) -> float:
         """Returns the seconds until `reports` may come; 0 admits them now and counts them."""
-        era = int(now // REKEY)
-        if era != self._era:
-            self._era = era
-            self._left, self._at = [BURST] * CELLS, [now] * CELLS
-        i = cell_of(self._secret, era, client.encode(), CELLS)
-        self._left[i] = min(BURST, self._left[i] + (now - self._at[i]) * RATE)
-        self._at[i] = max(self._at[i], now)
-        if self._left[i] >= reports:
-            self._left[i] -= reports
+        epoch = int(now // REKEY)
+        if epoch != self._epoch:
+            self._epoch = epoch
+            self._tokens, self._updated_at = [BURST] * CELLS, [now] * CELLS
+        cell = cell_of(self._secret, epoch, client.encode(), CELLS)
+        self._tokens[cell] = min(BURST, self._tokens[cell] + (now - self._updated_at[cell]) * RATE)
+        self._updated_at[cell] = max(self._updated_at[cell], now)
+        if self._tokens[cell] >= reports:
+            self._tokens[cell] -= reports
             return 0.0
-        return (reports - self._left[i]) / RATE
+        return (reports - self._tokens[cell]) / RATE
--- a/ledgehitch/quality/page.py
+++ b/ledgehitch/quality/page.py
@@ -14,10 +14,10 @@
 STYLE = Style(background="transparent", plot_background="transparent", font_family="sans-serif")
 Group = dict[str, Any]
 MEASURES: tuple[tuple[str, Callable[[Group], float | None]], ...] = (
-    ("bad viewings, %", lambda g: _share(g, "bad")),
-    ("viewings with stalls, %", lambda g: _share(g, "stalled")),
-    ("viewings with rung drops, %", lambda g: _share(g, "dropped")),
-    ("median start, ms", lambda g: g["start_p50"]),
+    ("bad viewings, %", lambda group: _share(group, "bad")),
+    ("viewings with stalls, %", lambda group: _share(group, "stalled")),
+    ("viewings with rung drops, %", lambda group: _share(group, "dropped")),
+    ("median start, ms", lambda group: group["start_p50"]),
 )
 HEAD = """<!doctype html><html lang="en"><meta charset="utf-8"><title>Quality by rack and title</title>
 <style>body{font-family:sans-serif;max-width:70rem;margin:2rem auto;padding:0 1rem}
@@ -26,28 +26,33 @@
 .blamed{color:#b00020;font-weight:bold}.charts{display:flex;flex-wrap:wrap}.charts>div{width:34rem}</style>"""
 
 
-def _share(g: Group, name: str) -> float | None:
-    return round(100 * g[name] / g["viewings"], 2) if g["viewings"] else None
+def _share(group: Group, name: str) -> float | None:
+    return round(100 * group[name] / group["viewings"], 2) if group["viewings"] else None
 
 
-def page(told: dict[str, Any]) -> str:
+def page(report: dict[str, Any]) -> str:
     """Returns the HTML page for the data of a gateway's `/quality/report`."""
-    verdict = told["verdict"]
+    verdict = report["verdict"]
     blamed = {(c["kind"], c["name"]): c for c in verdict["culprits"]}
     parts = [HEAD, "<h1>Quality by rack and title</h1>"]
     mark = ' class="blamed"' if blamed else ""
     parts.append(f"<p{mark}>{html.escape(verdict['word'])}</p>")
     parts += [f"<p>unclear: {html.escape(line)}</p>" for line in verdict["unclear"]]
-    heard = ", ".join([told["gateway"], *told["heard_of"]])
-    parts.append(f"<p>As {html.escape(told['gateway'])} knows it; counts of {html.escape(heard)}.</p>")
+    sources = ", ".join([report["gateway"], *report["heard_of"]])
+    parts.append(f"<p>As {html.escape(report['gateway'])} knows it; counts of {html.escape(sources)}.</p>")
     for kind in ("rack", "title", "package", "rung"):
-        groups = told["groups"][kind]
-        worst = sorted(groups, key=lambda g: ((kind, g) not in blamed, -(_share(groups[g], "bad") or 0.0), g))
+        groups = report["groups"][kind]
+        worst = sorted(
+            groups,
+            key=lambda group: ((kind, group) not in blamed, -(_share(groups[group], "bad") or 0.0), group),
+        )
         parts.append(f"<h2>By {kind}</h2>" + _table(kind, groups, worst[:SHOWN], blamed))
         if kind in ("package", "rung"):
             continue
         parts.append('<div class="charts">')
-        parts += [f"<div>{_chart(told['series'], kind, worst[:CHARTED], blamed, *m)}</div>" for m in MEASURES]
+        parts += [
+            f"<div>{_chart(report['series'], kind, worst[:CHARTED], blamed, *m)}</div>" for m in MEASURES
+        ]
         parts.append("</div>")
     return "\n".join([*parts, "</html>\n"])
 
@@ -58,14 +63,20 @@
         "<th>to blame"
     ]
     for name in names:
-        g, culprit = groups[name], blamed.get((kind, name))
-        shares = "".join(f"<td>{_share(g, what) or 0:.1f}%" for what in ("bad", "stalled", "slow", "dropped"))
+        group, culprit = groups[name], blamed.get((kind, name))
+        shares = "".join(
+            f"<td>{_share(group, share_name) or 0:.1f}%"
+            for share_name in ("bad", "stalled", "slow", "dropped")
+        )
         shares += "".join(
-            f"<td>{g[at]:.0f}" if g[at] is not None else "<td>-" for at in ("start_p50", "start_p95")
+            f"<td>{group[key]:.0f}" if group[key] is not None else "<td>-"
+            for key in ("start_p50", "start_p95")
+        )
+        excess_text = (
+            f"+{100 * culprit['excess']:.0f}%, at least {100 * culprit['least']:.0f}%" if culprit else ""
         )
-        word = f"+{100 * culprit['excess']:.0f}%, at least {100 * culprit['least']:.0f}%" if culprit else ""
         mark = ' class="blamed"' if culprit else ""
-        rows.append(f"<tr{mark}><td>{html.escape(name)}<td>{g['viewings']}{shares}<td>{word}")
+        rows.append(f"<tr{mark}><td>{html.escape(name)}<td>{group['viewings']}{shares}<td>{excess_text}")
     return "<table>" + "\n".join(rows) + "</table>"
 
 
@@ -87,5 +98,5 @@
         values = [measure(series[t][kind][name]) if name in series[t][kind] else None for t in times]
         label = f"{name} (to blame)" if (kind, name) in blamed else name
         chart.add(label, values, stroke_style={"width": 4 if (kind, name) in blamed else 1})
-    drawn = str(chart.render(is_unicode=True, disable_xml_declaration=True))
-    return re.sub(r"<script.*?</script>", "", drawn, flags=re.DOTALL)  # static page
+    svg = str(chart.render(is_unicode=True, disable_xml_declaration=True))
+    return re.sub(r"<script.*?</script>", "", svg, flags=re.DOTALL)  # static page
--- a/ledgehitch/quality/passes.py
+++ b/ledgehitch/quality/passes.py
@@ -42,13 +42,13 @@
         self.keys[-1] = Key(old.number, old.secret, old.since, now + OVERLAP)
         self.keys = [k for k in self.keys if k.until > now] + [Key(old.number + 1, secret, now)]
 
-    def frozen(self) -> Any:
+    def snapshot(self) -> Any:
         """Returns the keys, so that tokens survive a restart; the file that holds them must be private."""
         return msgspec.to_builtins(self.keys, builtin_types=(bytes,))
 
-    def thawed(self, held: Any, now: float) -> None:
+    def restore(self, snapshot: Any, now: float) -> None:
         """Replaces the first key by those of a snapshot, without expired ones."""
-        keys = [k for k in msgspec.convert(held, list[Key]) if k.until > now]
+        keys = [k for k in msgspec.convert(snapshot, list[Key]) if k.until > now]
         if keys:
             self.keys = keys
 
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -284,7 +284,7 @@
     token = passes.issue(T, "v1")
     passes.check(T + 1, token, "v1")
     after_restart = Passes(bytes(range(1, 33)), T + 2)
-    after_restart.thawed(msgspec.msgpack.decode(msgspec.msgpack.encode(passes.frozen())), T + 2)
+    after_restart.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(passes.snapshot())), T + 2)
     after_restart.check(T + 2, token, "v1")
     passes.rotate(bytes(range(32)), T + 10)
     passes.check(T + 11, token, "v1")
@@ -324,10 +324,10 @@
 
 def test_limits_are_per_client_and_tell_when_to_return() -> None:
     limits = Limits(bytes(32))
-    assert limits.asks(T, "a", int(BURST)) == 0.0
-    wait = limits.asks(T, "a", 10)
-    assert wait > 0 and limits.asks(T, "b", 10) == 0.0
-    assert limits.asks(T + wait, "a", 10) == 0.0, "the time told is right"
+    assert limits.acquire(T, "a", int(BURST)) == 0.0
+    wait = limits.acquire(T, "a", 10)
+    assert wait > 0 and limits.acquire(T, "b", 10) == 0.0
+    assert limits.acquire(T + wait, "a", 10) == 0.0, "the time told is right"
 
 
 # ---- verdicts ----------------------------------------------------------------------------------------------
@@ -370,12 +370,12 @@
     judge = Judge()
     bad = cells(r0__a=(500, 100), r1__a=(500, 10), r2__a=(500, 10))
     fine = cells(r0__a=(500, 10), r1__a=(500, 10), r2__a=(500, 10))
-    assert judge.looked(bad).culprits == (), "one look is not enough"
-    assert [c.name for c in judge.looked(bad).culprits] == ["r0"]
+    assert judge.evaluate(bad).culprits == (), "one look is not enough"
+    assert [c.name for c in judge.evaluate(bad).culprits] == ["r0"]
     for _ in range(CLEARED - 1):
-        assert [c.name for c in judge.looked(fine).culprits] == ["r0"]
-    assert judge.looked(fine).culprits == ()
-    assert judge.looked(bad).culprits == ()
+        assert [c.name for c in judge.evaluate(fine).culprits] == ["r0"]
+    assert judge.evaluate(fine).culprits == ()
+    assert judge.evaluate(bad).culprits == ()
 
 
 # ---- the whole path ----------------------------------------------------------------------------------------
