--- a/benchmarks/reports.py
+++ b/benchmarks/reports.py
@@ -30,10 +30,12 @@
     held, spent = {}, 0.0
     for n in range(REPORTS):
         now = 1e6 + n * 1200 / REPORTS
-        tally.admitted(f"v{n}", Seen(f"{n % RACKS}", f"t{n * 7919 % TITLES}", now - 0.1, now, package="live"))
+        tally.on_viewing_admitted(
+            f"v{n}", Seen(f"{n % RACKS}", f"t{n * 7919 % TITLES}", now - 0.1, now, package="live")
+        )
         report = Report(sn=0, ts=n, msd=50 + n % 400, bsd=[400] if n % 50 == 0 else [], rung=n % 4)
         t0 = time.perf_counter()
-        tally.reported(now + 0.05, f"v{n}", report)
+        tally.on_report(now + 0.05, f"v{n}", report)
         spent += time.perf_counter() - t0
         if (n + 1) % (REPORTS // 4) == 0:
             held[f"mb_after_{n + 1}"] = round(_rss_mb() - before, 1)
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -129,7 +129,7 @@
     def _load(self, life: int) -> Tally:
         held = self.store.read() if self.store is not None else None
         try:
-            return Tally.thawed(held, life) if held is not None else Tally(self.name, life)
+            return Tally.restore(held, life) if held is not None else Tally(self.name, life)
         except (msgspec.MsgspecError, ValueError) as wrong:  # of another version of the program
             log.error("the kept quality does not read, counting starts anew", why=str(wrong))
             return Tally(self.name, life)
@@ -144,7 +144,7 @@
         """Keeps what was counted, for the next start."""
         self.client.close()
         if self.store is not None:
-            self.store.write(self.tally.frozen())
+            self.store.write(self.tally.snapshot())
 
     # ---- requests ------------------------------------------------------------------------------------------
 
@@ -181,7 +181,7 @@
             )
         became: dict[str, int] = {}
         for report in sorted(good, key=lambda r: r.sn):
-            word = self.tally.reported(now, resource, report, seen)
+            word = self.tally.on_report(now, resource, report, seen)
             became[word] = became.get(word, 0) + 1
         if bad:
             return problem(
@@ -201,7 +201,7 @@
         told = [SharedWindow(*one) for one in self.tally.summaries(*known)]
         fields = [
             ("Content-Type", "application/json"),
-            (MARK_HEADER, f"{self.tally.life}.{self.tally.changes}"),
+            (MARK_HEADER, f"{self.tally.life}.{self.tally.change_count}"),
         ]
         return Response(200, fields, msgspec.json.encode(told))
 
@@ -218,7 +218,7 @@
                     self._marks[name] = answer.header(MARK_HEADER.lower()) or ""
                 except (TimedOut, ConnectFailed, Interrupted, ValueError, msgspec.MsgspecError):
                     continue  # it is told all since its mark the next time
-            self.tally.forget(int(time.time() // WINDOW) - KEPT)
+            self.tally.remove_before(int(time.time() // WINDOW) - KEPT)
 
     def _save_periodically(self) -> None:
         while True:
@@ -230,10 +230,10 @@
 
     def _save(self, keep: Keep) -> None:
         if len(self.tally.clocks) <= MAX_INLINE_VIEWINGS:
-            keep.write(self.tally.frozen())
+            keep.write(self.tally.snapshot())
             return
         # Guards against set-ups waiting for a large snapshot: a copy of the process writes it.
-        if run_forked(self.loop, lambda: keep.write(self.tally.frozen())) == 0:
+        if run_forked(self.loop, lambda: keep.write(self.tally.snapshot())) == 0:
             keep.serial += 1
         else:
             log.error("the snapshot was not written", path=str(keep.path))
@@ -268,7 +268,7 @@
         """Counts of so many windows up to now. Racks are counted by number and named here, so that one that
         a reload renames is the same rack still."""
         last = int(time.time() // WINDOW) + 1
-        table = self.tally.total(last - windows, last)
+        table = self.tally.totals(last - windows, last)
         return {self._with_rack_name(key): cell for key, cell in table.items()}
 
     def _with_rack_name(self, key: str) -> str:
@@ -295,7 +295,7 @@
             "standing": msgspec.to_builtins(self.judge.verdict),
             "groups": _encode_groups(self._groups(last - KEPT, last)),
             "series": series,
-            "heard_of": sorted(self.tally.others),
+            "heard_of": sorted(self.tally.peers),
         }
         return Response(200, [("Content-Type", "application/json")], msgspec.json.encode(told))
 
--- a/ledgehitch/quality/tally.py
+++ b/ledgehitch/quality/tally.py
@@ -130,38 +130,38 @@
         self.counts = Counts()
         self.clocks: OrderedDict[str, _Clock] = OrderedDict()
         self.windows: dict[int, Window] = {}
-        self.changes = 0  # counted reports
-        self.versions: dict[int, int] = {}  # by window: value of `changes` at its last change
+        self.change_count = 0  # counted reports
+        self.versions: dict[int, int] = {}  # by window: value of `change_count` at its last change
         # By source and window: life, version, counts.
-        self.others: dict[str, dict[int, tuple[int, int, Window]]] = {}
-        self._doubles = RecentKeys(DOUBLES, ERROR)
+        self.peers: dict[str, dict[int, tuple[int, int, Window]]] = {}
+        self._seen_reports = RecentKeys(DOUBLES, ERROR)
 
     # ---- reports -------------------------------------------------------------------------------------------
 
-    def admitted(self, viewing: str, seen: Seen) -> None:
+    def on_viewing_admitted(self, viewing: str, seen: Seen) -> None:
         """A viewing was admitted; evicts the oldest ones above the limit."""
         self.clocks[viewing] = _Clock(seen)
         self.clocks.move_to_end(viewing)
         while len(self.clocks) > MOST_VIEWINGS:
             self.clocks.popitem(last=False)
 
-    def reported(self, now: float, viewing: str, report: Report, seen: Seen | None = None) -> str:
+    def on_report(self, now: float, viewing: str, report: Report, seen: Seen | None = None) -> str:
         """Counts one report; returns "taken", "double", "late", "unknown" or why the player is marked.
 
         `seen` is the gateway's record of the viewing, in case the viewing is not known here.
         """
         clock = self.clocks.get(viewing)
         if clock is None and seen is not None:
-            self.admitted(viewing, seen)
+            self.on_viewing_admitted(viewing, seen)
             clock = self.clocks[viewing]
         if clock is None:
             self.counts.unknown += 1
             return "unknown"
-        if self._doubles.check_and_add(f"{viewing}/{report.sn}".encode()):
+        if self._seen_reports.check_and_add(f"{viewing}/{report.sn}".encode()):
             self.counts.doubles += 1
             return "double"
-        at = self._when(now, clock, report)
-        self._held_against(now, clock, report)
+        at = self._report_time(now, clock, report)
+        self._check_clock(now, clock, report)
         if clock.marked:
             self.counts.marked[clock.marked] = self.counts.marked.get(clock.marked, 0) + 1
             return clock.marked
@@ -172,7 +172,7 @@
         self.counts.taken += 1
         return "taken"
 
-    def _when(self, now: float, clock: _Clock, report: Report) -> float:
+    def _report_time(self, now: float, clock: _Clock, report: Report) -> float:
         """Returns when the report was made in the gateway's time, by the smallest delay, at most `now`."""
         ts = report.ts / 1000
         offset = now - ts
@@ -182,7 +182,7 @@
             clock.offset = offset
         return max(min(now, ts + clock.offset), clock.seen.answered_at)
 
-    def _held_against(self, now: float, clock: _Clock, report: Report) -> None:
+    def _check_clock(self, now: float, clock: _Clock, report: Report) -> None:
         ts = report.ts / 1000
         newer = report.sn > clock.last_sn
         if clock.last_sn >= 0 and newer:
@@ -216,7 +216,7 @@
         before = clock.windows.get(window, -1)
         rung = clock.rungs.setdefault(window, report.rung)
         had = max(0, before)
-        cell, sides = self._counts(window, seen, rung)
+        cell, sides = self._counts_of(window, seen, rung)
         for counts in (cell, *sides):
             counts.viewings += before < 0
             counts.bad += bool(bits) and not had
@@ -231,10 +231,10 @@
             oldest = min(clock.windows)
             for held in (clock.windows, clock.rungs, clock.stalls):
                 held.pop(oldest, None)
-        self.changes += 1
-        self.versions[window] = self.changes
+        self.change_count += 1
+        self.versions[window] = self.change_count
 
-    def _counts(self, window: int, seen: Seen, rung: int) -> tuple[Cell, list[Side]]:
+    def _counts_of(self, window: int, seen: Seen, rung: int) -> tuple[Cell, list[Side]]:
         """Returns the counts of a viewing: the cell of its rack and title, and each of its groups."""
         held = self.windows.get(window)
         if held is None:
@@ -269,7 +269,7 @@
         """Stores another gateway's window if it is newer than the known one; returns whether it was."""
         if source == self.source:
             return False
-        held = self.others.setdefault(source, {})
+        held = self.peers.setdefault(source, {})
         known = held.get(window)
         if known is not None and (life, version) <= known[:2]:
             return False
@@ -278,27 +278,27 @@
             del held[min(held)]
         return True
 
-    def forget(self, before: int) -> None:
+    def remove_before(self, before: int) -> None:
         """Removes other gateways' windows before this one, and gateways without later ones.
 
         Otherwise gateways that left would be held for ever.
         """
-        for source in list(self.others):
-            held = self.others[source]
+        for source in list(self.peers):
+            held = self.peers[source]
             for window in [w for w in held if w < before]:
                 del held[window]
             if not held:
-                del self.others[source]
+                del self.peers[source]
 
-    def _within(self, first: int, last: int) -> Iterator[Window]:
+    def _windows_between(self, first: int, last: int) -> Iterator[Window]:
         yield from (held for w, held in self.windows.items() if first <= w < last)
-        for told in self.others.values():
+        for told in self.peers.values():
             yield from (t[2] for w, t in told.items() if first <= w < last)
 
-    def total(self, first: int, last: int) -> Table:
+    def totals(self, first: int, last: int) -> Table:
         """Returns the counts of all gateways over the windows from `first` to `last`, exclusive."""
         out: Table = {}
-        for window in self._within(first, last):
+        for window in self._windows_between(first, last):
             for key, cell in window.cells.items():
                 out.setdefault(key, Cell()).add(cell)
         return out
@@ -306,7 +306,7 @@
     def groups(self, first: int, last: int) -> dict[str, dict[str, Side]]:
         """Returns the same by kind of group and name, with sketches of start times."""
         out: dict[str, dict[str, Side]] = {kind: {} for kind in KINDS}
-        for window in self._within(first, last):
+        for window in self._windows_between(first, last):
             for key, side in window.sides.items():
                 kind, _, name = key.partition("\t")
                 out.setdefault(kind, {}).setdefault(name, Side()).merge(side)
@@ -314,30 +314,30 @@
 
     # ---- snapshot ------------------------------------------------------------------------------------------
 
-    def frozen(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """Returns what a restart needs so that no report counts twice: tables, filters, clocks."""
         return {
             "source": self.source,
             "life": self.life,
             "windows": self.windows,
             "versions": self.versions,
-            "others": self.others,
+            "others": self.peers,
             "counts": self.counts,
-            "doubles": self._doubles.snapshot(),
+            "doubles": self._seen_reports.snapshot(),
             "form": FORM,
             "clocks": dict(self.clocks),
         }
 
     @classmethod
-    def thawed(cls, held: Any, life: int) -> "Tally":
+    def restore(cls, held: Any, life: int) -> "Tally":
         """Restores a snapshot in a new life, under which the own tables replace those that others hold."""
         data = msgspec.convert(held, _Kept)
         if data.form != FORM:
             raise ValueError(f"snapshot format {data.form}, expected {FORM}")
         tally = cls(data.source, max(life, data.life + 1))
-        tally.windows, tally.versions, tally.others = data.windows, data.versions, data.others
-        tally.counts, tally.changes = data.counts, max(data.versions.values(), default=0)
-        tally._doubles.restore(data.doubles)
+        tally.windows, tally.versions, tally.peers = data.windows, data.versions, data.others
+        tally.counts, tally.change_count = data.counts, max(data.versions.values(), default=0)
+        tally._seen_reports.restore(data.doubles)
         tally.clocks = OrderedDict(data.clocks)
         return tally
 
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -34,7 +34,7 @@
 def tally(source: str = "g0", life: int = 1) -> Tally:
     t = Tally(source, life)
     for n in range(4):
-        t.admitted(f"v{n}", Seen(f"r{n % 2}", f"t{n}", T - 0.1, T, package=f"p{n % 3}"))
+        t.on_viewing_admitted(f"v{n}", Seen(f"r{n % 2}", f"t{n}", T - 0.1, T, package=f"p{n % 3}"))
     return t
 
 
@@ -43,7 +43,7 @@
 
 
 def plain(t: Tally) -> Any:
-    return msgspec.to_builtins([t.total(0, 10**9), t.groups(0, 10**9)])
+    return msgspec.to_builtins([t.totals(0, 10**9), t.groups(0, 10**9)])
 
 
 def test_a_batch_counts_its_good_reports_and_names_the_bad_ones() -> None:
@@ -66,13 +66,13 @@
     once, often = tally(), tally()
     sent = [(f"v{n % 4}", report(n // 4, T + 2 * n, bsd=[500] if n % 4 == 1 else [])) for n in range(40)]
     for n, (viewing, one) in enumerate(sent):
-        once.reported(T + 2 * n + 0.05, viewing, one)
+        once.on_report(T + 2 * n + 0.05, viewing, one)
     chance = random.Random(1)
     for n, (viewing, one) in enumerate(sent):
-        often.reported(T + 2 * n + 0.05, viewing, one)
+        often.on_report(T + 2 * n + 0.05, viewing, one)
         for _ in range(10):
             again = chance.randrange(max(0, n - 12), n + 1)
-            often.reported(T + 2 * n + 0.06, *sent[again])
+            often.on_report(T + 2 * n + 0.06, *sent[again])
     assert plain(often) == plain(once) and often.counts.doubles == 400
     assert once.counts.taken == 40 and once.counts.marked == {}
 
@@ -81,11 +81,11 @@
     None
 ):
     t = tally()
-    t.reported(T + 1.0, "v0", report(0, T + 1.0))
-    assert t.reported(T + 1.0 + ALLOWANCE, "v0", report(1, T + 2.0, bsd=[900])) == "taken"
+    t.on_report(T + 1.0, "v0", report(0, T + 1.0))
+    assert t.on_report(T + 1.0 + ALLOWANCE, "v0", report(1, T + 2.0, bsd=[900])) == "taken"
     assert t.windows[int(T // WINDOW)].cells["r0\tt0"].stalled == 1, "in the window in which it was made"
-    assert t.reported(T + 50, "v0", report(2, T + 3.0, bsd=[900])) == "late"
-    assert t.counts.late == 1 and t.reported(T, "nobody", report(0, T)) == "unknown"
+    assert t.on_report(T + 50, "v0", report(2, T + 3.0, bsd=[900])) == "late"
+    assert t.counts.late == 1 and t.on_report(T, "nobody", report(0, T)) == "unknown"
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
 def test_players_that_lie_about_their_clocks_are_marked_and_move_nothing(clock: Any, marked: str) -> None:
     t = tally()
     words = [
-        t.reported(
+        t.on_report(
             T + 2 * n, "v0", report(n, 1000 + clock(2.0 * n), bsd=[10_000] if marked and n > 25 else [])
         )
         for n in range(30)
@@ -117,16 +117,16 @@
         for n in range(20):
             sn = 20 * batch + n
             now = T + 20 * (batch + 1)
-            assert t.reported(now, "v0", report(sn, 500 + sn, bsd=[200])) in ("taken", "late")
+            assert t.on_report(now, "v0", report(sn, 500 + sn, bsd=[200])) in ("taken", "late")
     assert t.counts.marked == {} and t.counts.taken > 60
 
 
 def test_what_cannot_have_happened_is_marked_and_a_flood_of_stalls_is_one_bad_viewing() -> None:
     t = tally()
-    assert t.reported(T + 1, "v0", report(0, 5, bsd=[60_000])) == "it stalls longer than it plays"
-    assert t.reported(T + 1, "v1", report(0, 5, msd=9_000)) == "it started before it asked"
+    assert t.on_report(T + 1, "v0", report(0, 5, bsd=[60_000])) == "it stalls longer than it plays"
+    assert t.on_report(T + 1, "v1", report(0, 5, msd=9_000)) == "it started before it asked"
     for n in range(100):
-        t.reported(T + 1 + n / 50, "v2", report(n, 5 + n / 50, bsd=[900]))
+        t.on_report(T + 1 + n / 50, "v2", report(n, 5 + n / 50, bsd=[900]))
     cell = t.windows[int(T // WINDOW)].cells["r0\tt2"]
     assert (cell.viewings, cell.bad, cell.stalled) == (1, 1, 1)
 
@@ -137,16 +137,16 @@
     monkeypatch.setattr("ledgehitch.quality.tally.MOST_SIDES", 100)
     t = Tally("g0", 1)
     for n in range(3000):
-        t.admitted(f"v{n}", Seen("r0", f"t{n}", T, T))
-        t.reported(T + 1, f"v{n}", report(0, 1))
+        t.on_viewing_admitted(f"v{n}", Seen("r0", f"t{n}", T, T))
+        t.on_report(T + 1, f"v{n}", report(0, 1))
     assert len(t.clocks) == 500 and MOST_VIEWINGS > 500
     table = t.windows[int((T + 1) // WINDOW)].cells
     assert len(table) == 201 and table[f"r0\t{OTHERS}"].viewings == 2800
     sides = t.windows[int((T + 1) // WINDOW)].sides
     assert len(sides) <= 104 and sum(s.viewings for k, s in sides.items() if k.startswith("title")) == 3000
     for n in range(200):
-        t.admitted("x", Seen("r0", "t", T + 10 * n, T + 10 * n))
-        t.reported(T + 10 * n + 1, "x", report(n, n * 10))
+        t.on_viewing_admitted("x", Seen("r0", "t", T + 10 * n, T + 10 * n))
+        t.on_report(T + 10 * n + 1, "x", report(n, n * 10))
     assert len(t.windows) <= 60 and set(t.versions) == set(t.windows)
 
 
@@ -167,7 +167,7 @@
             msd=chance.randrange(50, 500) if n == 0 else None,
         )
         raw.append((name, viewing, one, at))
-        sources[name].reported(at, viewing, one)
+        sources[name].on_report(at, viewing, one)
         if chance.random() < 0.4:
             told += msgspec.json.decode(msgspec.json.encode(list(sources[name].summaries())))
     for t in sources.values():
@@ -196,17 +196,17 @@
 def test_a_restart_in_mid_window_counts_nothing_twice_and_replaces_what_others_hold() -> None:
     t = tally()
     for n in range(5):
-        t.reported(T + n, "v0", report(n, T + n))
-    kept = msgspec.msgpack.decode(msgspec.msgpack.encode(t.frozen()))
-    t.reported(T + 5, "v1", report(0, T + 5))
+        t.on_report(T + n, "v0", report(n, T + n))
+    kept = msgspec.msgpack.decode(msgspec.msgpack.encode(t.snapshot()))
+    t.on_report(T + 5, "v1", report(0, T + 5))
     other = Tally("g1", 1)
     for one in t.summaries():
         other.merge(*one)
-    again = Tally.thawed(kept, 1)
+    again = Tally.restore(kept, 1)
     assert again.life > t.life
     for n in range(5):
-        assert again.reported(T + 6, "v0", report(n, T + n)) == "double"
-    assert again.reported(T + 6, "v1", report(0, T + 5)) == "taken", "what was lost may be sent again"
+        assert again.on_report(T + 6, "v0", report(n, T + n)) == "double"
+    assert again.on_report(T + 6, "v1", report(0, T + 5)) == "taken", "what was lost may be sent again"
     for one in again.summaries():
         assert other.merge(*one)
     for one in t.summaries():
@@ -219,8 +219,8 @@
     times = [int(40 * 1.5**n) for n in range(20)]
     for n, ms in enumerate(times):
         t = (here, there)[n % 2]
-        t.admitted(f"x{n}", Seen("r1", "clip", T - 200_000, T, package="live"))
-        t.reported(T + 1, f"x{n}", report(0, T, msd=ms, rung=2))
+        t.on_viewing_admitted(f"x{n}", Seen("r1", "clip", T - 200_000, T, package="live"))
+        t.on_report(T + 1, f"x{n}", report(0, T, msd=ms, rung=2))
     for one in there.summaries():
         here.merge(*one)
     for kind, name in (("rack", "r1"), ("title", "clip"), ("package", "live"), ("rung", "2")):
@@ -232,24 +232,24 @@
 
 def test_others_are_told_what_changed_since_their_mark_and_everything_after_a_restart() -> None:
     t = tally()
-    t.reported(T, "v0", report(0, T))
-    t.reported(T + 20, "v1", report(0, T + 20))
+    t.on_report(T, "v0", report(0, T))
+    t.on_report(T + 20, "v1", report(0, T + 20))
     assert len(list(t.summaries())) == 2 and len(list(t.summaries(t.life, 2))) == 0
     (changed,) = t.summaries(t.life, 1)
     assert changed[1] == int((T + 20) // WINDOW)
-    again = Tally.thawed(msgspec.msgpack.decode(msgspec.msgpack.encode(t.frozen())), 1)
+    again = Tally.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(t.snapshot())), 1)
     assert len(list(again.summaries(t.life, 2))) == 2, "a mark of the life before says nothing now"
 
 
 def test_a_gateway_that_left_is_let_go_when_its_windows_are_too_old() -> None:
     left, reader = tally("gone"), Tally("reader", 1)
-    left.reported(T, "v0", report(0, T))
+    left.on_report(T, "v0", report(0, T))
     for one in left.summaries():
         reader.merge(*one)
-    reader.forget(int(T // WINDOW))
-    assert set(reader.others) == {"gone"}
-    reader.forget(int(T // WINDOW) + 1)
-    assert reader.others == {}
+    reader.remove_before(int(T // WINDOW))
+    assert set(reader.peers) == {"gone"}
+    reader.remove_before(int(T // WINDOW) + 1)
+    assert reader.peers == {}
 
 
 def test_a_kill_at_any_byte_leaves_the_snapshot_before(tmp_path: Path) -> None:
@@ -311,8 +311,8 @@
     assert seen is not None and (seen.rack, seen.title, seen.package) == ("2", "clip", "live")
     assert seen.answered_at - seen.asked_at == pytest.approx(0.25)
     t = Tally("beside", 1)
-    word = t.reported(seen.answered_at + 1, "v1", report(0, 7, msd=200), seen)
-    assert word == "taken" and "2\tclip" in t.total(0, 10**9)
+    word = t.on_report(seen.answered_at + 1, "v1", report(0, 7, msd=200), seen)
+    assert word == "taken" and "2\tclip" in t.totals(0, 10**9)
     assert TokenIssuer("g0", tmp_path).passes.check(time.time(), token, "v1") == seen, (
         "keys outlive a restart"
     )
