--- a/benchmarks/reports.py
+++ b/benchmarks/reports.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from benchmarks.gateway import Process, loaded, site_file
-from ledgehitch.quality.facts import Report, Seen
+from ledgehitch.quality.facts import Report, ViewingRecord
 from ledgehitch.quality.tally import Tally
 
 REPORTS, TITLES, RACKS = 1_000_000, 100_000, 20
@@ -31,7 +31,7 @@
     for n in range(REPORTS):
         now = 1e6 + n * 1200 / REPORTS
         tally.on_viewing_admitted(
-            f"v{n}", Seen(f"{n % RACKS}", f"t{n * 7919 % TITLES}", now - 0.1, now, package="live")
+            f"v{n}", ViewingRecord(f"{n % RACKS}", f"t{n * 7919 % TITLES}", now - 0.1, now, package="live")
         )
         report = Report(sn=0, ts=n, msd=50 + n % 400, bsd=[400] if n % 50 == 0 else [], rung=n % 4)
         t0 = time.perf_counter()
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -19,17 +19,17 @@
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Refused, Request, Response, problem
 from ledgehitch.loop import Loop, TimedOut, run_forked
 from ledgehitch.loop.kernel import discard
-from ledgehitch.quality.facts import Seen, reports_in
+from ledgehitch.quality.facts import ViewingRecord, parse_reports
 from ledgehitch.quality.judge import MIN_VIEWINGS, Judge, Verdict, look
 from ledgehitch.quality.keep import Keep
 from ledgehitch.quality.limits import Limits
 from ledgehitch.quality.passes import BadPass, Passes
-from ledgehitch.quality.tally import KEPT, WINDOW, Cell, Side, Tally, Window
+from ledgehitch.quality.tally import STORED_WINDOWS, WINDOW_S, Cell, GroupCounts, Tally, Window
 
 SAVE_INTERVAL_S = 2.0  # seconds of counts that a kill may lose at most
 EXCHANGE_INTERVAL_S = 5.0
 MAX_INLINE_VIEWINGS = 500  # viewings up to which a snapshot is written in place
-VERDICT_INTERVAL_S = WINDOW
+VERDICT_INTERVAL_S = WINDOW_S
 VERDICT_WINDOWS = 6  # windows that a look goes over
 KEY_ROTATION_S = 12 * 3600.0  # seconds that one key signs tokens
 KEY_RELOAD_DELAY_S = (
@@ -79,7 +79,9 @@
         if now - self.passes.keys[-1].since > KEY_ROTATION_S:
             self.passes.rotate(secrets.token_bytes(32), now)
             self._save()
-        return self.passes.issue(now, resource, Seen(rack, title, now - asked_ago, now, join_target, package))
+        return self.passes.issue(
+            now, resource, ViewingRecord(rack, title, now - asked_ago, now, join_target, package)
+        )
 
 
 class KeyFileVerifier:
@@ -90,7 +92,7 @@
         self.passes.keys = []
         self._read_at = -1e9
 
-    def check(self, now: float, token: str, resource: str) -> Seen | None:
+    def check(self, now: float, token: str, resource: str) -> ViewingRecord | None:
         try:
             return self.passes.check(now, token, resource)
         except BadPass:
@@ -110,7 +112,7 @@
         name: str,
         others: dict[str, str],
         state_dir: Path | None,
-        check: Callable[[float, str, str], Seen | None],
+        check: Callable[[float, str, str], ViewingRecord | None],
     ) -> None:
         """`others`: where the other gateways' reports are taken, by name. `check` (now, token, viewing)
         raises `BadPass`."""
@@ -171,7 +173,7 @@
             self.refused += 1
             raise Refused(401, f"the token is refused: {why}", [("WWW-Authenticate", "Bearer")]) from None
         try:
-            good, bad = reports_in(request.body)
+            good, bad = parse_reports(request.body)
         except ValueError as wrong:
             raise Refused(400, str(wrong)) from None
         wait = self.limits.acquire(now, resource, len(good) + len(bad))
@@ -218,7 +220,7 @@
                     self._marks[name] = answer.header(MARK_HEADER.lower()) or ""
                 except (TimedOut, ConnectFailed, Interrupted, ValueError, msgspec.MsgspecError):
                     continue  # it is told all since its mark the next time
-            self.tally.remove_before(int(time.time() // WINDOW) - KEPT)
+            self.tally.remove_before(int(time.time() // WINDOW_S) - STORED_WINDOWS)
 
     def _save_periodically(self) -> None:
         while True:
@@ -267,7 +269,7 @@
     def _totals(self, windows: int) -> dict[str, Cell]:
         """Counts of so many windows up to now. Racks are counted by number and named here, so that one that
         a reload renames is the same rack still."""
-        last = int(time.time() // WINDOW) + 1
+        last = int(time.time() // WINDOW_S) + 1
         table = self.tally.totals(last - windows, last)
         return {self._with_rack_name(key): cell for key, cell in table.items()}
 
@@ -275,35 +277,35 @@
         rack, _, title = key.partition("\t")
         return f"{self.rack_name(rack)}\t{title}"
 
-    def _groups(self, first: int, last: int) -> dict[str, dict[str, Side]]:
+    def _groups(self, first: int, last: int) -> dict[str, dict[str, GroupCounts]]:
         groups = self.tally.groups(first, last)
         return groups | {"rack": {self.rack_name(rack): side for rack, side in groups["rack"].items()}}
 
     def report(self) -> Response:
         """All that people are shown, over all gateways as far as this one has heard."""
-        verdict = self._compute_verdict(self._totals(KEPT))
-        last = int(time.time() // WINDOW) + 1
+        verdict = self._compute_verdict(self._totals(STORED_WINDOWS))
+        last = int(time.time() // WINDOW_S) + 1
         series = {}
-        for w in range(last - KEPT, last):
+        for w in range(last - STORED_WINDOWS, last):
             groups = self._groups(w, w + 1)
             if groups["rack"]:
-                series[str(int(w * WINDOW))] = _encode_groups(groups)
+                series[str(int(w * WINDOW_S))] = _encode_groups(groups)
         told = {
             "gateway": self.name,
             "verdict": msgspec.to_builtins(verdict),
             "counts": self.tally.counts,
             "standing": msgspec.to_builtins(self.judge.verdict),
-            "groups": _encode_groups(self._groups(last - KEPT, last)),
+            "groups": _encode_groups(self._groups(last - STORED_WINDOWS, last)),
             "series": series,
             "heard_of": sorted(self.tally.peers),
         }
         return Response(200, [("Content-Type", "application/json")], msgspec.json.encode(told))
 
 
-def _encode_groups(groups: dict[str, dict[str, Side]]) -> dict[str, dict[str, dict[str, Any]]]:
+def _encode_groups(groups: dict[str, dict[str, GroupCounts]]) -> dict[str, dict[str, dict[str, Any]]]:
     """Counts by kind and name; of start times the median and the 95th percentile, milliseconds."""
 
-    def shown(side: Side) -> dict[str, Any]:
+    def shown(side: GroupCounts) -> dict[str, Any]:
         told = {f: getattr(side, f) for f in (*Cell.__struct_fields__, "starts", "start")}
         return told | {"start_p50": side.start_at(0.5), "start_p95": side.start_at(0.95)}
 
--- a/ledgehitch/quality/facts.py
+++ b/ledgehitch/quality/facts.py
@@ -25,7 +25,7 @@
     rung: Annotated[int, msgspec.Meta(ge=0, le=31)] = msgspec.field(default=0, name="com.ledgehitch-rung")
 
 
-def reports_in(body: bytes) -> tuple[list[Report], list[dict[str, Any]]]:
+def parse_reports(body: bytes) -> tuple[list[Report], list[dict[str, Any]]]:
     """Returns the valid reports of a batch, and the index, field and reason for each invalid one.
 
     Raises `ValueError` if the body is not a batch.
@@ -50,7 +50,7 @@
     return good, bad
 
 
-class Seen(msgspec.Struct, array_like=True):
+class ViewingRecord(msgspec.Struct, array_like=True):
     """The gateway's record of a viewing: where and what it plays, and when it was requested and answered.
 
     Times are in seconds of the gateway's wall clock.
--- a/ledgehitch/quality/passes.py
+++ b/ledgehitch/quality/passes.py
@@ -8,7 +8,7 @@
 import msgspec
 from blake3 import blake3
 
-from ledgehitch.quality.facts import Seen
+from ledgehitch.quality.facts import ViewingRecord
 
 HEAD = struct.Struct(">HId")  # key number, length of the viewing's name, expiry (wall clock)
 MAC_BYTES = 16
@@ -52,14 +52,14 @@
         if keys:
             self.keys = keys
 
-    def issue(self, now: float, viewing: str, seen: Seen | None = None) -> str:
+    def issue(self, now: float, viewing: str, seen: ViewingRecord | None = None) -> str:
         """Returns a token for reports on this viewing; it carries `seen` in plain text, and is signed."""
         key = self.keys[-1]
         name = viewing.encode()
         body = HEAD.pack(key.number, len(name), now + VALID) + name + msgspec.msgpack.encode(seen)
         return base64.urlsafe_b64encode(body + self._mac(key, body)).decode().rstrip("=")
 
-    def check(self, now: float, token: str, viewing: str) -> Seen | None:
+    def check(self, now: float, token: str, viewing: str) -> ViewingRecord | None:
         """Returns what the token carries; raises `BadPass` unless it is valid for this viewing."""
         try:
             raw = base64.urlsafe_b64decode(token + "=" * (-len(token) % 4))
@@ -76,7 +76,7 @@
             raise BadPass("token of another viewing")
         if now >= until:
             raise BadPass("token expired")
-        return msgspec.msgpack.decode(body[HEAD.size + size :], type=Seen | None)
+        return msgspec.msgpack.decode(body[HEAD.size + size :], type=ViewingRecord | None)
 
     @staticmethod
     def _mac(key: Key, body: bytes) -> bytes:
--- a/ledgehitch/quality/tally.py
+++ b/ledgehitch/quality/tally.py
@@ -14,22 +14,28 @@
 from ddsketch.mapping import LogarithmicMapping
 
 from ledgehitch.keyed import RecentKeys
-from ledgehitch.quality.facts import Report, Seen
-
-WINDOW = 10.0  # seconds of the gateway's time in one window
-ALLOWANCE = 30.0  # seconds by which a report may be late and still count
-KEPT = 60  # windows that are stored
-MOST_VIEWINGS = 50_000  # tracked viewings; the least recently admitted is evicted
-MOST_CELLS = 20_000  # cells of rack and title in a window; further titles count as OTHERS
-MOST_SIDES = 2_000  # groups of one kind in a window; further titles count as OTHERS
+from ledgehitch.quality.facts import Report, ViewingRecord
+
+WINDOW_S = 10.0  # seconds of the gateway's time in one window
+MAX_DELAY_S = 30.0  # seconds by which a report may be late and still count
+STORED_WINDOWS = 60  # windows that are stored
+MAX_VIEWINGS = 50_000  # tracked viewings; the least recently admitted is evicted
+MAX_CELLS = 20_000  # cells of rack and title in a window; further titles count as OTHERS
+MAX_GROUPS = 2_000  # groups of one kind in a window; further titles count as OTHERS
 OTHERS = "(others)"
-FORM = 4  # version of the snapshot format; other versions are not read
-DOUBLES, ERROR = 400_000, 1e-4  # remembered reports, at least; share of new reports taken for duplicates
-RUNS, JUMPS = 0.05, 2.0  # tolerated rate error and tolerated jump in seconds of a player's clock
-LONG_ENOUGH = 8.0  # shortest time in seconds over which a clock's rate is checked
-STALLED = 0.01  # share of a window spent in stalls above which a viewing is bad
-SLOW_START = 2.0  # multiple of the join target above which a start is bad
-MANY_DROPS = 2  # rung drops in one report from which a viewing is bad
+FORMAT_VERSION = 4  # version of the snapshot format; other versions are not read
+REMEMBERED_REPORTS, DUPLICATE_ERROR = (
+    400_000,
+    1e-4,
+)  # remembered reports, at least; share of new reports taken for duplicates
+MAX_RATE_ERROR, MAX_JUMP_S = (
+    0.05,
+    2.0,
+)  # tolerated rate error and tolerated jump in seconds of a player's clock
+MIN_RATE_TIME_S = 8.0  # shortest time in seconds over which a clock's rate is checked
+MAX_STALL_SHARE = 0.01  # share of a window spent in stalls above which a viewing is bad
+SLOW_START_FACTOR = 2.0  # multiple of the join target above which a start is bad
+MIN_BAD_DROPS = 2  # rung drops in one report from which a viewing is bad
 
 
 class Cell(msgspec.Struct):
@@ -51,7 +57,7 @@
 STARTS = LogarithmicMapping(0.05)  # start times are stored with a relative accuracy of 5%
 
 
-class Side(Cell):
+class GroupCounts(Cell):
     """Counts of one rack, title, package or rung in one window.
 
     `start` is the sum of the start times in milliseconds, `sketch` their histogram by the mapping's key.
@@ -64,7 +70,7 @@
     def starts(self) -> int:
         return sum(self.sketch.values())
 
-    def merge(self, other: "Side") -> None:
+    def merge(self, other: "GroupCounts") -> None:
         self.add(other)
         self.start += other.start
         for key, n in other.sketch.items():
@@ -89,14 +95,14 @@
     """One window of one gateway: cells by rack and title, and counts by kind of group ("kind\tname")."""
 
     cells: dict[str, Cell] = {}
-    sides: dict[str, Side] = {}
+    sides: dict[str, GroupCounts] = {}
 
 
 @dataclass(slots=True)
-class _Clock:
+class _PlayerClock:
     """The clock of a player, and what its viewing counts as."""
 
-    seen: Seen
+    seen: ViewingRecord
     offset: float | None = None  # smallest (gateway's time - player's time), which has the least delay
     first_ts: float = 0.0
     last_ts: float = 0.0
@@ -128,24 +134,24 @@
     def __init__(self, source: str, life: int) -> None:
         self.source, self.life = source, life
         self.counts = Counts()
-        self.clocks: OrderedDict[str, _Clock] = OrderedDict()
+        self.clocks: OrderedDict[str, _PlayerClock] = OrderedDict()
         self.windows: dict[int, Window] = {}
         self.change_count = 0  # counted reports
         self.versions: dict[int, int] = {}  # by window: value of `change_count` at its last change
         # By source and window: life, version, counts.
         self.peers: dict[str, dict[int, tuple[int, int, Window]]] = {}
-        self._seen_reports = RecentKeys(DOUBLES, ERROR)
+        self._seen_reports = RecentKeys(REMEMBERED_REPORTS, DUPLICATE_ERROR)
 
     # ---- reports -------------------------------------------------------------------------------------------
 
-    def on_viewing_admitted(self, viewing: str, seen: Seen) -> None:
+    def on_viewing_admitted(self, viewing: str, seen: ViewingRecord) -> None:
         """A viewing was admitted; evicts the oldest ones above the limit."""
-        self.clocks[viewing] = _Clock(seen)
+        self.clocks[viewing] = _PlayerClock(seen)
         self.clocks.move_to_end(viewing)
-        while len(self.clocks) > MOST_VIEWINGS:
+        while len(self.clocks) > MAX_VIEWINGS:
             self.clocks.popitem(last=False)
 
-    def on_report(self, now: float, viewing: str, report: Report, seen: Seen | None = None) -> str:
+    def on_report(self, now: float, viewing: str, report: Report, seen: ViewingRecord | None = None) -> str:
         """Counts one report; returns "taken", "double", "late", "unknown" or why the player is marked.
 
         `seen` is the gateway's record of the viewing, in case the viewing is not known here.
@@ -165,14 +171,14 @@
         if clock.marked:
             self.counts.marked[clock.marked] = self.counts.marked.get(clock.marked, 0) + 1
             return clock.marked
-        if at < now - ALLOWANCE:
+        if at < now - MAX_DELAY_S:
             self.counts.late += 1
             return "late"
         self._count(clock, report, at)
         self.counts.taken += 1
         return "taken"
 
-    def _report_time(self, now: float, clock: _Clock, report: Report) -> float:
+    def _report_time(self, now: float, clock: _PlayerClock, report: Report) -> float:
         """Returns when the report was made in the gateway's time, by the smallest delay, at most `now`."""
         ts = report.ts / 1000
         offset = now - ts
@@ -182,18 +188,18 @@
             clock.offset = offset
         return max(min(now, ts + clock.offset), clock.seen.answered_at)
 
-    def _check_clock(self, now: float, clock: _Clock, report: Report) -> None:
+    def _check_clock(self, now: float, clock: _PlayerClock, report: Report) -> None:
         ts = report.ts / 1000
         newer = report.sn > clock.last_sn
         if clock.last_sn >= 0 and newer:
-            if ts < clock.last_ts - JUMPS:
+            if ts < clock.last_ts - MAX_JUMP_S:
                 clock.marked = clock.marked or "its clock jumps back"
             elif ts == clock.last_ts:
                 clock.marked = clock.marked or "its clock stands still"
         # A player may hold its first reports back, so the elapsed time counts from the answer, before which
         # no report was made, rather than from the arrival of the first one.
         ran, passed = ts - clock.first_ts, now - clock.seen.answered_at
-        if passed > LONG_ENOUGH and newer and ran > passed * (1 + RUNS) + JUMPS:
+        if passed > MIN_RATE_TIME_S and newer and ran > passed * (1 + MAX_RATE_ERROR) + MAX_JUMP_S:
             clock.marked = clock.marked or "its clock runs fast or jumps ahead"
         if newer:
             clock.last_sn, clock.last_ts = report.sn, ts
@@ -204,15 +210,15 @@
             self.counts.impossible += 1
             clock.marked = clock.marked or "it stalls longer than it plays"
 
-    def _count(self, clock: _Clock, report: Report, at: float) -> None:
-        window = int(at // WINDOW)
+    def _count(self, clock: _PlayerClock, report: Report, at: float) -> None:
+        window = int(at // WINDOW_S)
         seen = clock.seen
         bits = 0
         clock.stalls[window] = clock.stalls.get(window, 0.0) + sum(report.bsd) / 1000
-        if clock.stalls[window] > STALLED * WINDOW:
+        if clock.stalls[window] > MAX_STALL_SHARE * WINDOW_S:
             bits |= BITS["stalled"]
-        slow = report.msd is not None and report.msd / 1000 > SLOW_START * seen.join_target
-        bits |= BITS["slow"] * slow | BITS["dropped"] * (report.drops >= MANY_DROPS)
+        slow = report.msd is not None and report.msd / 1000 > SLOW_START_FACTOR * seen.join_target
+        bits |= BITS["slow"] * slow | BITS["dropped"] * (report.drops >= MIN_BAD_DROPS)
         before = clock.windows.get(window, -1)
         rung = clock.rungs.setdefault(window, report.rung)
         had = max(0, before)
@@ -234,23 +240,23 @@
         self.change_count += 1
         self.versions[window] = self.change_count
 
-    def _counts_of(self, window: int, seen: Seen, rung: int) -> tuple[Cell, list[Side]]:
+    def _counts_of(self, window: int, seen: ViewingRecord, rung: int) -> tuple[Cell, list[GroupCounts]]:
         """Returns the counts of a viewing: the cell of its rack and title, and each of its groups."""
         held = self.windows.get(window)
         if held is None:
             held = self.windows[window] = Window()
-            while len(self.windows) > KEPT:
+            while len(self.windows) > STORED_WINDOWS:
                 oldest = min(self.windows)
                 del self.windows[oldest], self.versions[oldest]
         key = f"{seen.rack}\t{seen.title}"
-        if key not in held.cells and len(held.cells) >= MOST_CELLS:
+        if key not in held.cells and len(held.cells) >= MAX_CELLS:
             key = f"{seen.rack}\t{OTHERS}"
         sides = []
         for kind, name in zip(KINDS, (seen.rack, seen.title, seen.package, str(rung)), strict=True):
             group = f"{kind}\t{name}"
-            if kind == "title" and group not in held.sides and len(held.sides) >= MOST_SIDES:
+            if kind == "title" and group not in held.sides and len(held.sides) >= MAX_GROUPS:
                 group = f"{kind}\t{OTHERS}"
-            sides.append(held.sides.setdefault(group, Side()))
+            sides.append(held.sides.setdefault(group, GroupCounts()))
         return held.cells.setdefault(key, Cell()), sides
 
     # ---- exchange ------------------------------------------------------------------------------------------
@@ -274,7 +280,7 @@
         if known is not None and (life, version) <= known[:2]:
             return False
         held[window] = life, version, told
-        while len(held) > KEPT:
+        while len(held) > STORED_WINDOWS:
             del held[min(held)]
         return True
 
@@ -303,13 +309,13 @@
                 out.setdefault(key, Cell()).add(cell)
         return out
 
-    def groups(self, first: int, last: int) -> dict[str, dict[str, Side]]:
+    def groups(self, first: int, last: int) -> dict[str, dict[str, GroupCounts]]:
         """Returns the same by kind of group and name, with sketches of start times."""
-        out: dict[str, dict[str, Side]] = {kind: {} for kind in KINDS}
+        out: dict[str, dict[str, GroupCounts]] = {kind: {} for kind in KINDS}
         for window in self._windows_between(first, last):
             for key, side in window.sides.items():
                 kind, _, name = key.partition("\t")
-                out.setdefault(kind, {}).setdefault(name, Side()).merge(side)
+                out.setdefault(kind, {}).setdefault(name, GroupCounts()).merge(side)
         return out
 
     # ---- snapshot ------------------------------------------------------------------------------------------
@@ -324,15 +330,15 @@
             "others": self.peers,
             "counts": self.counts,
             "doubles": self._seen_reports.snapshot(),
-            "form": FORM,
+            "form": FORMAT_VERSION,
             "clocks": dict(self.clocks),
         }
 
     @classmethod
     def restore(cls, held: Any, life: int) -> "Tally":
         """Restores a snapshot in a new life, under which the own tables replace those that others hold."""
-        data = msgspec.convert(held, _Kept)
-        if data.form != FORM:
+        data = msgspec.convert(held, _Snapshot)
+        if data.form != FORMAT_VERSION:
             raise ValueError(f"snapshot format {data.form}, expected {FORM}")
         tally = cls(data.source, max(life, data.life + 1))
         tally.windows, tally.versions, tally.peers = data.windows, data.versions, data.others
@@ -342,7 +348,7 @@
         return tally
 
 
-class _Kept(msgspec.Struct):
+class _Snapshot(msgspec.Struct):
     form: int
     source: str
     life: int
@@ -351,4 +357,4 @@
     others: dict[str, dict[int, tuple[int, int, Window]]]
     counts: Counts
     doubles: list[Any]
-    clocks: dict[str, _Clock]
+    clocks: dict[str, _PlayerClock]
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -18,13 +18,22 @@
 from ledgehitch.gateway.reports import KeyFileVerifier, ReportService, TokenIssuer
 from ledgehitch.http import Response
 from ledgehitch.loop import Loop, connect, endpoint
-from ledgehitch.quality.facts import Report, Seen, reports_in
+from ledgehitch.quality.facts import Report, ViewingRecord, parse_reports
 from ledgehitch.quality.judge import CLEARED, Judge, look
 from ledgehitch.quality.keep import Keep
 from ledgehitch.quality.limits import BURST, Limits
 from ledgehitch.quality.page import page
 from ledgehitch.quality.passes import OVERLAP, VALID, BadPass, Passes
-from ledgehitch.quality.tally import ALLOWANCE, MOST_VIEWINGS, OTHERS, WINDOW, Cell, Side, Tally, Window
+from ledgehitch.quality.tally import (
+    MAX_DELAY_S,
+    MAX_VIEWINGS,
+    OTHERS,
+    WINDOW_S,
+    Cell,
+    GroupCounts,
+    Tally,
+    Window,
+)
 from ledgehitch.rehearsal.play import rehearse
 from tests.rig import Rig, answer, request
 
@@ -34,7 +43,7 @@
 def tally(source: str = "g0", life: int = 1) -> Tally:
     t = Tally(source, life)
     for n in range(4):
-        t.on_viewing_admitted(f"v{n}", Seen(f"r{n % 2}", f"t{n}", T - 0.1, T, package=f"p{n % 3}"))
+        t.on_viewing_admitted(f"v{n}", ViewingRecord(f"r{n % 2}", f"t{n}", T - 0.1, T, package=f"p{n % 3}"))
     return t
 
 
@@ -47,7 +56,7 @@
 
 
 def test_a_batch_counts_its_good_reports_and_names_the_bad_ones() -> None:
-    good, bad = reports_in(
+    good, bad = parse_reports(
         b'[{"sn":0,"ts":1,"msd":300},{"sn":-1,"ts":1},{"sn":2,"ts":1,"bsd":[-4]},{"ts":1},7]'
     )
     assert good == [Report(sn=0, ts=1, msd=300)]
@@ -59,7 +68,7 @@
     ]
     for body in (b"{}", b"nonsense", b"[" + b'{"sn":0,"ts":1},' * 300 + b'{"sn":0,"ts":1}]'):
         with pytest.raises(ValueError, match="batch"):
-            reports_in(body)
+            parse_reports(body)
 
 
 def test_double_and_delayed_reports_change_no_count() -> None:
@@ -82,8 +91,8 @@
 ):
     t = tally()
     t.on_report(T + 1.0, "v0", report(0, T + 1.0))
-    assert t.on_report(T + 1.0 + ALLOWANCE, "v0", report(1, T + 2.0, bsd=[900])) == "taken"
-    assert t.windows[int(T // WINDOW)].cells["r0\tt0"].stalled == 1, "in the window in which it was made"
+    assert t.on_report(T + 1.0 + MAX_DELAY_S, "v0", report(1, T + 2.0, bsd=[900])) == "taken"
+    assert t.windows[int(T // WINDOW_S)].cells["r0\tt0"].stalled == 1, "in the window in which it was made"
     assert t.on_report(T + 50, "v0", report(2, T + 3.0, bsd=[900])) == "late"
     assert t.counts.late == 1 and t.on_report(T, "nobody", report(0, T)) == "unknown"
 
@@ -127,25 +136,25 @@
     assert t.on_report(T + 1, "v1", report(0, 5, msd=9_000)) == "it started before it asked"
     for n in range(100):
         t.on_report(T + 1 + n / 50, "v2", report(n, 5 + n / 50, bsd=[900]))
-    cell = t.windows[int(T // WINDOW)].cells["r0\tt2"]
+    cell = t.windows[int(T // WINDOW_S)].cells["r0\tt2"]
     assert (cell.viewings, cell.bad, cell.stalled) == (1, 1, 1)
 
 
 def test_memory_is_bounded_by_viewings_and_titles(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ledgehitch.quality.tally.MOST_VIEWINGS", 500)
-    monkeypatch.setattr("ledgehitch.quality.tally.MOST_CELLS", 200)
-    monkeypatch.setattr("ledgehitch.quality.tally.MOST_SIDES", 100)
+    monkeypatch.setattr("ledgehitch.quality.tally.MAX_VIEWINGS", 500)
+    monkeypatch.setattr("ledgehitch.quality.tally.MAX_CELLS", 200)
+    monkeypatch.setattr("ledgehitch.quality.tally.MAX_GROUPS", 100)
     t = Tally("g0", 1)
     for n in range(3000):
-        t.on_viewing_admitted(f"v{n}", Seen("r0", f"t{n}", T, T))
+        t.on_viewing_admitted(f"v{n}", ViewingRecord("r0", f"t{n}", T, T))
         t.on_report(T + 1, f"v{n}", report(0, 1))
-    assert len(t.clocks) == 500 and MOST_VIEWINGS > 500
-    table = t.windows[int((T + 1) // WINDOW)].cells
+    assert len(t.clocks) == 500 and MAX_VIEWINGS > 500
+    table = t.windows[int((T + 1) // WINDOW_S)].cells
     assert len(table) == 201 and table[f"r0\t{OTHERS}"].viewings == 2800
-    sides = t.windows[int((T + 1) // WINDOW)].sides
+    sides = t.windows[int((T + 1) // WINDOW_S)].sides
     assert len(sides) <= 104 and sum(s.viewings for k, s in sides.items() if k.startswith("title")) == 3000
     for n in range(200):
-        t.on_viewing_admitted("x", Seen("r0", "t", T + 10 * n, T + 10 * n))
+        t.on_viewing_admitted("x", ViewingRecord("r0", "t", T + 10 * n, T + 10 * n))
         t.on_report(T + 10 * n + 1, "x", report(n, n * 10))
     assert len(t.windows) <= 60 and set(t.versions) == set(t.windows)
 
@@ -183,7 +192,7 @@
     counted: dict[str, set[tuple[str, str, int]]] = {}
     for name, viewing, _, at in raw:
         key = f"r{int(viewing[1]) % 2}\tt{viewing[1]}"
-        counted.setdefault(key, set()).add((name, viewing, int(at // WINDOW)))
+        counted.setdefault(key, set()).add((name, viewing, int(at // WINDOW_S)))
     assert whole is not None
     assert {k: c["viewings"] for k, c in whole[0].items()} == {k: len(v) for k, v in counted.items()}
     by_kind = {kind: sum(s["viewings"] for s in sides.values()) for kind, sides in whole[1].items()}
@@ -219,7 +228,7 @@
     times = [int(40 * 1.5**n) for n in range(20)]
     for n, ms in enumerate(times):
         t = (here, there)[n % 2]
-        t.on_viewing_admitted(f"x{n}", Seen("r1", "clip", T - 200_000, T, package="live"))
+        t.on_viewing_admitted(f"x{n}", ViewingRecord("r1", "clip", T - 200_000, T, package="live"))
         t.on_report(T + 1, f"x{n}", report(0, T, msd=ms, rung=2))
     for one in there.summaries():
         here.merge(*one)
@@ -227,7 +236,7 @@
         side = here.groups(0, 10**9)[kind][name]
         for share, due in ((0.0, times[0]), (0.5, times[9]), (1.0, times[-1])):
             assert side.start_at(share) == pytest.approx(due, rel=0.06)
-    assert Side().start_at(0.5) is None
+    assert GroupCounts().start_at(0.5) is None
 
 
 def test_others_are_told_what_changed_since_their_mark_and_everything_after_a_restart() -> None:
@@ -236,7 +245,7 @@
     t.on_report(T + 20, "v1", report(0, T + 20))
     assert len(list(t.summaries())) == 2 and len(list(t.summaries(t.life, 2))) == 0
     (changed,) = t.summaries(t.life, 1)
-    assert changed[1] == int((T + 20) // WINDOW)
+    assert changed[1] == int((T + 20) // WINDOW_S)
     again = Tally.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(t.snapshot())), 1)
     assert len(list(again.summaries(t.life, 2))) == 2, "a mark of the life before says nothing now"
 
@@ -246,9 +255,9 @@
     left.on_report(T, "v0", report(0, T))
     for one in left.summaries():
         reader.merge(*one)
-    reader.remove_before(int(T // WINDOW))
+    reader.remove_before(int(T // WINDOW_S))
     assert set(reader.peers) == {"gone"}
-    reader.remove_before(int(T // WINDOW) + 1)
+    reader.remove_before(int(T // WINDOW_S) + 1)
     assert reader.peers == {}
 
 
@@ -412,7 +421,7 @@
         assert tokens is not None
         issue = tokens.passes.issue
 
-        def issued_earlier(now: float, viewing: str, seen: Seen | None = None) -> str:
+        def issued_earlier(now: float, viewing: str, seen: ViewingRecord | None = None) -> str:
             """The time that a stall takes has passed for the gateway too."""
             assert seen is not None
             return issue(now, viewing, msgspec.structs.replace(seen, answered_at=seen.answered_at - 5.0))
