--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -16,7 +16,7 @@
 from ledgehitch.members.decide import Members, Send, StatusChanged
 from ledgehitch.members.words import InvalidMessage, decode, encode
 from ledgehitch.owners.words import FIRST_KIND
-from ledgehitch.quality.keep import Keep
+from ledgehitch.quality.keep import SnapshotStore
 
 CONTEXT = "ledgehitch 2026 membership datagrams"  # so that no datagram of another kind is one of these
 log = structlog.get_logger("members")
@@ -29,7 +29,7 @@
         self.loop, self.site = loop, site
         self.names = [g.name for g in site.gateways]
         me = self.names.index(name)
-        self.keep = Keep(directory / f"{name}.members")
+        self.keep = SnapshotStore(directory / f"{name}.members")
         held: dict[str, Any] = self.keep.read() or {}
         self.life = max(int(held.get("life", 0)) + 1, 1)
         self.keep.write({"life": self.life})
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -26,7 +26,7 @@
 from ledgehitch.owners.facts import BUDGETS, DUTIES, vote_duration
 from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.words import InvalidMessage, decode, encode
-from ledgehitch.quality.keep import Keep as File
+from ledgehitch.quality.keep import SnapshotStore as File
 from ledgehitch.regions.facts import REGIONAL_DUTIES, WHOLE, Region, region_of, regions_digest, regions_of
 from ledgehitch.regions.shares import initial_shares
 
--- a/ledgehitch/daemon/plans.py
+++ b/ledgehitch/daemon/plans.py
@@ -7,7 +7,7 @@
 import structlog
 
 from ledgehitch.daemon.facts import PlanWords
-from ledgehitch.quality.keep import Keep
+from ledgehitch.quality.keep import SnapshotStore
 
 VERSION = 1  # of the file
 MOST = 1 << 19  # bytes of a plan: ten thousand targets and more
@@ -16,7 +16,7 @@
 
 class Plans:
     def __init__(self, path: Path) -> None:
-        self.keep = Keep(path, private=True, synced=True)
+        self.keep = SnapshotStore(path, private=True, synced=True)
         self.held: PlanWords | None = None
         self.why = ""  # the file does not read
         held = self.keep.read()
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -37,7 +37,7 @@
 from ledgehitch.loop.pump import Pump
 from ledgehitch.members.elsewhere import pick_gateway
 from ledgehitch.owners.facts import BUDGETS, RESTARTS, VERDICTS
-from ledgehitch.quality.keep import Keep
+from ledgehitch.quality.keep import SnapshotStore
 
 TICKET = "LEDGEHITCH_STARTED_BY"  # in the environment: the ticket of the restart that began this life
 LIST_WITHIN = 3.0  # seconds to wait for the list before serving with its last copy
@@ -76,7 +76,7 @@
         self.life = Life(time.monotonic(), max(p.patience for p in site.packages))
         self.stir = Pump(loop, self._pull).schedule  # something was told
         self.admin = Admin(self.running, self.life, environment.get(TICKET, ""), self.stir)
-        self.carried = Keep(place.directory / f"{name}.carried", synced=True)
+        self.carried = SnapshotStore(place.directory / f"{name}.carried", synced=True)
         self.admin.carried = str(self.carried.read() or "")
         self.on_leave: Callable[[bool], None] = lambda back_soon: None
         self.running.frontend.other_gateway = self._elsewhere
--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -13,7 +13,7 @@
 
 from ledgehitch.door.decide import AdmissionController, Decision
 from ledgehitch.door.names import DEFAULT_ORDER, Identity
-from ledgehitch.quality.keep import Keep
+from ledgehitch.quality.keep import SnapshotStore
 
 SAVE_INTERVAL_S = 5.0  # tickets used since the last save may be used once more after a kill
 log = structlog.get_logger("door")
@@ -45,7 +45,7 @@
     Times are of the machine's monotonic clock, since patience must not depend on a clock that steps."""
 
     def __init__(
-        self, door: DoorLike, keep: Keep | None = None, order: Sequence[Identity] = DEFAULT_ORDER
+        self, door: DoorLike, keep: SnapshotStore | None = None, order: Sequence[Identity] = DEFAULT_ORDER
     ) -> None:
         self.door, self.store, self.order = door, keep, order
         # Checks whether the budget loan is still valid; called before any request is admitted.
@@ -58,7 +58,7 @@
 
     # ---- saved state ---------------------------------------------------------------------------------------
 
-    def _load(self, keep: Keep) -> None:
+    def _load(self, keep: SnapshotStore) -> None:
         held = keep.read()
         if held is None or not isinstance(self.door, AdmissionController):
             return
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -21,7 +21,7 @@
 from ledgehitch.loop.kernel import discard
 from ledgehitch.quality.facts import ViewingRecord, parse_reports
 from ledgehitch.quality.judge import MIN_VIEWINGS, Judge, Verdict, look
-from ledgehitch.quality.keep import Keep
+from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.quality.limits import Limits
 from ledgehitch.quality.passes import BadPass, Passes
 from ledgehitch.quality.tally import STORED_WINDOWS, WINDOW_S, Cell, GroupCounts, Tally, Window
@@ -54,7 +54,9 @@
     """The keys of one gateway, kept for its next life and for the process that takes its reports."""
 
     def __init__(self, name: str, state_dir: Path | None) -> None:
-        self.key_store = Keep(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
+        self.key_store = (
+            SnapshotStore(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
+        )
         self.passes = Passes(secrets.token_bytes(32), time.time())
         self.load()
         self._save()
@@ -99,7 +101,7 @@
             if now - self._read_at < KEY_RELOAD_DELAY_S:
                 raise
             self._read_at = now
-            held = Keep(self.path).read()
+            held = SnapshotStore(self.path).read()
             if held is not None:
                 self.passes.restore(held, now)
             return self.passes.check(now, token, resource)
@@ -117,7 +119,7 @@
         """`others`: where the other gateways' reports are taken, by name. `check` (now, token, viewing)
         raises `BadPass`."""
         self.loop, self.name, self.others, self.check = loop, name, others, check
-        self.store = Keep(state_dir / f"{name}.quality") if state_dir is not None else None
+        self.store = SnapshotStore(state_dir / f"{name}.quality") if state_dir is not None else None
         self.limits = Limits(secrets.token_bytes(32))
         self.judge = Judge()
         self.client = Client(loop)
@@ -230,7 +232,7 @@
                 self._saved_count = taken
                 self._save(self.store)
 
-    def _save(self, keep: Keep) -> None:
+    def _save(self, keep: SnapshotStore) -> None:
         if len(self.tally.clocks) <= MAX_INLINE_VIEWINGS:
             keep.write(self.tally.snapshot())
             return
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -37,7 +37,7 @@
 from ledgehitch.http import Limits, Server
 from ledgehitch.keys.store import ring_in
 from ledgehitch.loop import Datagrams, Event, Loop, endpoint
-from ledgehitch.quality.keep import Keep
+from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.regions.facts import regions_of
 from ledgehitch.signalling import ViewingRegistry
 
@@ -131,7 +131,9 @@
                 terms.longest_advice,
                 gateways=terms.gateways,
             )
-            kept_door = Keep(state_dir / f"{name}.door", private=True) if state_dir is not None else None
+            kept_door = (
+                SnapshotStore(state_dir / f"{name}.door", private=True) if state_dir is not None else None
+            )
             self.executor.admission = AdmissionService(door, kept_door, site.door.order or DEFAULT_ORDER)
             self._apply_limits(site)
         front.token_issuer = TokenIssuer(name, state_dir)
--- a/ledgehitch/quality/keep.py
+++ b/ledgehitch/quality/keep.py
@@ -18,7 +18,7 @@
 HEAD = struct.Struct(">QI")  # serial number, length of the data
 
 
-class Keep:
+class SnapshotStore:
     """Two files, `PATH.0` and `PATH.1`; the valid one with the higher serial number is read.
 
     With `synced`, data survives a power failure, and there is only one file, since an older snapshot must
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -27,7 +27,7 @@
 from ledgehitch.loop import connect, endpoint
 from ledgehitch.model.day import played
 from ledgehitch.proof.check import check_rules, rule_parameters
-from ledgehitch.quality.keep import Keep
+from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.standins.plan import site_of, steps_of
 from tests.rig import Host, Rig, answer, request
 
@@ -571,21 +571,21 @@
 
 
 def test_what_the_gateway_keeps_of_its_door_outlives_a_torn_file(tmp_path: Path) -> None:
-    first = AdmissionService(door(1), Keep(tmp_path / "g0.door", private=True))
+    first = AdmissionService(door(1), SnapshotStore(tmp_path / "g0.door", private=True))
     assert isinstance(first.door, AdmissionController)
     ticket = first.door.tickets.issue(1e6, b"client-1")
     first.save()
-    later = AdmissionService(door(2), Keep(tmp_path / "g0.door", private=True))
+    later = AdmissionService(door(2), SnapshotStore(tmp_path / "g0.door", private=True))
     assert isinstance(later.door, AdmissionController)
     assert later.secret == first.secret and later.door.tickets.redeem(1e6, ticket, b"client-1")
     newest = max(tmp_path.iterdir(), key=lambda p: p.stat().st_mtime_ns)
     newest.write_bytes(newest.read_bytes()[:-7])
-    torn = AdmissionService(door(3), Keep(tmp_path / "g0.door", private=True))
+    torn = AdmissionService(door(3), SnapshotStore(tmp_path / "g0.door", private=True))
     assert torn.secret == first.secret
     assert all(p.stat().st_mode & 0o077 == 0 for p in tmp_path.iterdir()), "keys are for nobody else to read"
     for path in tmp_path.iterdir():
         path.write_bytes(b"nonsense")
-    assert AdmissionService(door(4), Keep(tmp_path / "g0.door")).secret != first.secret
+    assert AdmissionService(door(4), SnapshotStore(tmp_path / "g0.door")).secret != first.secret
 
 
 def test_a_reload_changes_the_limits_of_a_gateway_that_runs() -> None:
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -18,7 +18,7 @@
 from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.votes import Fence, Lease, Voter
 from ledgehitch.owners.words import KINDS, DutyMessage, InvalidMessage, decode, encode
-from ledgehitch.quality.keep import Keep as File
+from ledgehitch.quality.keep import SnapshotStore as File
 from tests.explore_owners import INJECTED_FAULTS, SCENARIOS, explore, walk
 
 T = 1000.0
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -20,7 +20,7 @@
 from ledgehitch.loop import Loop, connect, endpoint
 from ledgehitch.quality.facts import Report, ViewingRecord, parse_reports
 from ledgehitch.quality.judge import CLEARED, Judge, look
-from ledgehitch.quality.keep import Keep
+from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.quality.limits import BURST, Limits
 from ledgehitch.quality.page import page
 from ledgehitch.quality.passes import OVERLAP, VALID, BadPass, Passes
@@ -262,7 +262,7 @@
 
 
 def test_a_kill_at_any_byte_leaves_the_snapshot_before(tmp_path: Path) -> None:
-    keep = Keep(tmp_path / "q")
+    keep = SnapshotStore(tmp_path / "q")
     keep.write({"n": 1})
     keep.write({"n": 2})
     whole = (tmp_path / "q.0").read_bytes()
@@ -273,17 +273,17 @@
         if len(spoilt) == len(whole):
             spoilt[cut] ^= 1 + chance.randrange(255)
         (tmp_path / "q.0").write_bytes(spoilt)
-        assert Keep(tmp_path / "q").read() == {"n": 1}
+        assert SnapshotStore(tmp_path / "q").read() == {"n": 1}
     (tmp_path / "q.0").write_bytes(whole)
-    later = Keep(tmp_path / "q")
+    later = SnapshotStore(tmp_path / "q")
     assert later.read() == {"n": 2}
     later.write({"n": 3})
-    assert Keep(tmp_path / "q").read() == {"n": 3} and not os.path.exists(tmp_path / "q.1.new")
-    assert Keep(tmp_path / "none").read() is None
+    assert SnapshotStore(tmp_path / "q").read() == {"n": 3} and not os.path.exists(tmp_path / "q.1.new")
+    assert SnapshotStore(tmp_path / "none").read() is None
 
 
 def test_what_another_version_kept_starts_the_count_anew(tmp_path: Path) -> None:
-    Keep(tmp_path / "g0.quality").write({"of": "another version"})
+    SnapshotStore(tmp_path / "g0.quality").write({"of": "another version"})
     reports = ReportService(Loop(), "g0", {}, tmp_path, TokenIssuer("g0", tmp_path).passes.check)
     assert reports.tally.source == "g0" and reports.tally.counts.taken == 0
 
