--- a/benchmarks/worlds.py
+++ b/benchmarks/worlds.py
@@ -12,7 +12,7 @@
 
 from scipy.stats import norm
 
-from ledgehitch.quality.judge import look
+from ledgehitch.quality.judge import evaluate
 from ledgehitch.quality.tally import Cell
 
 Named = set[tuple[str, str]]
@@ -52,7 +52,7 @@
 
 
 def ours(cells: dict[str, Cell]) -> Named:
-    return {(c.kind, c.name) for c in look(cells).culprits}
+    return {(c.kind, c.name) for c in evaluate(cells).culprits}
 
 
 def groups(cells: dict[str, Cell]) -> dict[tuple[str, str], list[int]]:
--- a/ledgehitch/cli/quality.py
+++ b/ledgehitch/cli/quality.py
@@ -15,7 +15,7 @@
 from rich.text import Text
 
 from ledgehitch.config import BadInput
-from ledgehitch.quality.page import page
+from ledgehitch.quality.page import render_page
 
 SHOWN = 12  # groups of a kind in a table, worst first
 
@@ -84,7 +84,7 @@
     """What GATEWAY (http://ADDRESS) knows of all gateways' reports. Exit code 1 where one is to blame."""
     told = _asked(gateway, within)
     if page_file is not None:
-        page_file.write_text(page(told), "utf-8")
+        page_file.write_text(render_page(told), "utf-8")
     if as_json:
         click.echo(json.dumps(told))
     else:
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -20,10 +20,10 @@
 from ledgehitch.loop import Loop, TimedOut, run_forked
 from ledgehitch.loop.kernel import discard
 from ledgehitch.quality.facts import ViewingRecord, parse_reports
-from ledgehitch.quality.judge import MIN_VIEWINGS, Judge, Verdict, look
+from ledgehitch.quality.judge import MIN_VIEWINGS, Verdict, VerdictTracker, evaluate
 from ledgehitch.quality.keep import SnapshotStore
-from ledgehitch.quality.limits import Limits
-from ledgehitch.quality.passes import BadPass, Passes
+from ledgehitch.quality.limits import ReportRateLimit
+from ledgehitch.quality.passes import InvalidToken, ReportTokens
 from ledgehitch.quality.tally import STORED_WINDOWS, WINDOW_S, Cell, GroupCounts, Tally, Window
 
 SAVE_INTERVAL_S = 2.0  # seconds of counts that a kill may lose at most
@@ -57,7 +57,7 @@
         self.key_store = (
             SnapshotStore(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
         )
-        self.passes = Passes(secrets.token_bytes(32), time.time())
+        self.passes = ReportTokens(secrets.token_bytes(32), time.time())
         self.load()
         self._save()
 
@@ -90,14 +90,14 @@
     """The keys of a gateway that runs in another process: read from its file, anew where one is refused."""
 
     def __init__(self, name: str, state_dir: Path) -> None:
-        self.path, self.passes = state_dir / f"{name}.passes", Passes(secrets.token_bytes(32), 0.0)
+        self.path, self.passes = state_dir / f"{name}.passes", ReportTokens(secrets.token_bytes(32), 0.0)
         self.passes.keys = []
         self._read_at = -1e9
 
     def check(self, now: float, token: str, resource: str) -> ViewingRecord | None:
         try:
             return self.passes.check(now, token, resource)
-        except BadPass:
+        except InvalidToken:
             if now - self._read_at < KEY_RELOAD_DELAY_S:
                 raise
             self._read_at = now
@@ -117,11 +117,11 @@
         check: Callable[[float, str, str], ViewingRecord | None],
     ) -> None:
         """`others`: where the other gateways' reports are taken, by name. `check` (now, token, viewing)
-        raises `BadPass`."""
+        raises `InvalidToken`."""
         self.loop, self.name, self.others, self.check = loop, name, others, check
         self.store = SnapshotStore(state_dir / f"{name}.quality") if state_dir is not None else None
-        self.limits = Limits(secrets.token_bytes(32))
-        self.judge = Judge()
+        self.limits = ReportRateLimit(secrets.token_bytes(32))
+        self.judge = VerdictTracker()
         self.client = Client(loop)
         self.tally = self._load(time.time_ns())
         self.rack_name: Callable[[str], str] = lambda rack: rack
@@ -169,9 +169,9 @@
         now = time.time()
         try:
             if scheme.lower() != "bearer":
-                raise BadPass("a report comes with the token of its viewing's answer")
+                raise InvalidToken("a report comes with the token of its viewing's answer")
             seen = self.check(now, token.strip(), resource)
-        except BadPass as why:
+        except InvalidToken as why:
             self.refused += 1
             raise Refused(401, f"the token is refused: {why}", [("WWW-Authenticate", "Bearer")]) from None
         try:
@@ -254,10 +254,10 @@
         """A look; at a large table in a copy of the process, so that set-ups do not wait for it."""
         expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= MIN_VIEWINGS}
         if len(table) <= MAX_INLINE_VIEWINGS:
-            return look(table, expected)
+            return evaluate(table, expected)
         ours, theirs = os.pipe()
         try:
-            told = lambda: discard(os.write(theirs, msgspec.json.encode(look(table, expected))[:65536]))  # noqa: E731
+            told = lambda: discard(os.write(theirs, msgspec.json.encode(evaluate(table, expected))[:65536]))  # noqa: E731
             code = run_forked(self.loop, told)
             return (
                 msgspec.json.decode(os.read(ours, 65536), type=Verdict) if code == 0 else self.judge.verdict
--- a/ledgehitch/quality/judge.py
+++ b/ledgehitch/quality/judge.py
@@ -67,7 +67,7 @@
     index: NDArray[np.int64] = field(default_factory=lambda: np.zeros(0, np.int64))
 
 
-def look(table: Mapping[str, Cell], expected: Mapping[str, Any] | None = None) -> Verdict:
+def evaluate(table: Mapping[str, Cell], expected: Mapping[str, Any] | None = None) -> Verdict:
     """Evaluates counts by rack and title. Racks in `expected` that sent no report are listed as unclear."""
     keys = sorted(table)
     pairs = [key.partition("\t")[::2] for key in keys]
@@ -196,7 +196,7 @@
     return f"healthy: {100 * share:.1f}% of {total} viewings are bad, no rack or title stands out"
 
 
-class Judge:
+class VerdictTracker:
     """Verdicts with hysteresis: `SET` evaluations in a row name a culprit, and `CLEARED` clear it."""
 
     def __init__(self) -> None:
@@ -206,7 +206,7 @@
         self.verdict = Verdict()
 
     def evaluate(self, table: Mapping[str, Cell], expected: Mapping[str, Any] | None = None) -> Verdict:
-        return self.on_evaluation(look(table, expected))
+        return self.on_evaluation(evaluate(table, expected))
 
     def on_evaluation(self, evaluation: Verdict) -> Verdict:
         """Takes the result of one evaluation; returns the verdict after it."""
--- a/ledgehitch/quality/limits.py
+++ b/ledgehitch/quality/limits.py
@@ -8,10 +8,10 @@
 
 CELLS = 65536
 RATE, BURST = 5.0, 200.0  # reports per second and at once, for one client
-REKEY = 60.0  # seconds after which clients are assigned to cells anew
+REKEY_PERIOD_S = 60.0  # seconds after which clients are assigned to cells anew
 
 
-class Limits:
+class ReportRateLimit:
     """Token buckets for all clients of a gateway."""
 
     def __init__(self, secret: bytes) -> None:
@@ -21,7 +21,7 @@
 
     def acquire(self, now: float, client: str, reports: int) -> float:
         """Returns the seconds until `reports` may come; 0 admits them now and counts them."""
-        epoch = int(now // REKEY)
+        epoch = int(now // REKEY_PERIOD_S)
         if epoch != self._epoch:
             self._epoch = epoch
             self._tokens, self._updated_at = [BURST] * CELLS, [now] * CELLS
--- a/ledgehitch/quality/page.py
+++ b/ledgehitch/quality/page.py
@@ -30,7 +30,7 @@
     return round(100 * group[name] / group["viewings"], 2) if group["viewings"] else None
 
 
-def page(report: dict[str, Any]) -> str:
+def render_page(report: dict[str, Any]) -> str:
     """Returns the HTML page for the data of a gateway's `/quality/report`."""
     verdict = report["verdict"]
     blamed = {(c["kind"], c["name"]): c for c in verdict["culprits"]}
--- a/ledgehitch/quality/passes.py
+++ b/ledgehitch/quality/passes.py
@@ -12,11 +12,11 @@
 
 HEAD = struct.Struct(">HId")  # key number, length of the viewing's name, expiry (wall clock)
 MAC_BYTES = 16
-VALID = 6 * 3600.0  # lifetime of a token in seconds
-OVERLAP = 12 * 3600.0  # seconds for which a key verifies tokens after it was replaced
+TOKEN_LIFETIME_S = 6 * 3600.0  # lifetime of a token in seconds
+KEY_OVERLAP_S = 12 * 3600.0  # seconds for which a key verifies tokens after it was replaced
 
 
-class BadPass(ValueError):
+class InvalidToken(ValueError):
     """A rejected token; the text gives the reason."""
 
 
@@ -30,16 +30,16 @@
     until: float = float("inf")
 
 
-class Passes:
+class ReportTokens:
     """Signs tokens with the newest key and verifies them with every valid key."""
 
     def __init__(self, first: bytes, now: float) -> None:
         self.keys = [Key(1, first, now)]
 
     def rotate(self, secret: bytes, now: float) -> None:
-        """Signs with a new key from now on; the old one verifies for another `OVERLAP` seconds."""
+        """Signs with a new key from now on; the old one verifies for another `KEY_OVERLAP_S` seconds."""
         old = self.keys[-1]
-        self.keys[-1] = Key(old.number, old.secret, old.since, now + OVERLAP)
+        self.keys[-1] = Key(old.number, old.secret, old.since, now + KEY_OVERLAP_S)
         self.keys = [k for k in self.keys if k.until > now] + [Key(old.number + 1, secret, now)]
 
     def snapshot(self) -> Any:
@@ -56,26 +56,26 @@
         """Returns a token for reports on this viewing; it carries `seen` in plain text, and is signed."""
         key = self.keys[-1]
         name = viewing.encode()
-        body = HEAD.pack(key.number, len(name), now + VALID) + name + msgspec.msgpack.encode(seen)
+        body = HEAD.pack(key.number, len(name), now + TOKEN_LIFETIME_S) + name + msgspec.msgpack.encode(seen)
         return base64.urlsafe_b64encode(body + self._mac(key, body)).decode().rstrip("=")
 
     def check(self, now: float, token: str, viewing: str) -> ViewingRecord | None:
-        """Returns what the token carries; raises `BadPass` unless it is valid for this viewing."""
+        """Returns what the token carries; raises `InvalidToken` unless it is valid for this viewing."""
         try:
             raw = base64.urlsafe_b64decode(token + "=" * (-len(token) % 4))
             number, size, until = HEAD.unpack_from(raw)
         except (ValueError, struct.error):
-            raise BadPass("malformed token") from None
+            raise InvalidToken("malformed token") from None
         body, mac = raw[:-MAC_BYTES], raw[-MAC_BYTES:]
         key = next((k for k in self.keys if k.number == number and k.until > now), None)
         if key is None:
-            raise BadPass("unknown or expired key")
+            raise InvalidToken("unknown or expired key")
         if self._mac(key, body) != mac:
-            raise BadPass("invalid signature")
+            raise InvalidToken("invalid signature")
         if body[HEAD.size : HEAD.size + size] != viewing.encode():
-            raise BadPass("token of another viewing")
+            raise InvalidToken("token of another viewing")
         if now >= until:
-            raise BadPass("token expired")
+            raise InvalidToken("token expired")
         return msgspec.msgpack.decode(body[HEAD.size + size :], type=ViewingRecord | None)
 
     @staticmethod
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -19,11 +19,11 @@
 from ledgehitch.http import Response
 from ledgehitch.loop import Loop, connect, endpoint
 from ledgehitch.quality.facts import Report, ViewingRecord, parse_reports
-from ledgehitch.quality.judge import CLEARED, Judge, look
+from ledgehitch.quality.judge import CLEARED, VerdictTracker, evaluate
 from ledgehitch.quality.keep import SnapshotStore
-from ledgehitch.quality.limits import BURST, Limits
-from ledgehitch.quality.page import page
-from ledgehitch.quality.passes import OVERLAP, VALID, BadPass, Passes
+from ledgehitch.quality.limits import BURST, ReportRateLimit
+from ledgehitch.quality.page import render_page
+from ledgehitch.quality.passes import KEY_OVERLAP_S, TOKEN_LIFETIME_S, InvalidToken, ReportTokens
 from ledgehitch.quality.tally import (
     MAX_DELAY_S,
     MAX_VIEWINGS,
@@ -289,10 +289,10 @@
 
 
 def test_tokens_are_for_one_viewing_expire_and_outlive_a_key() -> None:
-    passes = Passes(bytes(32), T)
+    passes = ReportTokens(bytes(32), T)
     token = passes.issue(T, "v1")
     passes.check(T + 1, token, "v1")
-    after_restart = Passes(bytes(range(1, 33)), T + 2)
+    after_restart = ReportTokens(bytes(range(1, 33)), T + 2)
     after_restart.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(passes.snapshot())), T + 2)
     after_restart.check(T + 2, token, "v1")
     passes.rotate(bytes(range(32)), T + 10)
@@ -300,13 +300,13 @@
     passes.check(T + 11, passes.issue(T + 11, "v2"), "v2")
 
     def refused(now: float, some: str, viewing: str) -> str:
-        with pytest.raises(BadPass) as why:
+        with pytest.raises(InvalidToken) as why:
             passes.check(now, some, viewing)
         return str(why.value)
 
     assert refused(T + 1, token, "v2") == "token of another viewing"
-    assert refused(T + VALID, token, "v1") == "token expired"
-    assert refused(T + 10 + OVERLAP, token, "v1") == "unknown or expired key"
+    assert refused(T + TOKEN_LIFETIME_S, token, "v1") == "token expired"
+    assert refused(T + 10 + KEY_OVERLAP_S, token, "v1") == "unknown or expired key"
     assert refused(T, "nonsense", "v1") == "malformed token"
     assert refused(T, token[:-6] + "AAAAAA", "v1") == "invalid signature"
 
@@ -326,13 +326,13 @@
         "keys outlive a restart"
     )
     spoilt = token[:-30] + ("A" if token[-30] != "A" else "B") + token[-29:]
-    for wrong in (spoilt, Passes(bytes(32), 0.0).issue(time.time(), "v1")):
-        with pytest.raises(BadPass):
+    for wrong in (spoilt, ReportTokens(bytes(32), 0.0).issue(time.time(), "v1")):
+        with pytest.raises(InvalidToken):
             beside.check(time.time(), wrong, "v1")
 
 
 def test_limits_are_per_client_and_tell_when_to_return() -> None:
-    limits = Limits(bytes(32))
+    limits = ReportRateLimit(bytes(32))
     assert limits.acquire(T, "a", int(BURST)) == 0.0
     wait = limits.acquire(T, "a", 10)
     assert wait > 0 and limits.acquire(T, "b", 10) == 0.0
@@ -363,20 +363,20 @@
         r2__a=(900, 18),
         r2__bad=(60, 15),
     )
-    assert [(c.kind, c.name) for c in look(table).culprits] == [("title", "bad")]
+    assert [(c.kind, c.name) for c in evaluate(table).culprits] == [("title", "bad")]
     # A bad rack that plays mostly one title: the rack.
     table = cells(r0__a=(900, 200), r0__b=(80, 18), r1__a=(400, 8), r1__b=(500, 10), r2__b=(800, 16))
-    assert [(c.kind, c.name) for c in look(table).culprits] == [("rack", "r0")]
+    assert [(c.kind, c.name) for c in evaluate(table).culprits] == [("rack", "r0")]
     # Everything slow: nobody. Too few: said so. A rack without reports: named.
-    everywhere = look(cells(r0__a=(500, 250), r1__a=(500, 250), r0__b=(500, 250), r1__b=(500, 250)))
+    everywhere = evaluate(cells(r0__a=(500, 250), r1__a=(500, 250), r0__b=(500, 250), r1__b=(500, 250)))
     assert everywhere.culprits == () and "everywhere alike" in everywhere.word
-    assert look(cells(r0__a=(5, 5))).word.startswith("too few")
-    assert look(cells(r0__a=(500, 1)), {"r0": 1, "r9": 1}).unclear == ("rack r9 sent no report",)
-    assert look(cells(r0__a=(500, 10), r1__a=(500, 10), r1__one=(1, 1))).culprits == ()
+    assert evaluate(cells(r0__a=(5, 5))).word.startswith("too few")
+    assert evaluate(cells(r0__a=(500, 1)), {"r0": 1, "r9": 1}).unclear == ("rack r9 sent no report",)
+    assert evaluate(cells(r0__a=(500, 10), r1__a=(500, 10), r1__one=(1, 1))).culprits == ()
 
 
 def test_a_verdict_does_not_flap() -> None:
-    judge = Judge()
+    judge = VerdictTracker()
     bad = cells(r0__a=(500, 100), r1__a=(500, 10), r2__a=(500, 10))
     fine = cells(r0__a=(500, 10), r1__a=(500, 10), r2__a=(500, 10))
     assert judge.evaluate(bad).culprits == (), "one look is not enough"
@@ -447,9 +447,9 @@
         named = {(c["kind"], c["name"]) for c in report["verdict"]["culprits"]}
         assert named == {("rack", "rack-1"), ("title", titles[1])}, report["verdict"]["word"]
         assert report["counts"]["doubles"] >= 2 and report["groups"]["rack"]["rack-0"]["viewings"] > 30
-        shown = page(report)
+        shown = render_page(report)
         assert shown.count("<svg") == 8 and "(to blame)" in shown and 'class="blamed"' in shown
-        assert "<script" not in shown and "&lt;b&gt;" in page({**report, "gateway": "<b>"})
+        assert "<script" not in shown and "&lt;b&gt;" in render_page({**report, "gateway": "<b>"})
         tables = json.loads(rig.client.request(rig.at, "GET", "/quality/tables").body)
         assert tables and tables[0]["source"] == "g0"
         # A reload calls the rack otherwise: what was counted is still its own, under the new name.
