--- a/ledgehitch/quality/tally.py
+++ b/ledgehitch/quality/tally.py
@@ -24,14 +24,10 @@
 MAX_GROUPS = 2_000  # groups of one kind in a window; further titles count as OTHERS
 OTHERS = "(others)"
 FORMAT_VERSION = 4  # version of the snapshot format; other versions are not read
-REMEMBERED_REPORTS, DUPLICATE_ERROR = (
-    400_000,
-    1e-4,
-)  # remembered reports, at least; share of new reports taken for duplicates
-MAX_RATE_ERROR, MAX_JUMP_S = (
-    0.05,
-    2.0,
-)  # tolerated rate error and tolerated jump in seconds of a player's clock
+# Reports that are remembered, at least, and the share of new reports that are taken for duplicates.
+REMEMBERED_REPORTS, DUPLICATE_ERROR = 400_000, 1e-4
+# The rate error and the jump of a player's clock above which the player is marked.
+MAX_RATE_ERROR, MAX_JUMP_S = 0.05, 2.0
 MIN_RATE_TIME_S = 8.0  # shortest time in seconds over which a clock's rate is checked
 MAX_STALL_SHARE = 0.01  # share of a window spent in stalls above which a viewing is bad
 SLOW_START_FACTOR = 2.0  # multiple of the join target above which a start is bad
@@ -339,7 +335,7 @@
         """Restores a snapshot in a new life, under which the own tables replace those that others hold."""
         data = msgspec.convert(held, _Snapshot)
         if data.form != FORMAT_VERSION:
-            raise ValueError(f"snapshot format {data.form}, expected {FORM}")
+            raise ValueError(f"snapshot format {data.form}, expected {FORMAT_VERSION}")
         tally = cls(data.source, max(life, data.life + 1))
         tally.windows, tally.versions, tally.peers = data.windows, data.versions, data.others
         tally.counts, tally.change_count = data.counts, max(data.versions.values(), default=0)
