--- a/ledgehitch/http/server.py
+++ b/ledgehitch/http/server.py
@@ -1,4 +1,4 @@
-"""The server: a task for each connection, limits on what a client may hold up."""
+"""HTTP server with one task for each connection and limits on the resources of a client."""
 
 import ssl
 from collections.abc import Callable
@@ -12,20 +12,20 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What one client may hold up. Sizes in bytes, times in seconds."""
+    """Limits on the resources that clients may use. Sizes are in bytes, times in seconds."""
 
-    head: int = 16384
-    body: int = 65536
-    connections: int = 4096
-    request_within: float = 5.0  # from the first byte of a request to its last
-    idle: float = 30.0  # between requests
-    send_within: float = 5.0  # for one answer to be taken off
+    max_head: int = 16384
+    max_body: int = 65536
+    max_connections: int = 4096
+    request_timeout_s: float = 5.0  # from the first byte of a request to its last
+    idle_timeout_s: float = 30.0  # between requests
+    send_timeout_s: float = 5.0  # for the client to receive one response
 
 
 class Server:
-    """Serves `handler(request)`, which may wait; what it raises as `Refused` is answered as a problem.
+    """Answers requests with `handler(request)`, which may wait; `Refused` becomes a problem document.
 
-    `served` counts answers by status, `turned_away` connections over the limit.
+    `served` counts responses by status, `rejected_connections` the connections over the limit.
     """
 
     def __init__(
@@ -44,19 +44,19 @@
         self.report = report or loop.report
         self.open: dict[AnyStream, None] = {}
         self.served: dict[int, int] = {}
-        self.turned_away = self.slow = self.refused_handshakes = 0
+        self.rejected_connections = self.timeouts = self.failed_handshakes = 0
         self.task = loop.spawn(self._accept, name=f"listen {self.at}")
 
     def _accept(self) -> None:
         try:
             while True:
                 stream = self.listener.accept()
-                if len(self.open) >= self.limits.connections:
-                    # Refusal is cheaper than acceptance: one write, no task.
-                    self.turned_away += 1
+                if len(self.open) >= self.limits.max_connections:
+                    # Rejecting takes one write and no task, so it is cheaper than accepting.
+                    self.rejected_connections += 1
                     try:
                         busy = problem(503, "too many connections", [("Retry-After", "1")])
-                        stream.sock.send(busy.written(keep=False))
+                        stream.sock.send(busy.encode(keep_alive=False))
                     except OSError:
                         pass
                     stream.close()
@@ -70,7 +70,7 @@
             self.listener.close()
 
     def close(self) -> None:
-        """Stops listening; connections end with the answer that they are at."""
+        """Stops listening; open connections finish their current response."""
         self.listener.close()
         self.task.cancel()
 
@@ -80,17 +80,17 @@
         if self.tls is not None:
             wrapped = stream = TlsStream(plain, self.tls, True)
             try:
-                with self.loop.deadline(self.limits.request_within):
+                with self.loop.deadline(self.limits.request_timeout_s):
                     wrapped.handshake()
                 certificate = wrapped.certificate()
             except (OSError, TimedOut):
-                self.refused_handshakes += 1
+                self.failed_handshakes += 1
                 self.open.pop(plain, None)
                 plain.close()
                 return
             self.open.pop(plain, None)
             self.open[stream] = None
-        reader = RequestReader(self.limits.head, self.limits.body)
+        reader = RequestReader(self.limits.max_head, self.limits.max_body)
         try:
             keep = first = True
             while keep:
@@ -98,50 +98,50 @@
                     requests = self._read(stream, reader, first)
                     first = False
                 except Refused as refused:
-                    self._send(stream, self._refusal(refused).written(keep=False))
-                    # Guards against a reset that takes the answer with it: what still comes is read off.
+                    self._send(stream, self._refusal(refused).encode(keep_alive=False))
+                    # Closing with unread data would reset the connection and lose the response.
                     self._drain(stream)
                     return
                 if not requests:
                     return
                 for request in requests:
                     request.peer, request.certificate = stream.peer, certificate
-                    request.hung_up = lambda call: self._on_hang_up(stream, call)
+                    request.on_disconnect = lambda call: self._on_hang_up(stream, call)
                     request.reset = stream.reset
-                    keep = self._answer(stream, request) and request.keep
+                    keep = self._answer(stream, request) and request.keep_alive
                     if not keep:
                         return
         except (OSError, Closed):
             pass
         except TimedOut:
-            self.slow += 1
+            self.timeouts += 1
         finally:
             self.open.pop(stream, None)
             stream.close()
 
     def _read(self, stream: AnyStream, reader: RequestReader, first: bool) -> list[Request]:
         try:
-            with self.loop.deadline(self.limits.idle):
+            with self.loop.deadline(self.limits.idle_timeout_s):
                 data = stream.receive(likely_empty=not first)
         except TimedOut:
             return []
         since = stream.earliest_arrival
-        told = False
+        sent_continue = False
         requests: list[Request] = reader.feed(data) if data else []
         if data and not requests:
             try:
-                with self.loop.deadline(self.limits.request_within):
+                with self.loop.deadline(self.limits.request_timeout_s):
                     while data and not requests:
-                        if reader.waits_for_100 and not told:
-                            told = True
+                        if reader.waits_for_100 and not sent_continue:
+                            sent_continue = True
                             stream.send(b"HTTP/1.1 100 Continue\r\n\r\n")
                         data = stream.receive()
                         requests = reader.feed(data) if data else []
             except TimedOut:
-                self.slow += 1
-                raise Refused(408, f"the request was not whole in {self.limits.request_within:g} s") from None
+                self.timeouts += 1
+                raise Refused(408, f"request incomplete after {self.limits.request_timeout_s:g} s") from None
         for request in requests:
-            request.arrived = since if told is False and len(requests) else stream.earliest_arrival
+            request.arrived = since if sent_continue is False and len(requests) else stream.earliest_arrival
         return requests
 
     def _answer(self, stream: AnyStream, request: Request) -> bool:
@@ -153,20 +153,20 @@
             return False
         except Exception as error:
             self.report(f"{request.method} {request.path}", error)
-            response = problem(500, "a fault of this server; it is in its log")
+            response = problem(500, "internal error; see the server's log")
         finally:
             self._on_hang_up(stream, None)
         self.served[response.status] = self.served.get(response.status, 0) + 1
-        whole = False
+        complete = False
         try:
-            self._send(stream, response.written(request.keep, request.method == "HEAD"))
-            # Guards against an answer that went into the buffers of a connection whose client had left.
-            whole = not stream.peer_closed()
+            self._send(stream, response.encode(request.keep_alive, request.method == "HEAD"))
+            # The response may have gone into the buffers of a connection that the client had closed.
+            complete = not stream.peer_closed()
         finally:
-            if response.after is not None:
-                response.after(whole)
+            if response.on_sent is not None:
+                response.on_sent(complete)
         if response.stream is not None:
-            # A reader that goes away is noticed though nothing is sent to it.
+            # Notices a reader that disconnects while there is nothing to send.
             task: Any = self.loop.current
             self._on_hang_up(stream, task.cancel)
             try:
@@ -183,11 +183,11 @@
         try:
             rest = stream.send_nowait(data)
             if rest:
-                with self.loop.deadline(self.limits.send_within):
+                with self.loop.deadline(self.limits.send_timeout_s):
                     stream.send(rest)
         except TimedOut:
-            self.slow += 1
-            raise OSError("the client does not take its answer") from None
+            self.timeouts += 1
+            raise OSError("client does not receive its response") from None
 
     def _drain(self, stream: AnyStream) -> None:
         try:
@@ -198,16 +198,16 @@
             pass
 
     def _on_hang_up(self, stream: AnyStream, call: Callable[[], None] | None) -> None:
-        """Calls once if the client hangs up while its request is at work; None withdraws it."""
+        """Calls once if the client disconnects while its request is processed; None removes the callback."""
         if stream.fd < 0:
             return
         if call is None:
             self.loop.on_readable(stream.fd, None)
             return
 
-        def look() -> None:
+        def check() -> None:
             if stream.peer_closed():
                 call()
-            # Bytes of a next request: a client that is still there. It is read when this one is answered.
+            # Otherwise the bytes belong to the next request, which is read once this one is answered.
 
-        self.loop.on_readable(stream.fd, look)
+        self.loop.on_readable(stream.fd, check)
--- a/ledgehitch/standins/lists.py
+++ b/ledgehitch/standins/lists.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ledgehitch.http import Feed, Refused, Request, Response, Server
-from ledgehitch.http.events import event
+from ledgehitch.http.events import encode_event
 from ledgehitch.loop import Endpoint, Loop
 from ledgehitch.proof.tape import Tape
 
@@ -51,7 +51,7 @@
         if old is not None:
             old.close()
         feed = self.feeds[gateway] = Feed(self.loop)
-        feed.tell(self._news("total", list(self.lines.values())))
+        feed.send(self._news("total", list(self.lines.values())))
         first = {line["host"]: line["state"] for line in self.lines.values()}
 
         def stream(send: Callable[[bytes], None]) -> None:
@@ -67,7 +67,7 @@
 
     def _news(self, name: str, rows: list[Line]) -> bytes:
         told = {"epoch": self.epoch, "version": self.version, "rows": rows}
-        return event(msgspec.json.encode(told).decode(), name, str(self.version))
+        return encode_event(msgspec.json.encode(told).decode(), name, str(self.version))
 
     def set(self, line: Line, at_once: bool = False) -> None:
         """A host has a new state, of which the list learns after its delay."""
@@ -86,5 +86,5 @@
             self.lines[host] = line
         news = self._news("incr", [line])
         for gateway, feed in list(self.feeds.items()):
-            feed.tell(news)
+            feed.send(news)
             self.tape.write("told", gateway=gateway, host=host, state=line["state"])
