--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -19,17 +19,17 @@
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Refused, Request, Response, problem
 from ledgehitch.loop import Loop, TimedOut, run_forked
 from ledgehitch.loop.kernel import discard
-from ledgehitch.quality.facts import Seen, reports_in
-from ledgehitch.quality.judge import FEW, Judge, Verdict, look
-from ledgehitch.quality.keep import Keep
-from ledgehitch.quality.limits import Limits
-from ledgehitch.quality.passes import BadPass, Passes
-from ledgehitch.quality.tally import KEPT, WINDOW, Cell, Side, Tally, Window
+from ledgehitch.quality.facts import ViewingRecord, parse_reports
+from ledgehitch.quality.judge import MIN_VIEWINGS, Verdict, VerdictTracker, evaluate
+from ledgehitch.quality.keep import SnapshotStore
+from ledgehitch.quality.limits import ReportRateLimit
+from ledgehitch.quality.passes import InvalidToken, ReportTokens
+from ledgehitch.quality.tally import STORED_WINDOWS, WINDOW_S, Cell, GroupCounts, Tally, Window
 
 SAVE_INTERVAL_S = 2.0  # seconds of counts that a kill may lose at most
 EXCHANGE_INTERVAL_S = 5.0
 MAX_INLINE_VIEWINGS = 500  # viewings up to which a snapshot is written in place
-VERDICT_INTERVAL_S = WINDOW
+VERDICT_INTERVAL_S = WINDOW_S
 VERDICT_WINDOWS = 6  # windows that a look goes over
 KEY_ROTATION_S = 12 * 3600.0  # seconds that one key signs tokens
 KEY_RELOAD_DELAY_S = (
@@ -54,20 +54,22 @@
     """The keys of one gateway, kept for its next life and for the process that takes its reports."""
 
     def __init__(self, name: str, state_dir: Path | None) -> None:
-        self.key_store = Keep(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
-        self.passes = Passes(secrets.token_bytes(32), time.time())
+        self.key_store = (
+            SnapshotStore(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
+        )
+        self.passes = ReportTokens(secrets.token_bytes(32), time.time())
         self.load()
         self._save()
 
     def _save(self) -> None:
         if self.key_store is not None:
-            self.key_store.write(self.passes.frozen())
+            self.key_store.write(self.passes.snapshot())
 
     def load(self) -> None:
         held = self.key_store.read() if self.key_store is not None else None
         try:
             if held is not None:
-                self.passes.thawed(held, time.time())
+                self.passes.restore(held, time.time())
         except msgspec.MsgspecError as wrong:
             log.error("the kept keys do not read, tokens of before are refused", why=str(wrong))
 
@@ -79,27 +81,29 @@
         if now - self.passes.keys[-1].since > KEY_ROTATION_S:
             self.passes.rotate(secrets.token_bytes(32), now)
             self._save()
-        return self.passes.issue(now, resource, Seen(rack, title, now - asked_ago, now, join_target, package))
+        return self.passes.issue(
+            now, resource, ViewingRecord(rack, title, now - asked_ago, now, join_target, package)
+        )
 
 
 class KeyFileVerifier:
     """The keys of a gateway that runs in another process: read from its file, anew where one is refused."""
 
     def __init__(self, name: str, state_dir: Path) -> None:
-        self.path, self.passes = state_dir / f"{name}.passes", Passes(secrets.token_bytes(32), 0.0)
+        self.path, self.passes = state_dir / f"{name}.passes", ReportTokens(secrets.token_bytes(32), 0.0)
         self.passes.keys = []
         self._read_at = -1e9
 
-    def check(self, now: float, token: str, resource: str) -> Seen | None:
+    def check(self, now: float, token: str, resource: str) -> ViewingRecord | None:
         try:
             return self.passes.check(now, token, resource)
-        except BadPass:
+        except InvalidToken:
             if now - self._read_at < KEY_RELOAD_DELAY_S:
                 raise
             self._read_at = now
-            held = Keep(self.path).read()
+            held = SnapshotStore(self.path).read()
             if held is not None:
-                self.passes.thawed(held, now)
+                self.passes.restore(held, now)
             return self.passes.check(now, token, resource)
 
 
@@ -110,14 +114,14 @@
         name: str,
         others: dict[str, str],
         state_dir: Path | None,
-        check: Callable[[float, str, str], Seen | None],
+        check: Callable[[float, str, str], ViewingRecord | None],
     ) -> None:
         """`others`: where the other gateways' reports are taken, by name. `check` (now, token, viewing)
-        raises `BadPass`."""
+        raises `InvalidToken`."""
         self.loop, self.name, self.others, self.check = loop, name, others, check
-        self.store = Keep(state_dir / f"{name}.quality") if state_dir is not None else None
-        self.limits = Limits(secrets.token_bytes(32))
-        self.judge = Judge()
+        self.store = SnapshotStore(state_dir / f"{name}.quality") if state_dir is not None else None
+        self.limits = ReportRateLimit(secrets.token_bytes(32))
+        self.judge = VerdictTracker()
         self.client = Client(loop)
         self.tally = self._load(time.time_ns())
         self.rack_name: Callable[[str], str] = lambda rack: rack
@@ -129,7 +133,7 @@
     def _load(self, life: int) -> Tally:
         held = self.store.read() if self.store is not None else None
         try:
-            return Tally.thawed(held, life) if held is not None else Tally(self.name, life)
+            return Tally.restore(held, life) if held is not None else Tally(self.name, life)
         except (msgspec.MsgspecError, ValueError) as wrong:  # of another version of the program
             log.error("the kept quality does not read, counting starts anew", why=str(wrong))
             return Tally(self.name, life)
@@ -144,7 +148,7 @@
         """Keeps what was counted, for the next start."""
         self.client.close()
         if self.store is not None:
-            self.store.write(self.tally.frozen())
+            self.store.write(self.tally.snapshot())
 
     # ---- requests ------------------------------------------------------------------------------------------
 
@@ -165,23 +169,23 @@
         now = time.time()
         try:
             if scheme.lower() != "bearer":
-                raise BadPass("a report comes with the token of its viewing's answer")
+                raise InvalidToken("a report comes with the token of its viewing's answer")
             seen = self.check(now, token.strip(), resource)
-        except BadPass as why:
+        except InvalidToken as why:
             self.refused += 1
             raise Refused(401, f"the token is refused: {why}", [("WWW-Authenticate", "Bearer")]) from None
         try:
-            good, bad = reports_in(request.body)
+            good, bad = parse_reports(request.body)
         except ValueError as wrong:
             raise Refused(400, str(wrong)) from None
-        wait = self.limits.asks(now, resource, len(good) + len(bad))
+        wait = self.limits.acquire(now, resource, len(good) + len(bad))
         if wait:
             raise Refused(
                 429, "more reports than one client may send", [("Retry-After", str(math.ceil(wait)))]
             )
         became: dict[str, int] = {}
         for report in sorted(good, key=lambda r: r.sn):
-            word = self.tally.reported(now, resource, report, seen)
+            word = self.tally.on_report(now, resource, report, seen)
             became[word] = became.get(word, 0) + 1
         if bad:
             return problem(
@@ -201,7 +205,7 @@
         told = [SharedWindow(*one) for one in self.tally.summaries(*known)]
         fields = [
             ("Content-Type", "application/json"),
-            (MARK_HEADER, f"{self.tally.life}.{self.tally.changes}"),
+            (MARK_HEADER, f"{self.tally.life}.{self.tally.change_count}"),
         ]
         return Response(200, fields, msgspec.json.encode(told))
 
@@ -218,7 +222,7 @@
                     self._marks[name] = answer.header(MARK_HEADER.lower()) or ""
                 except (TimedOut, ConnectFailed, Interrupted, ValueError, msgspec.MsgspecError):
                     continue  # it is told all since its mark the next time
-            self.tally.forget(int(time.time() // WINDOW) - KEPT)
+            self.tally.remove_before(int(time.time() // WINDOW_S) - STORED_WINDOWS)
 
     def _save_periodically(self) -> None:
         while True:
@@ -228,12 +232,12 @@
                 self._saved_count = taken
                 self._save(self.store)
 
-    def _save(self, keep: Keep) -> None:
+    def _save(self, keep: SnapshotStore) -> None:
         if len(self.tally.clocks) <= MAX_INLINE_VIEWINGS:
-            keep.write(self.tally.frozen())
+            keep.write(self.tally.snapshot())
             return
         # Guards against set-ups waiting for a large snapshot: a copy of the process writes it.
-        if run_forked(self.loop, lambda: keep.write(self.tally.frozen())) == 0:
+        if run_forked(self.loop, lambda: keep.write(self.tally.snapshot())) == 0:
             keep.serial += 1
         else:
             log.error("the snapshot was not written", path=str(keep.path))
@@ -242,18 +246,18 @@
         while True:
             self.loop.sleep(VERDICT_INTERVAL_S)
             before = self.judge.verdict.culprits
-            verdict = self.judge.heard(self._compute_verdict(self._totals(VERDICT_WINDOWS)))
+            verdict = self.judge.on_evaluation(self._compute_verdict(self._totals(VERDICT_WINDOWS)))
             if [(c.kind, c.name) for c in verdict.culprits] != [(c.kind, c.name) for c in before]:
                 log.warning("verdict", word=verdict.word)
 
     def _compute_verdict(self, table: dict[str, Cell]) -> Verdict:
         """A look; at a large table in a copy of the process, so that set-ups do not wait for it."""
-        expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= FEW}
+        expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= MIN_VIEWINGS}
         if len(table) <= MAX_INLINE_VIEWINGS:
-            return look(table, expected)
+            return evaluate(table, expected)
         ours, theirs = os.pipe()
         try:
-            told = lambda: discard(os.write(theirs, msgspec.json.encode(look(table, expected))[:65536]))  # noqa: E731
+            told = lambda: discard(os.write(theirs, msgspec.json.encode(evaluate(table, expected))[:65536]))  # noqa: E731
             code = run_forked(self.loop, told)
             return (
                 msgspec.json.decode(os.read(ours, 65536), type=Verdict) if code == 0 else self.judge.verdict
@@ -267,43 +271,43 @@
     def _totals(self, windows: int) -> dict[str, Cell]:
         """Counts of so many windows up to now. Racks are counted by number and named here, so that one that
         a reload renames is the same rack still."""
-        last = int(time.time() // WINDOW) + 1
-        table = self.tally.total(last - windows, last)
+        last = int(time.time() // WINDOW_S) + 1
+        table = self.tally.totals(last - windows, last)
         return {self._with_rack_name(key): cell for key, cell in table.items()}
 
     def _with_rack_name(self, key: str) -> str:
         rack, _, title = key.partition("\t")
         return f"{self.rack_name(rack)}\t{title}"
 
-    def _groups(self, first: int, last: int) -> dict[str, dict[str, Side]]:
+    def _groups(self, first: int, last: int) -> dict[str, dict[str, GroupCounts]]:
         groups = self.tally.groups(first, last)
         return groups | {"rack": {self.rack_name(rack): side for rack, side in groups["rack"].items()}}
 
     def report(self) -> Response:
         """All that people are shown, over all gateways as far as this one has heard."""
-        verdict = self._compute_verdict(self._totals(KEPT))
-        last = int(time.time() // WINDOW) + 1
+        verdict = self._compute_verdict(self._totals(STORED_WINDOWS))
+        last = int(time.time() // WINDOW_S) + 1
         series = {}
-        for w in range(last - KEPT, last):
+        for w in range(last - STORED_WINDOWS, last):
             groups = self._groups(w, w + 1)
             if groups["rack"]:
-                series[str(int(w * WINDOW))] = _encode_groups(groups)
+                series[str(int(w * WINDOW_S))] = _encode_groups(groups)
         told = {
             "gateway": self.name,
             "verdict": msgspec.to_builtins(verdict),
             "counts": self.tally.counts,
             "standing": msgspec.to_builtins(self.judge.verdict),
-            "groups": _encode_groups(self._groups(last - KEPT, last)),
+            "groups": _encode_groups(self._groups(last - STORED_WINDOWS, last)),
             "series": series,
-            "heard_of": sorted(self.tally.others),
+            "heard_of": sorted(self.tally.peers),
         }
         return Response(200, [("Content-Type", "application/json")], msgspec.json.encode(told))
 
 
-def _encode_groups(groups: dict[str, dict[str, Side]]) -> dict[str, dict[str, dict[str, Any]]]:
+def _encode_groups(groups: dict[str, dict[str, GroupCounts]]) -> dict[str, dict[str, dict[str, Any]]]:
     """Counts by kind and name; of start times the median and the 95th percentile, milliseconds."""
 
-    def shown(side: Side) -> dict[str, Any]:
+    def shown(side: GroupCounts) -> dict[str, Any]:
         told = {f: getattr(side, f) for f in (*Cell.__struct_fields__, "starts", "start")}
         return told | {"start_p50": side.start_at(0.5), "start_p95": side.start_at(0.95)}
 
--- a/ledgehitch/quality/tally.py
+++ b/ledgehitch/quality/tally.py
@@ -1,8 +1,8 @@
-"""Reports into counts by window, rack and title, in bounded memory. Free of I/O, clock and chance.
+"""Aggregates reports by window, rack and title in bounded memory. Free of I/O, clock and randomness.
 
-A viewing counts once a window, as good or bad, so that no player moves a count by more than one. Players'
-clocks are used for differences only, each held against the gateway's own time. Tables of one gateway are
-replaced by newer ones of the same gateway: merging is commutative, associative and idempotent.
+A viewing counts once in each window, as good or bad, so that no player changes a count by more than one. Only
+differences of players' clocks are used, and they are checked against the gateway's own time. A newer table of
+a gateway replaces its older one, so that merging is commutative, associative and idempotent.
 """
 
 from collections import OrderedDict
@@ -14,22 +14,24 @@
 from ddsketch.mapping import LogarithmicMapping
 
 from ledgehitch.keyed import RecentKeys
-from ledgehitch.quality.facts import Report, Seen
-
-WINDOW = 10.0  # seconds of the gateway's time in one window
-ALLOWANCE = 30.0  # seconds by which a report may be late and still count
-KEPT = 60  # windows that are kept
-MOST_VIEWINGS = 50_000  # whose clocks are followed; the one heard of longest ago is let go
-MOST_CELLS = 20_000  # of rack and title in a window; further titles count as OTHERS
-MOST_SIDES = 2_000  # groups of one kind in a window whose start times are kept as sketches; the same
+from ledgehitch.quality.facts import Report, ViewingRecord
+
+WINDOW_S = 10.0  # seconds of the gateway's time in one window
+MAX_DELAY_S = 30.0  # seconds by which a report may be late and still count
+STORED_WINDOWS = 60  # windows that are stored
+MAX_VIEWINGS = 50_000  # tracked viewings; the least recently admitted is evicted
+MAX_CELLS = 20_000  # cells of rack and title in a window; further titles count as OTHERS
+MAX_GROUPS = 2_000  # groups of one kind in a window; further titles count as OTHERS
 OTHERS = "(others)"
-FORM = 4  # of what is kept on disk; another form is not read
-DOUBLES, ERROR = 400_000, 1e-4  # reports remembered, at least; share wrongly taken for doubles
-RUNS, JUMPS = 0.05, 2.0  # a clock that runs so much too fast or slow, or jumps so many seconds, is marked
-LONG_ENOUGH = 8.0  # seconds over which a clock's rate is judged
-STALLED = 0.01  # share of the time in stalls from which a viewing is bad
-SLOW_START = 2.0  # join targets from which a start is bad
-MANY_DROPS = 2  # rung drops in one report from which it is bad
+FORMAT_VERSION = 4  # version of the snapshot format; other versions are not read
+# Reports that are remembered, at least, and the share of new reports that are taken for duplicates.
+REMEMBERED_REPORTS, DUPLICATE_ERROR = 400_000, 1e-4
+# The rate error and the jump of a player's clock above which the player is marked.
+MAX_RATE_ERROR, MAX_JUMP_S = 0.05, 2.0
+MIN_RATE_TIME_S = 8.0  # shortest time in seconds over which a clock's rate is checked
+MAX_STALL_SHARE = 0.01  # share of a window spent in stalls above which a viewing is bad
+SLOW_START_FACTOR = 2.0  # multiple of the join target above which a start is bad
+MIN_BAD_DROPS = 2  # rung drops in one report from which a viewing is bad
 
 
 class Cell(msgspec.Struct):
@@ -48,12 +50,14 @@
 
 Table = dict[str, Cell]  # by "rack\ttitle"
 KINDS = ("rack", "title", "package", "rung")
-STARTS = LogarithmicMapping(0.05)  # start times are kept to 5% of themselves
+STARTS = LogarithmicMapping(0.05)  # start times are stored with a relative accuracy of 5%
 
 
-class Side(Cell):
-    """Counts of one rack, title, package or rung in one window. `start` sums the starts' milliseconds,
-    `sketch` counts them by the mapping's key."""
+class GroupCounts(Cell):
+    """Counts of one rack, title, package or rung in one window.
+
+    `start` is the sum of the start times in milliseconds, `sketch` their histogram by the mapping's key.
+    """
 
     start: int = 0
     sketch: dict[int, int] = {}
@@ -62,7 +66,7 @@
     def starts(self) -> int:
         return sum(self.sketch.values())
 
-    def merge(self, other: "Side") -> None:
+    def merge(self, other: "GroupCounts") -> None:
         self.add(other)
         self.start += other.start
         for key, n in other.sketch.items():
@@ -74,7 +78,7 @@
         self.sketch[key] = self.sketch.get(key, 0) + 1
 
     def start_at(self, share: float) -> float | None:
-        """The start time, milliseconds, that `share` of the starts do not exceed, to 5%; None without any."""
+        """Returns the quantile `share` of the start times in milliseconds, to 5%; None without any."""
         rank, passed = share * (self.starts - 1), 0
         for key in sorted(self.sketch):
             passed += self.sketch[key]
@@ -84,23 +88,25 @@
 
 
 class Window(msgspec.Struct):
-    """One window of one gateway: by rack and title together, and by each kind of group ("kind\tname")."""
+    """One window of one gateway: cells by rack and title, and counts by kind of group ("kind\tname")."""
 
     cells: dict[str, Cell] = {}
-    sides: dict[str, Side] = {}
+    sides: dict[str, GroupCounts] = {}
 
 
 @dataclass(slots=True)
-class _Clock:
-    seen: Seen
-    offset: float | None = None  # least of (gateway's time - player's time): the delay-free one
+class _PlayerClock:
+    """The clock of a player, and what its viewing counts as."""
+
+    seen: ViewingRecord
+    offset: float | None = None  # smallest (gateway's time - player's time), which has the least delay
     first_ts: float = 0.0
     last_ts: float = 0.0
     last_sn: int = -1
     marked: str = ""
-    windows: dict[int, int] = field(default_factory=dict)  # what it counts as, by window: bits
-    rungs: dict[int, int] = field(default_factory=dict)  # the rung that it counts under, by window
-    stalls: dict[int, float] = field(default_factory=dict)
+    windows: dict[int, int] = field(default_factory=dict)  # by window: the bits of `BITS` that are counted
+    rungs: dict[int, int] = field(default_factory=dict)  # by window: the rung under which it is counted
+    stalls: dict[int, float] = field(default_factory=dict)  # by window: seconds of stalls
 
 
 BITS = {"stalled": 1, "slow": 2, "dropped": 4}
@@ -108,63 +114,68 @@
 
 @dataclass
 class Counts:
+    """Reports by result."""
+
     taken: int = 0
     doubles: int = 0
     late: int = 0
     unknown: int = 0
-    marked: dict[str, int] = field(default_factory=dict)  # reports of players whose clocks cannot be used
-    impossible: int = 0  # durations longer than the time that passed
+    marked: dict[str, int] = field(default_factory=dict)  # reports of players with implausible clocks
+    impossible: int = 0  # durations longer than the elapsed time
 
 
 class Tally:
-    """One gateway's counts, and the newest tables that others told. `life` rises with each start."""
+    """One gateway's counts, and the latest tables of other gateways. `life` grows with each start."""
 
     def __init__(self, source: str, life: int) -> None:
         self.source, self.life = source, life
         self.counts = Counts()
-        self.clocks: OrderedDict[str, _Clock] = OrderedDict()
+        self.clocks: OrderedDict[str, _PlayerClock] = OrderedDict()
         self.windows: dict[int, Window] = {}
-        self.changes = 0  # reports that were counted
-        self.versions: dict[int, int] = {}  # by window: `changes` when it last changed
-        # By source and window: life, version, window.
-        self.others: dict[str, dict[int, tuple[int, int, Window]]] = {}
-        self._doubles = RecentKeys(DOUBLES, ERROR)
+        self.change_count = 0  # counted reports
+        self.versions: dict[int, int] = {}  # by window: value of `change_count` at its last change
+        # By source and window: life, version, counts.
+        self.peers: dict[str, dict[int, tuple[int, int, Window]]] = {}
+        self._seen_reports = RecentKeys(REMEMBERED_REPORTS, DUPLICATE_ERROR)
 
     # ---- reports -------------------------------------------------------------------------------------------
 
-    def admitted(self, viewing: str, seen: Seen) -> None:
-        self.clocks[viewing] = _Clock(seen)
+    def on_viewing_admitted(self, viewing: str, seen: ViewingRecord) -> None:
+        """A viewing was admitted; evicts the oldest ones above the limit."""
+        self.clocks[viewing] = _PlayerClock(seen)
         self.clocks.move_to_end(viewing)
-        while len(self.clocks) > MOST_VIEWINGS:
+        while len(self.clocks) > MAX_VIEWINGS:
             self.clocks.popitem(last=False)
 
-    def reported(self, now: float, viewing: str, report: Report, seen: Seen | None = None) -> str:
-        """Takes one report; what became of it: taken, double, late, unknown, or why it is marked.
-        `seen`: what the gateway saw of the viewing, for one that is not known here yet."""
+    def on_report(self, now: float, viewing: str, report: Report, seen: ViewingRecord | None = None) -> str:
+        """Counts one report; returns "taken", "double", "late", "unknown" or why the player is marked.
+
+        `seen` is the gateway's record of the viewing, in case the viewing is not known here.
+        """
         clock = self.clocks.get(viewing)
         if clock is None and seen is not None:
-            self.admitted(viewing, seen)
+            self.on_viewing_admitted(viewing, seen)
             clock = self.clocks[viewing]
         if clock is None:
             self.counts.unknown += 1
             return "unknown"
-        if self._doubles.check_and_add(f"{viewing}/{report.sn}".encode()):
+        if self._seen_reports.check_and_add(f"{viewing}/{report.sn}".encode()):
             self.counts.doubles += 1
             return "double"
-        at = self._when(now, clock, report)
-        self._held_against(now, clock, report)
+        at = self._report_time(now, clock, report)
+        self._check_clock(now, clock, report)
         if clock.marked:
             self.counts.marked[clock.marked] = self.counts.marked.get(clock.marked, 0) + 1
             return clock.marked
-        if at < now - ALLOWANCE:
+        if at < now - MAX_DELAY_S:
             self.counts.late += 1
             return "late"
         self._count(clock, report, at)
         self.counts.taken += 1
         return "taken"
 
-    def _when(self, now: float, clock: _Clock, report: Report) -> float:
-        """When the report was made, in the gateway's time: by the least delay seen, never in the future."""
+    def _report_time(self, now: float, clock: _PlayerClock, report: Report) -> float:
+        """Returns when the report was made in the gateway's time, by the smallest delay, at most `now`."""
         ts = report.ts / 1000
         offset = now - ts
         if clock.offset is None:
@@ -173,18 +184,18 @@
             clock.offset = offset
         return max(min(now, ts + clock.offset), clock.seen.answered_at)
 
-    def _held_against(self, now: float, clock: _Clock, report: Report) -> None:
+    def _check_clock(self, now: float, clock: _PlayerClock, report: Report) -> None:
         ts = report.ts / 1000
         newer = report.sn > clock.last_sn
         if clock.last_sn >= 0 and newer:
-            if ts < clock.last_ts - JUMPS:
+            if ts < clock.last_ts - MAX_JUMP_S:
                 clock.marked = clock.marked or "its clock jumps back"
             elif ts == clock.last_ts:
                 clock.marked = clock.marked or "its clock stands still"
-        # Guards against players that hold their first reports back: what passed is counted from the answer,
-        # before which no report was made, not from when the first one came.
+        # A player may hold its first reports back, so the elapsed time counts from the answer, before which
+        # no report was made, rather than from the arrival of the first one.
         ran, passed = ts - clock.first_ts, now - clock.seen.answered_at
-        if passed > LONG_ENOUGH and newer and ran > passed * (1 + RUNS) + JUMPS:
+        if passed > MIN_RATE_TIME_S and newer and ran > passed * (1 + MAX_RATE_ERROR) + MAX_JUMP_S:
             clock.marked = clock.marked or "its clock runs fast or jumps ahead"
         if newer:
             clock.last_sn, clock.last_ts = report.sn, ts
@@ -195,19 +206,19 @@
             self.counts.impossible += 1
             clock.marked = clock.marked or "it stalls longer than it plays"
 
-    def _count(self, clock: _Clock, report: Report, at: float) -> None:
-        window = int(at // WINDOW)
+    def _count(self, clock: _PlayerClock, report: Report, at: float) -> None:
+        window = int(at // WINDOW_S)
         seen = clock.seen
         bits = 0
         clock.stalls[window] = clock.stalls.get(window, 0.0) + sum(report.bsd) / 1000
-        if clock.stalls[window] > STALLED * WINDOW:
+        if clock.stalls[window] > MAX_STALL_SHARE * WINDOW_S:
             bits |= BITS["stalled"]
-        slow = report.msd is not None and report.msd / 1000 > SLOW_START * seen.join_target
-        bits |= BITS["slow"] * slow | BITS["dropped"] * (report.drops >= MANY_DROPS)
+        slow = report.msd is not None and report.msd / 1000 > SLOW_START_FACTOR * seen.join_target
+        bits |= BITS["slow"] * slow | BITS["dropped"] * (report.drops >= MIN_BAD_DROPS)
         before = clock.windows.get(window, -1)
         rung = clock.rungs.setdefault(window, report.rung)
         had = max(0, before)
-        cell, sides = self._counts(window, seen, rung)
+        cell, sides = self._counts_of(window, seen, rung)
         for counts in (cell, *sides):
             counts.viewings += before < 0
             counts.bad += bool(bits) and not had
@@ -222,113 +233,118 @@
             oldest = min(clock.windows)
             for held in (clock.windows, clock.rungs, clock.stalls):
                 held.pop(oldest, None)
-        self.changes += 1
-        self.versions[window] = self.changes
+        self.change_count += 1
+        self.versions[window] = self.change_count
 
-    def _counts(self, window: int, seen: Seen, rung: int) -> tuple[Cell, list[Side]]:
-        """All that a viewing counts in: its rack and title together, and each group that it is of."""
+    def _counts_of(self, window: int, seen: ViewingRecord, rung: int) -> tuple[Cell, list[GroupCounts]]:
+        """Returns the counts of a viewing: the cell of its rack and title, and each of its groups."""
         held = self.windows.get(window)
         if held is None:
             held = self.windows[window] = Window()
-            while len(self.windows) > KEPT:
+            while len(self.windows) > STORED_WINDOWS:
                 oldest = min(self.windows)
                 del self.windows[oldest], self.versions[oldest]
         key = f"{seen.rack}\t{seen.title}"
-        if key not in held.cells and len(held.cells) >= MOST_CELLS:
+        if key not in held.cells and len(held.cells) >= MAX_CELLS:
             key = f"{seen.rack}\t{OTHERS}"
         sides = []
         for kind, name in zip(KINDS, (seen.rack, seen.title, seen.package, str(rung)), strict=True):
             group = f"{kind}\t{name}"
-            if kind == "title" and group not in held.sides and len(held.sides) >= MOST_SIDES:
+            if kind == "title" and group not in held.sides and len(held.sides) >= MAX_GROUPS:
                 group = f"{kind}\t{OTHERS}"
-            sides.append(held.sides.setdefault(group, Side()))
+            sides.append(held.sides.setdefault(group, GroupCounts()))
         return held.cells.setdefault(key, Cell()), sides
 
     # ---- exchange ------------------------------------------------------------------------------------------
 
     def summaries(self, life: int = 0, after: int = 0) -> Iterator[tuple[str, int, int, int, Window]]:
-        """Own windows as they are told to others: source, window, life, version, window. All of them, or to
-        who heard of the first `after` changes in this life those that changed since."""
+        """Yields the own windows for other gateways: source, window, life, version and counts.
+
+        For a receiver that has the first `after` changes of this life, it yields only windows that changed
+        since.
+        """
         for window, held in self.windows.items():
             if life != self.life or self.versions[window] > after:
                 yield self.source, window, self.life, self.versions[window], held
 
     def merge(self, source: str, window: int, life: int, version: int, told: Window) -> bool:
-        """Takes another gateway's window if it is newer than what is known; whether it was."""
+        """Stores another gateway's window if it is newer than the known one; returns whether it was."""
         if source == self.source:
             return False
-        held = self.others.setdefault(source, {})
+        held = self.peers.setdefault(source, {})
         known = held.get(window)
         if known is not None and (life, version) <= known[:2]:
             return False
         held[window] = life, version, told
-        while len(held) > KEPT:
+        while len(held) > STORED_WINDOWS:
             del held[min(held)]
         return True
 
-    def forget(self, before: int) -> None:
-        """Lets go of windows before this one that others told, and of who told no later one: a gateway that
-        left is not remembered for ever."""
-        for source in list(self.others):
-            held = self.others[source]
+    def remove_before(self, before: int) -> None:
+        """Removes other gateways' windows before this one, and gateways without later ones.
+
+        Otherwise gateways that left would be held for ever.
+        """
+        for source in list(self.peers):
+            held = self.peers[source]
             for window in [w for w in held if w < before]:
                 del held[window]
             if not held:
-                del self.others[source]
+                del self.peers[source]
 
-    def _within(self, first: int, last: int) -> Iterator[Window]:
+    def _windows_between(self, first: int, last: int) -> Iterator[Window]:
         yield from (held for w, held in self.windows.items() if first <= w < last)
-        for told in self.others.values():
+        for told in self.peers.values():
             yield from (t[2] for w, t in told.items() if first <= w < last)
 
-    def total(self, first: int, last: int) -> Table:
-        """Counts of all gateways over windows from `first` up to `last`, not included."""
+    def totals(self, first: int, last: int) -> Table:
+        """Returns the counts of all gateways over the windows from `first` to `last`, exclusive."""
         out: Table = {}
-        for window in self._within(first, last):
+        for window in self._windows_between(first, last):
             for key, cell in window.cells.items():
                 out.setdefault(key, Cell()).add(cell)
         return out
 
-    def groups(self, first: int, last: int) -> dict[str, dict[str, Side]]:
-        """The same by kind of group and name, with sketches of start times."""
-        out: dict[str, dict[str, Side]] = {kind: {} for kind in KINDS}
-        for window in self._within(first, last):
+    def groups(self, first: int, last: int) -> dict[str, dict[str, GroupCounts]]:
+        """Returns the same by kind of group and name, with sketches of start times."""
+        out: dict[str, dict[str, GroupCounts]] = {kind: {} for kind in KINDS}
+        for window in self._windows_between(first, last):
             for key, side in window.sides.items():
                 kind, _, name = key.partition("\t")
-                out.setdefault(kind, {}).setdefault(name, Side()).merge(side)
+                out.setdefault(kind, {}).setdefault(name, GroupCounts()).merge(side)
         return out
 
-    # ---- for the file --------------------------------------------------------------------------------------
+    # ---- snapshot ------------------------------------------------------------------------------------------
 
-    def frozen(self) -> dict[str, Any]:
-        """All that a restart needs so that nothing counts twice: tables, filters, clocks."""
+    def snapshot(self) -> dict[str, Any]:
+        """Returns what a restart needs so that no report counts twice: tables, filters, clocks."""
         return {
             "source": self.source,
             "life": self.life,
             "windows": self.windows,
             "versions": self.versions,
-            "others": self.others,
+            "others": self.peers,
             "counts": self.counts,
-            "doubles": self._doubles.snapshot(),
-            "form": FORM,
+            "doubles": self._seen_reports.snapshot(),
+            "form": FORMAT_VERSION,
             "clocks": dict(self.clocks),
         }
 
     @classmethod
-    def thawed(cls, held: Any, life: int) -> "Tally":
-        """What was kept, in a new life: own tables are told anew under it and replace what others hold."""
-        data = msgspec.convert(held, _Kept)
-        if data.form != FORM:
-            raise ValueError(f"form {data.form}, this program writes {FORM}")
+    def restore(cls, held: Any, life: int) -> "Tally":
+        """Restores a snapshot in a new life, under which the own tables replace those that others hold."""
+        data = msgspec.convert(held, _Snapshot)
+        if data.form != FORMAT_VERSION:
+            raise ValueError(f"snapshot format {data.form}, expected {FORMAT_VERSION}")
         tally = cls(data.source, max(life, data.life + 1))
-        tally.windows, tally.versions, tally.others = data.windows, data.versions, data.others
-        tally.counts, tally.changes = data.counts, max(data.versions.values(), default=0)
-        tally._doubles.restore(data.doubles)
+        tally.windows, tally.versions, tally.peers = data.windows, data.versions, data.others
+        tally.counts, tally.change_count = data.counts, max(data.versions.values(), default=0)
+        tally._seen_reports.restore(data.doubles)
         tally.clocks = OrderedDict(data.clocks)
         return tally
 
 
-class _Kept(msgspec.Struct):
+class _Snapshot(msgspec.Struct):
     form: int
     source: str
     life: int
@@ -337,4 +353,4 @@
     others: dict[str, dict[int, tuple[int, int, Window]]]
     counts: Counts
     doubles: list[Any]
-    clocks: dict[str, _Clock]
+    clocks: dict[str, _PlayerClock]
