--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -26,7 +26,7 @@
 from ledgehitch import brain, interface
 from ledgehitch.config.load import load
 from ledgehitch.fleet.carry import Caller
-from ledgehitch.fleet.found import Target, counted
+from ledgehitch.fleet.found import Target, count_by_kind
 from ledgehitch.gateway.roll import HostList, HostListUpdate
 from ledgehitch.loop import Loop
 from ledgehitch.owners.facts import BUDGETS, DUTIES
@@ -322,7 +322,7 @@
         finally:
             child.kill()
             child.wait()
-    answered = counted(found).get("answered", 0)
+    answered = count_by_kind(found).get("answered", 0)
     return {"status": (took, {"seconds": took, "cpu_s": spent, "answered": answered})}
 
 
--- a/benchmarks/fleet_many.py
+++ b/benchmarks/fleet_many.py
@@ -16,7 +16,7 @@
 from ledgehitch.config import Day
 from ledgehitch.daemon.facts import VERSION, Counts, State
 from ledgehitch.fleet.carry import Caller
-from ledgehitch.fleet.found import Target, counted
+from ledgehitch.fleet.found import Target, count_by_kind
 from ledgehitch.http import Request, Response, Server
 from ledgehitch.lab.facts import PORTS
 from ledgehitch.loop import Loop, endpoint
@@ -66,7 +66,7 @@
         finally:
             child.kill()
             child.wait()
-    return {"asked": STANDINS, "found": counted(found), "took_s": round(took, 2)}
+    return {"asked": STANDINS, "found": count_by_kind(found), "took_s": round(took, 2)}
 
 
 def restarts(way: str, gateways: int = 290, hosts: int = 140, length: float = 80.0) -> dict[str, Any]:
--- a/ledgehitch/cli/fleet.py
+++ b/ledgehitch/cli/fleet.py
@@ -16,12 +16,12 @@
 from ledgehitch.config.site import stated
 from ledgehitch.daemon.facts import PlanCall, PlanWords
 from ledgehitch.fleet.carry import WITHIN, Caller, Work, trusted
-from ledgehitch.fleet.found import Found, Target, counted
+from ledgehitch.fleet.found import QueryResult, Target, count_by_kind
 from ledgehitch.fleet.held import id_of, latest
 from ledgehitch.fleet.journal import Journal, head_of, lines_of, plan_of, unfinished
 from ledgehitch.fleet.owned import Said, cannot_vote, owned
 from ledgehitch.fleet.owned import read as read_owners
-from ledgehitch.fleet.plan import Action, Over, Plan, Rolling, Terms, foretold
+from ledgehitch.fleet.plan import Action, Finished, Plan, RollingChange, Terms, preview_groups
 from ledgehitch.fleet.shared import Told, divided, remarks
 from ledgehitch.fleet.shared import read as read_budgets
 from ledgehitch.fleet.show import COLOURS, line_words
@@ -76,9 +76,9 @@
         client = trusted(loop, Keys(self.cert.parent), self.cert, names)
         return Caller(loop, self.within, client)
 
-    def found(self, only: tuple[str, ...] = ()) -> list[Found]:
+    def found(self, only: tuple[str, ...] = ()) -> list[QueryResult]:
         loop = Loop()
-        found: list[Found] = loop.run(lambda: self.caller(loop).ask_all(self.targets(only)))
+        found: list[QueryResult] = loop.run(lambda: self.caller(loop).ask_all(self.targets(only)))
         return found
 
     def asked(
@@ -188,11 +188,11 @@
     else:
         console = Console(highlight=False, width=None if sys.stdout.isatty() else 140)
         console.print(table_of(found, {t.name: t for t in work.targets(gateways)}))
-        console.print(", ".join(f"{n} {kind}" for kind, n in counted(found).items()))
+        console.print(", ".join(f"{n} {kind}" for kind, n in count_by_kind(found).items()))
     sys.exit(0 if all(f.kind in GOOD for f in found) else 1)
 
 
-def table_of(found: list[Found], targets: dict[str, Target]) -> Table:
+def table_of(found: list[QueryResult], targets: dict[str, Target]) -> Table:
     table = Table(
         "gateway", "hall", "rack", "is", "viewings", "asked", "blocked", "p50", "p99", "up", "why", box=None
     )
@@ -276,7 +276,7 @@
         made = time.strftime("%Y%m%d-%H%M%S", time.gmtime())
         plan = Plan(f"{made}-{os.getpid()}-{action}", action, work.targets(gateways), terms, digest)
         if only_plan:
-            for number, group in enumerate(foretold(plan), 1):
+            for number, group in enumerate(preview_groups(plan), 1):
                 click.echo(f"{number}. {action} {', '.join(group)}")
             return
         if by_fleet:
@@ -424,16 +424,16 @@
 
 def _work(work: Fleet, journal: Journal, plan: Plan) -> None:
     loop = Loop()
-    rolling = Rolling(time.monotonic(), plan, journal.lines[1:])
+    rolling = RollingChange(time.monotonic(), plan, journal.lines[1:])
 
     def tell(line: dict[str, Any]) -> None:
         click.echo(line_words(line))
 
     try:
-        over: Over = loop.run(lambda: Work(loop, work.caller(loop), journal, rolling, tell).run())
+        over: Finished = loop.run(lambda: Work(loop, work.caller(loop), journal, rolling, tell).run())
     finally:
         journal.close()
-    click.echo(", ".join(f"{n} {step}" for step, n in sorted(rolling.told().items())))
+    click.echo(", ".join(f"{n} {step}" for step, n in sorted(rolling.count_by_step().items())))
     if not over.ended:
         click.echo(f"stopped: {over.why}\njournal: {journal.path}; go on with `fleet resume`", err=True)
         sys.exit(1)
@@ -506,7 +506,7 @@
     words += ["--admin-dir", str(work.admin_dir)] if work.admin_dir is not None else []
     words += ["--cert", str(work.cert)] if work.cert is not None else []
 
-    async def feed() -> tuple[list[Found], list[dict[str, Any]]]:
+    async def feed() -> tuple[list[QueryResult], list[dict[str, Any]]]:
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -522,6 +522,6 @@
         if child.returncode not in (0, 1):
             raise ValueError(err.decode("utf-8", "replace").strip()[-200:])
         newest = sorted(work.plans.glob("*.journal"))
-        return msgspec.json.decode(out, type=list[Found]), lines_of(newest[-1]) if newest else []
+        return msgspec.json.decode(out, type=list[QueryResult]), lines_of(newest[-1]) if newest else []
 
     FleetScreen(feed, {t.name: t.zone for t in work.targets()}, every).run()
--- a/ledgehitch/fleet/carry.py
+++ b/ledgehitch/fleet/carry.py
@@ -8,8 +8,15 @@
 import msgspec
 
 from ledgehitch.daemon.facts import Drain, Fenced, Reload
-from ledgehitch.fleet.found import Found, Target, judged, unheard
-from ledgehitch.fleet.plan import Ask, Call, Joins, Over, Rolling, Write
+from ledgehitch.fleet.found import QueryResult, Target, classify_answer, no_answer
+from ledgehitch.fleet.plan import (
+    AppendLine,
+    CallGateway,
+    Finished,
+    JoinStatistics,
+    QueryGateway,
+    RollingChange,
+)
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Response
 from ledgehitch.keys.contexts import context
 from ledgehitch.keys.judge import Refused, shown, taken
@@ -27,7 +34,7 @@
     def __init__(self, loop: Loop, within: float = WITHIN, client: Client | None = None) -> None:
         self.loop, self.within, self.client = loop, within, client or Client(loop)
 
-    def ask(self, target: Target) -> Found:
+    def ask(self, target: Target) -> QueryResult:
         began = time.monotonic()
 
         def took() -> float:
@@ -37,20 +44,20 @@
             with self.loop.deadline(self.within):
                 answer = self.state(target)
         except TimedOut:
-            return unheard(target, "silent", f"no whole answer in {self.within:g} s", took())
+            return no_answer(target, "silent", f"no whole answer in {self.within:g} s", took())
         except ConnectFailed as why:
-            return unheard(target, "refused", str(why), took())
+            return no_answer(target, "refused", str(why), took())
         except (Interrupted, ValueError) as why:
-            return unheard(target, "unknown", f"what came is no answer: {why}", took())
+            return no_answer(target, "unknown", f"what came is no answer: {why}", took())
         version = answer.header("admin-version") or ""
-        return judged(target, took(), self.within, answer.status, version, answer.body)
+        return classify_answer(target, took(), self.within, answer.status, version, answer.body)
 
     def state(self, target: Target) -> Response:
         return self.client.request(target.at, "GET", "/v1/state")
 
-    def ask_all(self, targets: Sequence[Target]) -> list[Found]:
+    def ask_all(self, targets: Sequence[Target]) -> list[QueryResult]:
         """All of them, some at a time, in the order in which they were named."""
-        found: dict[str, Found] = {}
+        found: dict[str, QueryResult] = {}
         left = list(targets)[::-1]
 
         def some() -> None:
@@ -63,7 +70,7 @@
             task.wait()
         return [found[t.name] for t in targets]
 
-    def call(self, target: Target, call: Call, within: float) -> tuple[int, str]:
+    def call(self, target: Target, call: CallGateway, within: float) -> tuple[int, str]:
         """The status, 0 without an answer, and what it says."""
         what: Reload | Drain | None = None
         path = "drain"
@@ -114,14 +121,14 @@
         loop: Loop,
         caller: Caller,
         journal: Lines,
-        rolling: Rolling,
+        rolling: RollingChange,
         tell: Callable[[dict[str, Any]], None],
     ) -> None:
         self.loop, self.caller, self.journal, self.rolling, self.tell = loop, caller, journal, rolling, tell
         self.targets = {t.name: t for t in rolling.plan.targets}
         self.news = Event(loop)
 
-    def run(self) -> Over:
+    def run(self) -> Finished:
         self._measure()
         watching = self.loop.spawn(self._watch, name="joins")
         try:
@@ -129,14 +136,14 @@
                 now = time.monotonic()
                 while (decision := self.rolling.decide(now)) is not None:
                     match decision:
-                        case Write(line):
+                        case AppendLine(line):
                             self.journal.append({**line, "t": round(time.time(), 3)})
                             self.tell(dict(line))
-                        case Ask(name):
+                        case QueryGateway(name):
                             self.loop.spawn(self._ask, name, name=f"ask {name}")
-                        case Call() as call:
+                        case CallGateway() as call:
                             self.loop.spawn(self._call, call, name=f"call {call.name}")
-                        case Over() as over:
+                        case Finished() as over:
                             return over
                 wake = self.rolling.wake_at(now)
                 try:
@@ -152,29 +159,29 @@
         """What joins are like before the first step."""
         if self.rolling.baseline is not None:
             return
-        joins = Joins()
+        joins = JoinStatistics()
         targets = list(self.targets.values())
         for look in range(2):
             for found in self.caller.ask_all(targets):
-                joins.heard(found)
-                self.rolling.since.heard(found)
+                joins.add(found)
+                self.rolling.joins.add(found)
             if look == 0:
                 self.loop.sleep(min(LOOKED_OVER, self.rolling.plan.terms.settle))
-        self.rolling.measured(joins)
+        self.rolling.on_baseline_measured(joins)
 
     def _watch(self) -> None:
         while True:
             self.loop.sleep(LOOKED_OVER)
             for found in self.caller.ask_all(list(self.targets.values())):
-                self.rolling.since.heard(found)
+                self.rolling.joins.add(found)
 
     def _ask(self, name: str) -> None:
         found = self.caller.ask(self.targets[name])
-        self.rolling.found(time.monotonic(), found)
+        self.rolling.on_query_result(time.monotonic(), found)
         self.news.set()
 
-    def _call(self, call: Call) -> None:
+    def _call(self, call: CallGateway) -> None:
         within = self.rolling.plan.terms.within
         status, why = self.caller.call(self.targets[call.name], call, within)
-        self.rolling.called(time.monotonic(), call.name, status, why)
+        self.rolling.on_call_result(time.monotonic(), call.name, status, why)
         self.news.set()
--- a/ledgehitch/fleet/found.py
+++ b/ledgehitch/fleet/found.py
@@ -11,7 +11,7 @@
 from ledgehitch.daemon.facts import VERSION, State
 
 Kind = Literal["answered", "draining", "slow", "refused", "silent", "impostor", "wrong version", "unknown"]
-SLOW = 0.5  # part of the deadline after which an answer counts as slow
+SLOW_SHARE = 0.5  # part of the deadline after which an answer counts as slow
 
 
 class Target(msgspec.Struct, frozen=True):
@@ -23,7 +23,7 @@
     rack: str = ""
 
 
-class Found(msgspec.Struct, frozen=True):
+class QueryResult(msgspec.Struct, frozen=True):
     """`why` in words for people; `state` where it told one that can be believed."""
 
     name: str
@@ -33,36 +33,42 @@
     state: State | None = None
 
 
-def judged(target: Target, took: float, within: float, status: int, version: str, body: bytes) -> Found:
+def classify_answer(
+    target: Target, took: float, within: float, status: int, version: str, body: bytes
+) -> QueryResult:
     """An answer came."""
     if status in (401, 403):
-        return Found(target.name, "refused", "it does not take this certificate", took)
+        return QueryResult(target.name, "refused", "it does not take this certificate", took)
     if version != VERSION:
         spoken = f"version {version}" if version else "no version"
-        return Found(target.name, "wrong version", f"its admin call has {spoken}, this tool {VERSION}", took)
+        return QueryResult(
+            target.name, "wrong version", f"its admin call has {spoken}, this tool {VERSION}", took
+        )
     if status != 200:
-        return Found(target.name, "unknown", f"it answers {status}", took)
+        return QueryResult(target.name, "unknown", f"it answers {status}", took)
     try:
         state = msgspec.json.decode(body, type=State)
     except msgspec.MsgspecError as wrong:
-        return Found(target.name, "unknown", f"its state does not read: {wrong}", took)
+        return QueryResult(target.name, "unknown", f"its state does not read: {wrong}", took)
     if state.name != target.name:
-        return Found(target.name, "impostor", f"{state.name} answers at its address", took)
+        return QueryResult(target.name, "impostor", f"{state.name} answers at its address", took)
     if state.phase != "ready":
-        return Found(
+        return QueryResult(
             target.name, "draining", f"{state.phase}: {state.why}" if state.why else state.phase, took, state
         )
-    if took > SLOW * within:
-        return Found(target.name, "slow", f"it took {took:.2f} s", took, state)
-    return Found(target.name, "answered", "", took, state)
+    if took > SLOW_SHARE * within:
+        return QueryResult(target.name, "slow", f"it took {took:.2f} s", took, state)
+    return QueryResult(target.name, "answered", "", took, state)
 
 
-def unheard(target: Target, how: Literal["refused", "silent", "unknown"], why: str, took: float) -> Found:
+def no_answer(
+    target: Target, how: Literal["refused", "silent", "unknown"], why: str, took: float
+) -> QueryResult:
     """No answer came: nobody listens, nothing came in time, or what came is no HTTP."""
-    return Found(target.name, how, why, took)
+    return QueryResult(target.name, how, why, took)
 
 
-def counted(found: Sequence[Found]) -> dict[str, int]:
+def count_by_kind(found: Sequence[QueryResult]) -> dict[str, int]:
     """How many of each kind, the usual first."""
     out: dict[str, int] = {}
     for kind in get_args(Kind):
--- a/ledgehitch/fleet/onduty.py
+++ b/ledgehitch/fleet/onduty.py
@@ -16,9 +16,9 @@
 from ledgehitch.daemon.owning import Owning
 from ledgehitch.daemon.run import Daemon
 from ledgehitch.fleet.carry import Caller, Work, trusted
-from ledgehitch.fleet.found import Found, Target, unheard
+from ledgehitch.fleet.found import QueryResult, Target, no_answer
 from ledgehitch.fleet.held import NotNow, after, id_of, latest
-from ledgehitch.fleet.plan import Call, Over, Plan, Rolling
+from ledgehitch.fleet.plan import CallGateway, Finished, Plan, RollingChange
 from ledgehitch.fleet.show import line_words
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Refused, Response
 from ledgehitch.http.client import TLS
@@ -57,13 +57,13 @@
     def state(self, target: Target) -> Response:
         return self.post(target, "fence", Fence())
 
-    def ask(self, target: Target) -> Found:
+    def ask(self, target: Target) -> QueryResult:
         try:
             return super().ask(target)
         except NotOwner:
-            return unheard(target, "unknown", "no owner any more", 0.0)
+            return no_answer(target, "unknown", "no owner any more", 0.0)
 
-    def call(self, target: Target, call: Call, within: float) -> tuple[int, str]:
+    def call(self, target: Target, call: CallGateway, within: float) -> tuple[int, str]:
         if call.action != "restart":
             return 400, "the fleet carries out restarts alone"
         try:
@@ -79,7 +79,7 @@
         self.term = 0
         self.words: PlanWords | None = None  # as it lies with a majority
         self.known = False  # whether a majority has told what it knows
-        self.rolling: Rolling | None = None
+        self.rolling: RollingChange | None = None
         self.news = Event(loop)
         self._changing: Event | None = None
         self._version = 0
@@ -92,7 +92,7 @@
             return "no plan"
         if self.rolling is None or words.word != "go":
             return f"{id_of(words)}: {words.word}" + (f", {words.why}" if words.why else "")
-        told = ", ".join(f"{n} {step}" for step, n in sorted(self.rolling.told().items()))
+        told = ", ".join(f"{n} {step}" for step, n in sorted(self.rolling.count_by_step().items()))
         return f"{id_of(words)}: {told}"
 
     # ---- a term --------------------------------------------------------------------------------------------
@@ -188,9 +188,9 @@
         assert words is not None
         plan = msgspec.convert(words.plan, Plan)
         before = [] if words.share is None else [{"ev": "baseline", "share": words.share}]
-        self.rolling = Rolling(time.monotonic(), plan, before, learnt=True)
+        self.rolling = RollingChange(time.monotonic(), plan, before, learnt=True)
         work = Work(self.loop, caller, _Lines(self, caller), self.rolling, self._tell)
-        ends: list[Over] = []
+        ends: list[Finished] = []
         news = self.news  # one that is cancelled later must not wake what comes after
 
         def carry() -> None:
--- a/ledgehitch/fleet/plan.py
+++ b/ledgehitch/fleet/plan.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from ledgehitch.fleet.found import Found, Target
+from ledgehitch.fleet.found import QueryResult, Target
 
 Action = Literal["restart", "drain", "undrain", "reload", "retire"]
 Step = Literal["unseen", "planned", "intended", "sent", "back", "done", "failed", "skipped"]
-UNDER_WAY = ("unseen", "intended", "sent", "back")
-ENOUGH = 40  # viewings asked for since, from which on joins are judged
+UNDER_WAY_STEPS = ("unseen", "intended", "sent", "back")
+MIN_JOINS_TO_JUDGE = 40  # viewings asked for since, from which on joins are judged
 
 
 class Terms(msgspec.Struct, frozen=True):
@@ -47,21 +47,21 @@
 
 
 @dataclass(frozen=True)
-class Write:
+class AppendLine:
     """Keep this line on disk before anything else is done."""
 
     line: Mapping[str, Any]
 
 
 @dataclass(frozen=True)
-class Ask:
+class QueryGateway:
     """Find out what this gateway is now."""
 
     name: str
 
 
 @dataclass(frozen=True)
-class Call:
+class CallGateway:
     """Have this gateway do it. `if_boot`: only the life that was found; empty where that does not matter."""
 
     name: str
@@ -71,18 +71,18 @@
 
 
 @dataclass(frozen=True)
-class Over:
+class Finished:
     """The plan is at its end, or stopped: it may be resumed."""
 
     ended: bool
     why: str = ""
 
 
-Decision = Write | Ask | Call | Over
+Decision = AppendLine | QueryGateway | CallGateway | Finished
 
 
 @dataclass
-class One:
+class GatewayProgress:
     """What is known of one gateway of the plan."""
 
     target: Target
@@ -96,14 +96,14 @@
     unsure: bool = False  # taken up from a journal: asked before it is touched
 
 
-def ordered(targets: Sequence[Target]) -> list[Target]:
+def order_targets(targets: Sequence[Target]) -> list[Target]:
     """By hall and rack, and within these by name: what fails together is touched together, one hall after the
     other."""
     return sorted(targets, key=lambda t: (t.zone, t.rack, t.name))
 
 
 @dataclass
-class Joins:
+class JoinStatistics:
     """Viewings asked for and those that were not let play, summed over the lives of gateways."""
 
     asked: int = 0
@@ -111,7 +111,7 @@
     seen: dict[str, tuple[str, int, int]] = field(default_factory=dict)
     p99: dict[str, float] = field(default_factory=dict)  # by gateway, of its last minute
 
-    def heard(self, found: Found) -> None:
+    def add(self, found: QueryResult) -> None:
         if found.state is None:
             return
         c, boot = found.state.counts, found.state.boot
@@ -125,11 +125,11 @@
             self.bad += max(0, bad - (before[2] if same else 0))
         self.seen[found.name] = boot, c.asked, bad
 
-    def share(self) -> float | None:
-        return self.bad / self.asked if self.asked >= ENOUGH else None
+    def failure_share(self) -> float | None:
+        return self.bad / self.asked if self.asked >= MIN_JOINS_TO_JUDGE else None
 
 
-class Rolling:
+class RollingChange:
     ASKED_EVERY = 0.25  # seconds between two questions to one gateway that is under way
 
     def __init__(
@@ -138,8 +138,8 @@
         """`lines`: of the journal, where the plan is taken up again. `learnt`: there is none, what was done
         is learned from the gateways: until one has answered it counts as under way."""
         self.plan = plan
-        self.all = {t.name: One(t) for t in ordered(plan.targets)}
-        self.since = Joins()
+        self.gateways = {t.name: GatewayProgress(t) for t in order_targets(plan.targets)}
+        self.joins = JoinStatistics()
         self.baseline: float | None = None
         self.stopped = ""
         self.over = False
@@ -148,17 +148,17 @@
         for line in lines:
             resumed |= self._replayed(line)
         # Who resumes has seen what had failed until then.
-        self._forgiven = sum(one.step == "failed" for one in self.all.values())
-        for one in self.all.values():
+        self._forgiven = sum(one.step == "failed" for one in self.gateways.values())
+        for one in self.gateways.values():
             if learnt and one.step == "planned":
                 one.step = "unseen"
             one.unsure = one.step in ("intended", "sent", "back")
             one.since = now
         if resumed:
-            self._due.append(Write({"ev": "resumed"}))
+            self._due.append(AppendLine({"ev": "resumed"}))
 
     def _replayed(self, line: Mapping[str, Any]) -> bool:
-        one = self.all.get(str(line.get("gateway", "")))
+        one = self.gateways.get(str(line.get("gateway", "")))
         match line.get("ev"):
             case "intended" if one is not None:
                 one.step, one.boot = "intended", str(line["boot"])
@@ -167,7 +167,7 @@
             case "done" | "failed" | "skipped" as step if one is not None:
                 one.step, one.why = step, str(line.get("why", ""))
             case "again":
-                for failed in [o for o in self.all.values() if o.step == "failed"]:
+                for failed in [o for o in self.gateways.values() if o.step == "failed"]:
                     failed.step, failed.why = "planned", ""
             case "baseline":
                 self.baseline = float(line["share"])
@@ -178,10 +178,10 @@
 
     # ---- what happens --------------------------------------------------------------------------------------
 
-    def found(self, now: float, found: Found) -> None:
+    def on_query_result(self, now: float, found: QueryResult) -> None:
         """What a gateway of the plan is now; also of those that are not under way, for the joins."""
-        self.since.heard(found)
-        one = self.all.get(found.name)
+        self.joins.add(found)
+        one = self.gateways.get(found.name)
         if one is None:
             return
         one.asking = False
@@ -192,9 +192,9 @@
         elif one.step in ("intended", "sent", "back"):
             self._look(now, one, found)
 
-    def called(self, now: float, name: str, status: int, why: str = "") -> None:
+    def on_call_result(self, now: float, name: str, status: int, why: str = "") -> None:
         """What came of a call; status 0: no answer, it may have been carried out."""
-        one = self.all[name]
+        one = self.gateways[name]
         if one.step != "intended":
             return
         if status == 200:
@@ -204,7 +204,7 @@
         else:
             self._to(now, one, "failed", f"answers {status}: {why}"[:200])
 
-    def _begin(self, now: float, one: One, found: Found) -> None:
+    def _begin(self, now: float, one: GatewayProgress, found: QueryResult) -> None:
         state = found.state
         if state is None:
             self._to(now, one, "failed", f"{found.kind}: {found.why}" if found.why else found.kind)
@@ -214,10 +214,10 @@
             return
         one.boot = state.boot
         one.step, one.since = "intended", now
-        self._due.append(Write({"ev": "intended", "gateway": one.target.name, "boot": one.boot}))
+        self._due.append(AppendLine({"ev": "intended", "gateway": one.target.name, "boot": one.boot}))
         self._due.append(self._call(one))
 
-    def _learn(self, now: float, one: One, found: Found) -> None:
+    def _learn(self, now: float, one: GatewayProgress, found: QueryResult) -> None:
         """Guards against a second call to one that a former owner has called: its own words say how far it
         is. One that does not answer may be between two lives, and holds its place until it is overdue."""
         state, ticket = found.state, self.ticket(one.target.name)
@@ -233,7 +233,7 @@
         else:
             one.step = "planned"
 
-    def _already(self, one: One, found: Found) -> bool:
+    def _already(self, one: GatewayProgress, found: QueryResult) -> bool:
         state = found.state
         assert state is not None
         match self.plan.action:
@@ -249,10 +249,10 @@
                 return bool(self.plan.digest) and state.config.get("runs") == self.plan.digest
         return False
 
-    def _call(self, one: One) -> Call:
-        return Call(one.target.name, self.plan.action, one.boot, self.ticket(one.target.name))
+    def _call(self, one: GatewayProgress) -> CallGateway:
+        return CallGateway(one.target.name, self.plan.action, one.boot, self.ticket(one.target.name))
 
-    def _look(self, now: float, one: One, found: Found) -> None:
+    def _look(self, now: float, one: GatewayProgress, found: QueryResult) -> None:
         """A gateway that is under way answered, or did not."""
         state, unsure = found.state, one.unsure
         if state is not None:
@@ -294,7 +294,7 @@
             why = f"{found.kind}: {found.why}" if found.why else found.kind
             self._to(now, one, "failed", f"not back in {self._allowed():g} s, {why}")
 
-    def _reached(self, one: One, found: Found) -> bool:
+    def _reached(self, one: GatewayProgress, found: QueryResult) -> bool:
         state = found.state
         assert state is not None
         if self.plan.action == "reload" and self.plan.digest:
@@ -305,7 +305,7 @@
             return state.phase in ("draining", "drained", "ending")
         return state.phase == "ready"
 
-    def _served(self, now: float, one: One, found: Found) -> bool:
+    def _served(self, now: float, one: GatewayProgress, found: QueryResult) -> bool:
         """In its new life, ready for a while: one that falls again at once is not back."""
         if found.state is None or found.state.phase != "ready":
             one.served_from = math.inf
@@ -319,10 +319,10 @@
         drains = self.plan.terms.within if self.plan.action in ("restart", "retire") else 0.0
         return drains + self.plan.terms.back_within
 
-    def _to(self, now: float, one: One, step: Step, why: str = "") -> None:
+    def _to(self, now: float, one: GatewayProgress, step: Step, why: str = "") -> None:
         one.step, one.since, one.why = step, now, why
         line = {"ev": step, "gateway": one.target.name}
-        self._due.append(Write(line | ({"why": why} if why else {})))
+        self._due.append(AppendLine(line | ({"why": why} if why else {})))
 
     # ---- what is decided -----------------------------------------------------------------------------------
 
@@ -332,18 +332,18 @@
         return self._due.popleft() if self._due else None
 
     def _next(self, now: float) -> None:
-        some = list(self.all.values())
-        moving = [o for o in some if o.step in UNDER_WAY]
+        some = list(self.gateways.values())
+        moving = [o for o in some if o.step in UNDER_WAY_STEPS]
         left = [o for o in some if o.step == "planned"]
         if not self.stopped:
             self.stopped = self._trouble(some)
             if self.stopped:
-                self._due.append(Write({"ev": "stopped", "why": self.stopped}))
+                self._due.append(AppendLine({"ev": "stopped", "why": self.stopped}))
         if not moving and (self.stopped or not left):
             self.over = True
             if not self.stopped:
-                self._due.append(Write({"ev": "ended"}))
-            self._due.append(Over(not self.stopped, self.stopped))
+                self._due.append(AppendLine({"ev": "ended"}))
+            self._due.append(Finished(not self.stopped, self.stopped))
             return
         for one in moving:
             if not one.asking and now >= one.ask_at:
@@ -364,56 +364,56 @@
     def _most(self) -> int:
         terms = self.plan.terms
         most = max(1, terms.at_once)
-        return max(1, min(most, int(terms.share * len(self.all)))) if terms.share > 0 else most
+        return max(1, min(most, int(terms.share * len(self.gateways)))) if terms.share > 0 else most
 
-    def _ask(self, now: float, one: One) -> None:
+    def _ask(self, now: float, one: GatewayProgress) -> None:
         one.asking, one.ask_at = True, now + self.ASKED_EVERY
-        self._due.append(Ask(one.target.name))
+        self._due.append(QueryGateway(one.target.name))
 
-    def _trouble(self, some: Sequence[One]) -> str:
+    def _trouble(self, some: Sequence[GatewayProgress]) -> str:
         """Why nothing more is begun, empty if it may be."""
         failed = [o for o in some if o.step == "failed"]
         if len(failed) - self._forgiven >= max(1, self.plan.terms.failures):
             return f"{len(failed)} failed: " + "; ".join(f"{o.target.name}: {o.why}" for o in failed[:3])
-        share = self.since.share()
+        share = self.joins.failure_share()
         if share is not None and self.baseline is not None and share > self.baseline + self.plan.terms.worse:
             before = f"{100 * self.baseline:.1f}% before"
             return f"{100 * share:.1f}% of viewings are turned away or fail, {before}"
-        joins = list(self.since.p99.values())
+        joins = list(self.joins.p99.values())
         most = self.plan.terms.slow_ms
         if most and joins and (middle := median(joins)) > most:
             return f"joins take {middle:.0f} ms at the 99th percentile, {most:g} are allowed"
         return ""
 
-    def measured(self, joins: Joins) -> None:
+    def on_baseline_measured(self, joins: JoinStatistics) -> None:
         """What joins were like before the first step; kept, so that a resumed plan goes by the same."""
-        share = joins.share()
+        share = joins.failure_share()
         if self.baseline is None and share is not None:
             self.baseline = share
-            self._due.append(Write({"ev": "baseline", "share": round(share, 6)}))
+            self._due.append(AppendLine({"ev": "baseline", "share": round(share, 6)}))
 
     def wake_at(self, now: float) -> float | None:
         """When to ask again what is under way."""
         if self._due:
             return now
-        moving = [o for o in self.all.values() if o.step in UNDER_WAY]
+        moving = [o for o in self.gateways.values() if o.step in UNDER_WAY_STEPS]
         asks = [o.ask_at for o in moving if not o.asking]
         return min(asks, default=None)
 
-    def told(self) -> dict[str, int]:
+    def count_by_step(self) -> dict[str, int]:
         """How many are at each step."""
         out: dict[str, int] = {}
-        for one in self.all.values():
+        for one in self.gateways.values():
             out[one.step] = out.get(one.step, 0) + 1
         return out
 
 
-def foretold(plan: Plan) -> list[list[str]]:
+def preview_groups(plan: Plan) -> list[list[str]]:
     """Which gateways would be under way together, in order: what `--plan` shows."""
-    rolling = Rolling(0.0, plan)
+    rolling = RollingChange(0.0, plan)
     most = rolling._most()
     groups: list[list[Target]] = []
-    for target in ordered(plan.targets):
+    for target in order_targets(plan.targets):
         last = groups[-1] if groups else None
         new_hall = plan.terms.one_hall and last is not None and last[-1].zone != target.zone
         if last is None or len(last) >= most or new_hall:
--- a/ledgehitch/fleet/screen.py
+++ b/ledgehitch/fleet/screen.py
@@ -16,11 +16,11 @@
 from textual.containers import Horizontal, Vertical
 from textual.widgets import DataTable, Footer, Header, Static
 
-from ledgehitch.fleet.found import Found, counted
+from ledgehitch.fleet.found import QueryResult, count_by_kind
 from ledgehitch.fleet.show import COLOURS, halls_of, hosts_of, plan_words
 
 OLD = 3.0  # times the period after which what is shown is called old
-Feed = Callable[[], Awaitable[tuple[list[Found], list[dict[str, Any]]]]]
+Feed = Callable[[], Awaitable[tuple[list[QueryResult], list[dict[str, Any]]]]]
 
 
 class FleetScreen(App[None]):
@@ -43,7 +43,7 @@
     def __init__(self, feed: Feed, zones: Mapping[str, str], every: float = 2.0) -> None:
         super().__init__()
         self.feed, self.zones, self.every = feed, zones, every
-        self.found: list[Found] = []
+        self.found: list[QueryResult] = []
         self.lines: list[dict[str, Any]] = []
         self.asked_at = 0.0
         self.problem = ""
@@ -94,7 +94,7 @@
     def _say_age(self) -> None:
         age = time.monotonic() - self.asked_at if self.asked_at else 0.0
         old = age > OLD * self.every
-        word = ", ".join(f"{n} {kind}" for kind, n in counted(self.found).items()) or "asking ..."
+        word = ", ".join(f"{n} {kind}" for kind, n in count_by_kind(self.found).items()) or "asking ..."
         if self.problem:
             word = f"{word}; not asked: {self.problem}"
         if old:
@@ -118,7 +118,7 @@
         self._show_one()
         self._say_age()
 
-    def _row(self, f: Found) -> Sequence[Any]:
+    def _row(self, f: QueryResult) -> Sequence[Any]:
         kind = Text(f.kind, style=COLOURS.get(f.kind, "bold red"))
         if f.state is None:
             return f.name, self.zones.get(f.name, ""), kind, "-", "-", "-", "-", "-", "-", f.why
--- a/ledgehitch/fleet/show.py
+++ b/ledgehitch/fleet/show.py
@@ -4,13 +4,13 @@
 from typing import Any
 
 from ledgehitch.daemon.facts import State
-from ledgehitch.fleet.found import Found
+from ledgehitch.fleet.found import QueryResult
 
 COLOURS = {"answered": "green", "draining": "yellow", "slow": "yellow"}
 MOST_HOSTS = 14
 
 
-def halls_of(found: Sequence[Found], zones: Mapping[str, str]) -> list[tuple[str, ...]]:
+def halls_of(found: Sequence[QueryResult], zones: Mapping[str, str]) -> list[tuple[str, ...]]:
     """For each hall: gateways that serve and all, viewings, asked for, not let play, the worst p99."""
     rows: list[tuple[str, ...]] = []
     for hall in sorted(set(zones.values())):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -31,12 +31,22 @@
 from ledgehitch.daemon.supervisor import Supervisor
 from ledgehitch.daemon.why import told
 from ledgehitch.fleet.carry import Caller
-from ledgehitch.fleet.found import Found, Target, judged
+from ledgehitch.fleet.found import QueryResult, Target, classify_answer
 from ledgehitch.fleet.held import NotNow, after, id_of, latest
 from ledgehitch.fleet.journal import Journal, head_of, lines_of, plan_of, unfinished
 from ledgehitch.fleet.owned import Said, cannot_vote, owned
 from ledgehitch.fleet.owned import read as read_owners
-from ledgehitch.fleet.plan import Ask, Call, Joins, Over, Plan, Rolling, Terms, Write, foretold
+from ledgehitch.fleet.plan import (
+    AppendLine,
+    CallGateway,
+    Finished,
+    JoinStatistics,
+    Plan,
+    QueryGateway,
+    RollingChange,
+    Terms,
+    preview_groups,
+)
 from ledgehitch.fleet.screen import FleetScreen
 from ledgehitch.fleet.show import halls_of, hosts_of, plan_words
 from ledgehitch.http import Refused, Request, Response, Server
@@ -243,7 +253,7 @@
     good = msgspec.json.encode(state("g0"))
 
     def kind(body: bytes = good, status: int = 200, version: str = VERSION, took: float = 0.1) -> str:
-        return judged(target, took, 1.0, status, version, body).kind
+        return classify_answer(target, took, 1.0, status, version, body).kind
 
     assert kind() == "answered" and kind(took=0.9) == "slow"
     assert kind(msgspec.json.encode(state("g1"))) == "impostor"
@@ -276,7 +286,7 @@
 
         return Response(200, fields, stream=stream)
 
-    def main() -> list[Found]:
+    def main() -> list[QueryResult]:
         answers("good")
         answers("fake", "somebody")
         stalled = [f"silent-{n}" for n in range(8)]
@@ -364,14 +374,14 @@
     def boot(self, name: str) -> str:
         return f"{name}-{self.lives[name]}"
 
-    def ask(self, name: str) -> Found:
+    def ask(self, name: str) -> QueryResult:
         if self.now < self.away.get(name, 0.0) or name in self.broken:
-            return Found(name, "refused", "nobody listens")
+            return QueryResult(name, "refused", "nobody listens")
         if self.chance.random() < self.lossy:
-            return Found(name, "silent", "no whole answer")
+            return QueryResult(name, "silent", "no whole answer")
         counts = Counts(asked=int(self.now - T) * 20, blocked=self.blocked)
         told = state(name, self.boot(name), started_by=self.by[name], counts=counts)
-        return Found(name, "answered", state=told)
+        return QueryResult(name, "answered", state=told)
 
     def restart(self, name: str, ticket: str) -> None:
         self.restarts[name].append(ticket)
@@ -380,7 +390,7 @@
         self.away[name] = self.now + self.chance.uniform(0.1, 3.0)
         self.most_away = max(self.most_away, sum(self.now < until for until in self.away.values()))
 
-    def call(self, call: Call) -> tuple[int, str]:
+    def call(self, call: CallGateway) -> tuple[int, str]:
         if self.chance.random() < self.lossy:
             return 0, "lost on its way"
         if self.now < self.away.get(call.name, 0.0) or call.name in self.broken:
@@ -392,20 +402,20 @@
 
 
 def rolled(
-    gateways: Gateways, rolling: Rolling, journal: Callable[[dict[str, Any]], None], steps: int = 4000
+    gateways: Gateways, rolling: RollingChange, journal: Callable[[dict[str, Any]], None], steps: int = 4000
 ) -> Iterator[Any]:
     """Carries a plan out; gives each decision before it is carried out, so that it can be cut off there."""
     for _ in range(steps):
         while (decision := rolling.decide(gateways.now)) is not None:
             yield decision
             match decision:
-                case Write(line):
+                case AppendLine(line):
                     journal(dict(line))
-                case Ask(name):
-                    rolling.found(gateways.now, gateways.ask(name))
-                case Call():
-                    rolling.called(gateways.now, decision.name, *gateways.call(decision))
-                case Over():
+                case QueryGateway(name):
+                    rolling.on_query_result(gateways.now, gateways.ask(name))
+                case CallGateway():
+                    rolling.on_call_result(gateways.now, decision.name, *gateways.call(decision))
+                case Finished():
                     return
         gateways.now += 0.1
     raise AssertionError("it never came to its end")
@@ -413,15 +423,15 @@
 
 def test_a_restart_goes_hall_by_hall_and_never_over_its_number() -> None:
     plan = Plan("p", "restart", TARGETS, Terms(at_once=3, settle=0.5))
-    assert foretold(plan) == [["g0", "g4", "g2"], ["g6"], ["g1", "g5", "g3"], ["g7"]]
+    assert preview_groups(plan) == [["g0", "g4", "g2"], ["g6"], ["g1", "g5", "g3"], ["g7"]]
     gateways, lines = Gateways(random.Random(1)), list[dict[str, Any]]()
-    last = list(rolled(gateways, Rolling(T, plan), lines.append))[-1]
-    assert last == Over(True, "") and all(len(r) == 1 for r in gateways.restarts.values())
+    last = list(rolled(gateways, RollingChange(T, plan), lines.append))[-1]
+    assert last == Finished(True, "") and all(len(r) == 1 for r in gateways.restarts.values())
     assert gateways.most_away <= 3
     order = [line["gateway"] for line in lines if line["ev"] == "intended"]
     assert {name[1] for name in order[:4]} == {"0", "2", "4", "6"}, "one hall after the other"
     share = Terms(at_once=8, share=0.25)
-    assert max(map(len, foretold(Plan("p", "restart", TARGETS, share)))) == 2
+    assert max(map(len, preview_groups(Plan("p", "restart", TARGETS, share)))) == 2
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -436,21 +446,21 @@
     )
     gateways, lines = Gateways(chance, lossy=chance.choice([0.0, 0.2])), list[dict[str, Any]]()
     while True:
-        rolling = Rolling(gateways.now, plan, lines)
+        rolling = RollingChange(gateways.now, plan, lines)
         cut = chance.randrange(1, 60)
         for number, decision in enumerate(rolled(gateways, rolling, lines.append)):
             if number == cut:
-                if isinstance(decision, Call) and chance.random() < 0.5:
+                if isinstance(decision, CallGateway) and chance.random() < 0.5:
                     gateways.call(decision)  # sent, and cut off before its answer was noted
                 break
         if rolling.over:
             break
         gateways.now += chance.choice([0.0, 1.0, 10.0])
     for name, tickets in gateways.restarts.items():
-        assert len(tickets) == 1 or (not tickets and rolling.all[name].step == "failed"), (name, tickets)
-    assert set(rolling.told()) <= {"done", "failed"}
+        assert len(tickets) == 1 or (not tickets and rolling.gateways[name].step == "failed"), (name, tickets)
+    assert set(rolling.count_by_step()) <= {"done", "failed"}
     if not gateways.lossy:
-        assert rolling.told() == {"done": len(TARGETS)}
+        assert rolling.count_by_step() == {"done": len(TARGETS)}
 
 
 class Fenced(Gateways):
@@ -461,24 +471,24 @@
         super().__init__(chance)
         self.known = dict.fromkeys(self.lives, 0)
         self.drains: dict[str, tuple[float, str]] = {}  # until when, for which ticket
-        self.late: list[tuple[int, Call]] = []
+        self.late: list[tuple[int, CallGateway]] = []
         self.most_under_way = 0
 
-    def told(self, name: str, term: int) -> Found:
+    def told(self, name: str, term: int) -> QueryResult:
         self.turn()
         if self.now < self.away.get(name, 0.0):
-            return Found(name, "refused", "nobody listens")
+            return QueryResult(name, "refused", "nobody listens")
         if term < self.known[name]:
-            return Found(name, "unknown", "a higher term is known")
+            return QueryResult(name, "unknown", "a higher term is known")
         self.known[name] = term
         if name in self.drains:
             found = msgspec.structs.replace(
                 state(name, self.boot(name)), phase="draining", why=self.drains[name][1]
             )
-            return Found(name, "draining", state=found)
+            return QueryResult(name, "draining", state=found)
         return self.ask(name)
 
-    def step(self, term: int, call: Call) -> tuple[int, str]:
+    def step(self, term: int, call: CallGateway) -> tuple[int, str]:
         self.turn()
         if self.now < self.away.get(call.name, 0.0):
             return 0, "nobody listens"
@@ -509,7 +519,7 @@
     gateways, term = Fenced(chance), 0
     while True:
         term += 1
-        rolling, cut = Rolling(gateways.now, plan, (), learnt=True), chance.randrange(1, 120)
+        rolling, cut = RollingChange(gateways.now, plan, (), learnt=True), chance.randrange(1, 120)
         for _ in range(cut):
             decision = rolling.decide(gateways.now)
             if decision is None:
@@ -517,33 +527,33 @@
                 if gateways.late and chance.random() < 0.2:
                     gateways.step(*gateways.late.pop(chance.randrange(len(gateways.late))))
                 gateways.turn()
-            elif isinstance(decision, Ask):
-                rolling.found(gateways.now, gateways.told(decision.name, term))
-            elif isinstance(decision, Call):
+            elif isinstance(decision, QueryGateway):
+                rolling.on_query_result(gateways.now, gateways.told(decision.name, term))
+            elif isinstance(decision, CallGateway):
                 if chance.random() < 0.3:
                     gateways.late.append((term, decision))  # on its way when its owner dies
                     break
-                rolling.called(gateways.now, decision.name, *gateways.step(term, decision))
+                rolling.on_call_result(gateways.now, decision.name, *gateways.step(term, decision))
             if rolling.over:
                 break
         if rolling.over:
             break
         assert term < 200
     assert all(tickets == [f"p/{name}"] for name, tickets in gateways.restarts.items())
-    assert gateways.most_under_way <= most and set(rolling.told()) == {"done"}
+    assert gateways.most_under_way <= most and set(rolling.count_by_step()) == {"done"}
 
 
 def test_a_gateway_that_is_not_seen_holds_its_place_until_it_is_overdue() -> None:
     plan = Plan("p", "restart", TARGETS[:3], Terms(settle=0.0, within=0.0, back_within=5.0))
-    rolling, now, asked = Rolling(T, plan, (), learnt=True), T, list[str]()
+    rolling, now, asked = RollingChange(T, plan, (), learnt=True), T, list[str]()
     while not rolling.over and now < T + 20:
         while (decision := rolling.decide(now)) is not None:
-            assert not isinstance(decision, Call), "one may be between two lives: no other is touched"
-            if isinstance(decision, Ask):
+            assert not isinstance(decision, CallGateway), "one may be between two lives: no other is touched"
+            if isinstance(decision, QueryGateway):
                 asked.append(decision.name)
                 there = decision.name != "g1"
-                found = Found(decision.name, "answered", state=state(decision.name)) if there else None
-                rolling.found(now, found or Found(decision.name, "silent", "nothing"))
+                found = QueryResult(decision.name, "answered", state=state(decision.name)) if there else None
+                rolling.on_query_result(now, found or QueryResult(decision.name, "silent", "nothing"))
         now += 0.1
     assert rolling.stopped.startswith("1 failed: g1: not seen in 5 s") and set(asked) == {"g0", "g1", "g2"}
 
@@ -644,18 +654,20 @@
 def test_who_was_restarted_by_somebody_else_is_not_touched_and_who_stays_away_stops_the_plan() -> None:
     plan = Plan("p", "restart", TARGETS, Terms(settle=0.2, back_within=5.0, within=0.0))
     gateways, lines = Gateways(random.Random(3)), list[dict[str, Any]]()
-    rolling = Rolling(T, plan)
+    rolling = RollingChange(T, plan)
     for decision in rolled(gateways, rolling, lines.append):
-        if isinstance(decision, Call) and decision.name == "g4":
+        if isinstance(decision, CallGateway) and decision.name == "g4":
             gateways.restart("g4", "somebody")  # between what was found and the call
-        if isinstance(decision, Call) and decision.name == "g2":
+        if isinstance(decision, CallGateway) and decision.name == "g2":
             gateways.broken.add("g2")
-    assert gateways.restarts["g4"] == ["somebody"] and rolling.all["g4"].step == "skipped"
-    assert rolling.all["g2"].step == "failed" and rolling.stopped.startswith("1 failed: g2: not back in 5 s")
+    assert gateways.restarts["g4"] == ["somebody"] and rolling.gateways["g4"].step == "skipped"
+    assert rolling.gateways["g2"].step == "failed" and rolling.stopped.startswith(
+        "1 failed: g2: not back in 5 s"
+    )
     assert sum(map(len, gateways.restarts.values())) < 4, "nothing new began"
     gateways.broken.clear()
-    again = Rolling(gateways.now, plan, [*lines, {"ev": "again"}])
-    assert list(rolled(gateways, again, lines.append))[-1] == Over(True, "")
+    again = RollingChange(gateways.now, plan, [*lines, {"ev": "again"}])
+    assert list(rolled(gateways, again, lines.append))[-1] == Finished(True, "")
     assert all(len(r) == 1 for r in gateways.restarts.values())
 
 
@@ -663,26 +675,26 @@
     """With an old config, an old version of the program, as another, or not letting the tool in any more."""
     old = state("g0", "new", started_by="p/g0", config={"runs": "old"})
     odd = {
-        "old config": Found("g0", "answered", state=old),
-        "old version": Found("g0", "wrong version", "its admin call has version 0, this tool 1"),
-        "impostor": Found("g0", "impostor", "g7 answers at its address"),
-        "expired": Found("g0", "refused", "the certificate of 'ops' expired 3 s ago"),
+        "old config": QueryResult("g0", "answered", state=old),
+        "old version": QueryResult("g0", "wrong version", "its admin call has version 0, this tool 1"),
+        "impostor": QueryResult("g0", "impostor", "g7 answers at its address"),
+        "expired": QueryResult("g0", "refused", "the certificate of 'ops' expired 3 s ago"),
     }
     said = {}
     for what, found in odd.items():
         plan = Plan("p", "restart", TARGETS[:1], Terms(settle=0.0, back_within=1.0, within=0.0), digest="now")
-        rolling, now, called = Rolling(T, plan), T, 0
+        rolling, now, called = RollingChange(T, plan), T, 0
         while not rolling.over:
             while (decision := rolling.decide(now)) is not None:
-                if isinstance(decision, Ask):
-                    first = Found("g0", "answered", state=state("g0", config={"runs": "now"}))
-                    rolling.found(now, found if called else first)
-                elif isinstance(decision, Call):
+                if isinstance(decision, QueryGateway):
+                    first = QueryResult("g0", "answered", state=state("g0", config={"runs": "now"}))
+                    rolling.on_query_result(now, found if called else first)
+                elif isinstance(decision, CallGateway):
                     called += 1
-                    rolling.called(now, "g0", 200)
+                    rolling.on_call_result(now, "g0", 200)
             now += 0.1
-        assert called == 1 and rolling.told() == {"failed": 1}
-        said[what] = rolling.all["g0"].why
+        assert called == 1 and rolling.count_by_step() == {"failed": 1}
+        said[what] = rolling.gateways["g0"].why
     assert said["old config"] == "it came back with another config: old"
     assert "wrong version: its admin call has version 0" in said["old version"]
     assert "impostor: g7 answers at its address" in said["impostor"]
@@ -692,48 +704,50 @@
 def test_joins_that_get_worse_stop_the_plan() -> None:
     plan = Plan("p", "restart", TARGETS, Terms(settle=2.0))
     gateways, lines = Gateways(random.Random(4)), list[dict[str, Any]]()
-    rolling = Rolling(T, plan)
-    before = Joins()
+    rolling = RollingChange(T, plan)
+    before = JoinStatistics()
     for _ in range(2):
         for t in TARGETS:
-            before.heard(gateways.ask(t.name))
+            before.add(gateways.ask(t.name))
         gateways.now += 2.0
-    rolling.measured(before)
+    rolling.on_baseline_measured(before)
     assert rolling.baseline == 0.0
     for _ in rolled(gateways, rolling, lines.append):
         gateways.blocked += 3
         for t in TARGETS:
-            rolling.found(gateways.now, gateways.ask(t.name)) if rolling.all[t.name].step == "done" else None
+            rolling.on_query_result(gateways.now, gateways.ask(t.name)) if rolling.gateways[
+                t.name
+            ].step == "done" else None
     assert "turned away or fail, 0.0% before" in rolling.stopped
-    assert rolling.told().get("planned", 0) > 0
+    assert rolling.count_by_step().get("planned", 0) > 0
 
 
 def test_joins_that_get_slow_in_the_median_stop_the_plan() -> None:
     plan = Plan("p", "restart", TARGETS, Terms(settle=0.0, slow_ms=800.0))
     for p99s, stops in (((300.0, 400.0, 5000.0), False), ((300.0, 900.0, 950.0), True)):
-        rolling = Rolling(T, plan)
+        rolling = RollingChange(T, plan)
         for t, p99 in zip(TARGETS, p99s, strict=False):
             told = msgspec.structs.replace(state(t.name), joins_ms={"99": p99})
-            rolling.since.heard(Found(t.name, "answered", state=told))
+            rolling.joins.add(QueryResult(t.name, "answered", state=told))
         rolling.decide(T)
         assert (rolling.stopped == "joins take 900 ms at the 99th percentile, 800 are allowed") == stops
 
 
 def test_a_reload_is_done_where_the_new_version_runs() -> None:
     plan = Plan("p", "reload", TARGETS[:2], Terms(settle=0.0, back_within=2.0), digest="new")
-    rolling, runs, calls = Rolling(T, plan), {"g0": "new", "g1": "old"}, list[str]()
+    rolling, runs, calls = RollingChange(T, plan), {"g0": "new", "g1": "old"}, list[str]()
     now = T
     while not rolling.over:
         while (decision := rolling.decide(now)) is not None:
-            if isinstance(decision, Ask):
+            if isinstance(decision, QueryGateway):
                 told = state(decision.name, config={"runs": runs[decision.name]})
-                rolling.found(now, Found(decision.name, "answered", state=told))
-            elif isinstance(decision, Call):
+                rolling.on_query_result(now, QueryResult(decision.name, "answered", state=told))
+            elif isinstance(decision, CallGateway):
                 calls.append(decision.name)
-                rolling.called(now, decision.name, 200)
+                rolling.on_call_result(now, decision.name, 200)
                 runs["g1"] = "new"
         now += 0.1
-    assert calls == ["g1"] and rolling.told() == {"skipped": 1, "done": 1}
+    assert calls == ["g1"] and rolling.count_by_step() == {"skipped": 1, "done": 1}
 
 
 # ---- real daemons ------------------------------------------------------------------------------------------
@@ -959,7 +973,7 @@
 # ---- the terminal interface --------------------------------------------------------------------------------
 
 SEEN = [
-    Found(
+    QueryResult(
         "g0",
         "answered",
         state=state(
@@ -969,8 +983,8 @@
             hosts={"h1": HostSeen(True, 4), "h2": HostSeen(False, 9)},
         ),
     ),
-    Found("g1", "silent", "no whole answer in 1.5 s"),
-    Found("g2", "draining", "draining: p/g2", state=state("g2", phase="draining", zone="south")),
+    QueryResult("g1", "silent", "no whole answer in 1.5 s"),
+    QueryResult("g2", "draining", "draining: p/g2", state=state("g2", phase="draining", zone="south")),
 ]
 LINES = [
     head_of(Plan("p", "restart", [Target("g0", "x"), Target("g1", "x"), Target("g2", "x")])),
@@ -999,7 +1013,7 @@
 def test_the_screen_goes_on_while_a_question_hangs_and_says_what_is_old() -> None:
     asked = 0
 
-    async def feed() -> tuple[list[Found], list[dict[str, Any]]]:
+    async def feed() -> tuple[list[QueryResult], list[dict[str, Any]]]:
         nonlocal asked
         asked += 1
         if asked == 2:
