--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -114,10 +114,12 @@
         return self.lender
 
     def request(self, now: float, me: int, wanted: float, used: float = 0.0) -> LoanMessage | None:
-        b = self.borrowers[me]
-        b._next_request_at = -1e18
+        borrower = self.borrowers[me]
+        borrower._next_request_at = -1e18
         name = self.budget.name
-        message = b.next_request(now, self.term, {name: int(used * WHOLE)}, {name: int(wanted * WHOLE)})
+        message = borrower.next_request(
+            now, self.term, {name: int(used * WHOLE)}, {name: int(wanted * WHOLE)}
+        )
         assert message is not None
         return self.lender.on_request(now, me, decode(encode(message)))
 
@@ -128,7 +130,7 @@
                 self.borrowers[me].on_loan(now, decode(encode(answer)))
 
     def parts(self, now: float) -> list[float]:
-        return [b.available(now, self.budget.name) / WHOLE for b in self.borrowers]
+        return [borrower.available(now, self.budget.name) / WHOLE for borrower in self.borrowers]
 
 
 def test_loans_follow_need_and_expire_to_the_own_part() -> None:
@@ -224,16 +226,16 @@
     fleet = LendingFleet()
     first, second = fleet.request(T, 0, 1.0), fleet.request(T + 0.5, 0, 0.3)
     assert first is not None and second is not None
-    b = fleet.borrowers[0]
+    borrower = fleet.borrowers[0]
     for more in ({"life": 9}, {"digest": b"else"}, {"term": 0}, {"loans": (1, 1)}, {"sequence": 77}):
-        assert not b.on_loan(T + 0.6, second._replace(**more))
-    assert b.on_loan(T + 0.6, second) and b.loan_until == T + 0.5 + LOAN
-    assert not b.on_loan(T + 0.6, second) and not b.on_loan(T + 0.6, first)
+        assert not borrower.on_loan(T + 0.6, second._replace(**more))
+    assert borrower.on_loan(T + 0.6, second) and borrower.loan_until == T + 0.5 + LOAN
+    assert not borrower.on_loan(T + 0.6, second) and not borrower.on_loan(T + 0.6, first)
     third = fleet.request(T + 1, 0, 0.3)
-    assert third is not None and not b.on_loan(T + 1 + LOAN, third._replace(seconds=900.0))
-    assert sum(b.counts.values()) == 8
-    b.on_clock_check(False)
-    assert b.available(T + 1.2, "offers.live") == fleet.own[0]
+    assert third is not None and not borrower.on_loan(T + 1 + LOAN, third._replace(seconds=900.0))
+    assert sum(borrower.counts.values()) == 8
+    borrower.on_clock_check(False)
+    assert borrower.available(T + 1.2, "offers.live") == fleet.own[0]
 
 
 def test_lender_waits_for_longer_loans_made_under_former_leases() -> None:
@@ -270,26 +272,26 @@
 
 
 def test_borrower_with_a_jump_in_need_requests_early_and_otherwise_once_per_period() -> None:
-    b = Borrower([RATE], [own_parts(RATE, 0.1, "abc")["a"]], 1, [DIGEST], LOAN)
+    borrower = Borrower([RATE], [own_parts(RATE, 0.1, "abc")["a"]], 1, [DIGEST], LOAN)
     assert (
-        b.next_request(T, 1, {}, {})
-        and not b.next_request(T + PERIOD - 0.01, 1, {}, {})
-        and b.next_request(T + PERIOD, 1, {}, {})
+        borrower.next_request(T, 1, {}, {})
+        and not borrower.next_request(T + PERIOD - 0.01, 1, {}, {})
+        and borrower.next_request(T + PERIOD, 1, {}, {})
     )
-    assert not b.next_request(T + PERIOD + 0.1, 1, {}, {"offers.live": WHOLE})
-    assert b.next_request(T + PERIOD + 0.2, 1, {}, {"offers.live": WHOLE})
-    assert not b.next_request(T + 9, 0, {}, {}), "the term is a former one"
-    assert b.next_request(T + 9, 2, {}, {"offers.live": 77 * WHOLE}).wanted == (WHOLE,)  # type: ignore[union-attr]
+    assert not borrower.next_request(T + PERIOD + 0.1, 1, {}, {"offers.live": WHOLE})
+    assert borrower.next_request(T + PERIOD + 0.2, 1, {}, {"offers.live": WHOLE})
+    assert not borrower.next_request(T + 9, 0, {}, {}), "the term is a former one"
+    assert borrower.next_request(T + 9, 2, {}, {"offers.live": 77 * WHOLE}).wanted == (WHOLE,)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_changing_lenders_in_virtual_time_never_exceed_the_whole(seed: int) -> None:
     """Messages are lost, delayed and duplicated; members restart; the lender changes at any moment."""
     chance = random.Random(seed)
-    unit = COUNT if seed % 2 else RATE
-    fleet = LendingFleet(6, unit=unit)
-    wire: list[tuple[float, int, LoanMessage]] = []
-    out, lingers = [0] * 6, list[tuple[int, float]]()
+    budget = COUNT if seed % 2 else RATE
+    fleet = LendingFleet(6, unit=budget)
+    in_flight: list[tuple[float, int, LoanMessage]] = []
+    in_use, ended_lives_in_use = [0] * 6, list[tuple[int, float]]()
     since = [0.0] * 6
     lease = T + 3.0
     for step in range(1500):
@@ -297,39 +299,40 @@
         if now >= lease or chance.random() < 0.004:
             fleet.elect_lender(now)
             lease = now + chance.uniform(1.0, 12.0)
-        for me, b in enumerate(fleet.borrowers):
-            message = b.next_request(
+        for me, borrower in enumerate(fleet.borrowers):
+            message = borrower.next_request(
                 now,
                 fleet.term,
-                {unit.name: fleet.own[me] + out[me]},
-                {unit.name: chance.choice([0, WHOLE // 5, WHOLE])},
+                {budget.name: fleet.own[me] + in_use[me]},
+                {budget.name: chance.choice([0, WHOLE // 5, WHOLE])},
             )
             for _ in range(chance.choice([0, 1, 1, 1, 2]) if message is not None else 0):
-                wire.append((now + chance.random(), me, message))  # type: ignore[arg-type]
-            if unit.unit == "count":
-                mine = max(0, b.available(now, unit.name) - fleet.own[me])
-                if out[me] and (now - since[me] >= unit.lag or chance.random() < 0.1):
-                    out[me] = 0
-                elif not out[me] and chance.random() < 0.3:
-                    out[me], since[me] = mine, now
+                in_flight.append((now + chance.random(), me, message))  # type: ignore[arg-type]
+            if budget.unit == "count":
+                mine = max(0, borrower.available(now, budget.name) - fleet.own[me])
+                if in_use[me] and (now - since[me] >= budget.lag or chance.random() < 0.1):
+                    in_use[me] = 0
+                elif not in_use[me] and chance.random() < 0.3:
+                    in_use[me], since[me] = mine, now
             if chance.random() < 0.005:  # it is killed; its use continues for a while
-                lingers.append((out[me], since[me] + unit.lag))
-                out[me] = 0
-                fleet.borrowers[me] = Borrower([unit], [fleet.own[me]], 100 + step, [DIGEST], LOAN)
-        for item in [x for x in wire if x[0] <= now]:
-            wire.remove(item)
+                ended_lives_in_use.append((in_use[me], since[me] + budget.lag))
+                in_use[me] = 0
+                fleet.borrowers[me] = Borrower([budget], [fleet.own[me]], 100 + step, [DIGEST], LOAN)
+        for item in [x for x in in_flight if x[0] <= now]:
+            in_flight.remove(item)
             _, me, message = item
             if message.kind == "want":
                 answer = fleet.lender.on_request(now, me, message)
                 for _ in range(chance.choice([0, 1, 1, 2]) if answer is not None else 0):
-                    wire.append((now + chance.random(), me, answer))  # type: ignore[arg-type]
+                    in_flight.append((now + chance.random(), me, answer))  # type: ignore[arg-type]
             else:
                 fleet.borrowers[me].on_loan(now, message)
-        lingers = [x for x in lingers if x[1] > now]
+        ended_lives_in_use = [x for x in ended_lives_in_use if x[1] > now]
         used = sum(
-            max(b.available(now, unit.name), fleet.own[me] + out[me]) for me, b in enumerate(fleet.borrowers)
+            max(borrower.available(now, budget.name), fleet.own[me] + in_use[me])
+            for me, borrower in enumerate(fleet.borrowers)
         )
-        assert used + sum(parts for parts, _ in lingers) <= WHOLE
+        assert used + sum(parts for parts, _ in ended_lives_in_use) <= WHOLE
 
 
 # ---- messages ----------------------------------------------------------------------------------------------
@@ -359,7 +362,7 @@
 
 def test_budgets_follow_the_site_limits_and_digests_differ_by_version() -> None:
     budgets = budgets_of({"live": 5.0, "event": 3.0}, 20, 4.0)
-    assert [b.name for b in budgets] == ["offers.event", "offers.live", "set_ups"]
+    assert [borrower.name for borrower in budgets] == ["offers.event", "offers.live", "set_ups"]
     assert budgets[2].grain == WHOLE // 20 and budgets[2].lag == 4.0 and budgets_of({}, 0.0, 4.0) == ()
     versions = [(budgets, 0.1, "ab"), (budgets, 0.2, "ab"), (budgets, 0.1, "abc"), (budgets[:2], 0.1, "ab")]
     assert len({budgets_digest(*version) for version in versions}) == 4
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -23,8 +23,8 @@
 
 
 def part(rig: FleetRig, name: str, budget: str = "offers.recorded") -> float:
-    told = rig.asked(name, "/v1/budgets")
-    return (told["budgets"][budget]["own"] + told["budgets"][budget]["loan"]) / WHOLE if told else 0.0
+    status = rig.asked(name, "/v1/budgets")
+    return (status["budgets"][budget]["own"] + status["budgets"][budget]["loan"]) / WHOLE if status else 0.0
 
 
 def admitted_share(rig: FleetRig, seconds: float = 4.0) -> float:
@@ -34,8 +34,8 @@
 
 
 def has_own_part_only(rig: FleetRig, name: str) -> bool:
-    told = rig.asked(name, "/v1/budgets")
-    return bool(told and told["alone"]) and part(rig, name) <= 0.1 / len(rig.names) + 1e-6
+    status = rig.asked(name, "/v1/budgets")
+    return bool(status and status["alone"]) and part(rig, name) <= 0.1 / len(rig.names) + 1e-6
 
 
 def test_parts_of_dead_gateways_are_lent_to_others_and_return_with_them(tmp_path: Path) -> None:
@@ -55,12 +55,12 @@
         for name in rig.names[3:]:
             rig.kill(name)
         rig.until(lambda: all(has_own_part_only(rig, n) for n in dead), 60.0)
-        code, said = rig.fleet("budgets")
-        assert code == 1 and "own parts alone: nobody is known to lend" in said, said
+        code, output = rig.fleet("budgets")
+        assert code == 1 and "own parts alone: nobody is known to lend" in output, output
         rig.start_all(rig.names[3:])
         rig.until(lambda: min(part(rig, n) for n in rig.names) > 0.05, 60.0)
-        code, said = rig.fleet("budgets")
-        assert code == 0 and "offers.recorded" in said and "lends" in said, said
+        code, output = rig.fleet("budgets")
+        assert code == 0 and "offers.recorded" in output and "lends" in output, output
 
     rig = make_rig(tmp_path, 7)
     rig.run(script)
@@ -73,10 +73,10 @@
         first = rig.owner("budgets")
         rig.viewers()
         rig.until(lambda: admitted_share(rig) >= 0.9, 60.0, 0.5)
-        still = next(n for n in rig.names if n != first and part(rig, n) > 0.05)
-        rig.still(still)
+        suspended = next(n for n in rig.names if n != first and part(rig, n) > 0.05)
+        rig.still(suspended)
         rig.loop.sleep(1.5 * loan_duration(rig.lease))
-        rig.goes_on(still)  # its loan has expired, and requests wait in its sockets
+        rig.goes_on(suspended)  # its loan has expired, and requests wait in its sockets
         rig.wires.lent_late = 0.2  # answers are in flight when their lender is suspended
         rig.still(first)
         second = rig.owner("budgets", but=[first], within=60.0)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -142,7 +142,7 @@
 # ---- datagrams ---------------------------------------------------------------------------------------------
 
 
-def three() -> Site:
+def three_gateway_site() -> Site:
     one = site(3)
     at = [f"127.0.0.1:{port}" for port in free_ports(3)]
     updates = [msgspec.structs.replace(one.gateways[0], name=f"g{n}", members_at=at[n]) for n in range(3)]
@@ -150,7 +150,7 @@
 
 
 def test_gateways_discover_each_other_by_datagrams_and_ignore_unauthenticated_ones(tmp_path: Path) -> None:
-    updates, loop, key = three(), Loop(), bytes(range(32))
+    updates, loop, key = three_gateway_site(), Loop(), bytes(range(32))
 
     def main() -> None:
         first = Membership(loop, updates, "g0", [key], tmp_path / "0", 1)
@@ -170,8 +170,8 @@
                 break
         assert second.told()["g0"] == "left" and not second.there("g0")
         first.close()
-        again = Membership(loop, updates, "g0", [key], tmp_path / "0", 1)
-        assert again.life == 2
+        restarted = Membership(loop, updates, "g0", [key], tmp_path / "0", 1)
+        assert restarted.life == 2
         for _ in range(200):
             loop.sleep(0.02)
             if second.told()["g0"] == "alive":
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -92,8 +92,8 @@
     both = MemberLists(new, old)
     assert not both.has_majority("defg") and not both.has_majority("abc") and both.has_majority("abde")
     assert MemberLists(old).covered_by(*both.digests()) and not both.covered_by(*MemberLists(new).digests())
-    held = DurableState(T, "a", old, DUTIES, 10.0, None, 1).record()
-    m = DurableState(T, "a", new, DUTIES, 10.0, held, 2)
+    stored = DurableState(T, "a", old, DUTIES, 10.0, None, 1).record()
+    m = DurableState(T, "a", new, DUTIES, 10.0, stored, 2)
     assert m.lists == both
     assert DurableState(T, "a", tuple("abcd"), DUTIES, 10.0, m.record(), 3).lists == both, (
         "one change at a time"
@@ -249,9 +249,9 @@
 # ---- one member --------------------------------------------------------------------------------------------
 
 
-def make_owners(n: int = 1, held: Any = None, seed: int = 1) -> Owners:
+def make_owners(n: int = 1, stored: Any = None, seed: int = 1) -> Owners:
     names = tuple(f"g{i}" for i in range(n))
-    memory = DurableState(T, "g0", names, DUTIES, 10.0, held, 7)
+    memory = DurableState(T, "g0", names, DUTIES, 10.0, stored, 7)
     return Owners(T, 0, names, memory, random.Random(seed))
 
 
@@ -335,17 +335,19 @@
 def test_newcomer_that_cannot_vote_yet_does_not_settle_a_list_change() -> None:
     """During a long restart, two of three had the new list, and the fourth could not vote yet."""
     old, new = ("g0", "g1", "g2"), ("g0", "g1", "g2", "g3")
-    held = DurableState(T, "g0", old, DUTIES, 10.0, None, 1).record()
-    owners = Owners(T, 0, new, DurableState(T, "g0", new, DUTIES, 10.0, held, 2), random.Random(1))
-    said = DutyMessage(
+    stored = DurableState(T, "g0", old, DUTIES, 10.0, None, 1).record()
+    owners = Owners(T, 0, new, DurableState(T, "g0", new, DUTIES, 10.0, stored, 2), random.Random(1))
+    greeted = DutyMessage(
         "greeted", 0, 2, 0, owners.name_digests[1], *owners.durable.lists.digests(), intact=True
     )
-    owners.on_message(T, 1, said)
+    owners.on_message(T, 1, greeted)
     only_new = (owners.durable.lists.digests()[0], b"\0" * 4)
-    waits = said._replace(who=owners.name_digests[3], list=only_new[0], former=only_new[1], intact=False)
-    owners.on_message(T, 3, waits)
+    newcomer_greeted = greeted._replace(
+        who=owners.name_digests[3], list=only_new[0], former=only_new[1], intact=False
+    )
+    owners.on_message(T, 3, newcomer_greeted)
     assert not owners.durable.settle(T + 11) and owners.durable.lists.former == old
-    owners.on_message(T, 3, waits._replace(intact=True))
+    owners.on_message(T, 3, newcomer_greeted._replace(intact=True))
     assert owners.durable.settle(T + 11) and not owners.durable.lists.former
 
 
@@ -353,15 +355,15 @@
     """Four of seven are dead, so the former list cannot elect an owner. Two of them are declared gone."""
     old = tuple(f"g{n}" for n in range(7))
     new, gone = old[:5], frozenset(old[5:])
-    held = DurableState(T, "g0", old, DUTIES, 10.0, None, 1, own_part=0.1).record()
-    for vouched in (frozenset[str](), gone):
-        m = DurableState(T, "g0", new, DUTIES, 10.0, held, 2, own_part=0.1, gone=vouched)
+    stored = DurableState(T, "g0", old, DUTIES, 10.0, None, 1, own_part=0.1).record()
+    for declared_gone in (frozenset[str](), gone):
+        m = DurableState(T, "g0", new, DUTIES, 10.0, stored, 2, own_part=0.1, gone=declared_gone)
         for name in ("g1", "g2"):
             m.on_member_list(T, name, m.lists.digests()[0])
-        assert m.settle(T + m.vote_duration) == bool(vouched)
+        assert m.settle(T + m.vote_duration) == bool(declared_gone)
     assert m.lists.own_share() == 0.1 / 5 and m.lists.has_majority(["g0", "g1", "g2"])
     back = Owners(
-        T, 6, old, DurableState(T, "g6", new, DUTIES, 10.0, held, 3, own_part=0.1), random.Random(1)
+        T, 6, old, DurableState(T, "g6", new, DUTIES, 10.0, stored, 3, own_part=0.1), random.Random(1)
     )
     assert not back.joined(T + 60) and not any(isinstance(d, Won) for d in take_decisions(back, T + 60))
 
@@ -369,10 +371,10 @@
 def test_changed_own_part_is_a_change_of_the_list() -> None:
     """This includes an older release without loans: its file and messages name no own part, it used 1/n."""
     names = ("g0", "g1", "g2")
-    held = DurableState(T, "g0", names, DUTIES, 10.0, None, 1, own_part=1.0).record()
+    stored = DurableState(T, "g0", names, DUTIES, 10.0, None, 1, own_part=1.0).record()
     for key in ("own_part", "former_own_part", "joined"):
-        del held[key]
-    m = DurableState(T, "g0", names, DUTIES, 10.0, held, 2, own_part=0.25)
+        del stored[key]
+    m = DurableState(T, "g0", names, DUTIES, 10.0, stored, 2, own_part=0.25)
     assert m.lists.former == names and m.lists.own_share() == 0.25 / 3 and m.lists.max_own_part() == 1.0
     assert MemberLists(names, own_part=1.0).covered_by(*m.lists.digests()) and m.joined
     for name in names[1:]:
@@ -423,45 +425,47 @@
         )
 
     owners.on_message(T, 1, told)
-    said = answer(T + 5, 2)
-    assert (said.kind, said.member, said.term) == ("deny", 1, 3) and said.left == pytest.approx(10.0)
+    denial = answer(T + 5, 2)
+    assert (denial.kind, denial.member, denial.term) == ("deny", 1, 3) and denial.left == pytest.approx(10.0)
     assert answer(T + 5, 1).kind == "free", "the owner itself polls: it has lost its lease"
     assert answer(T + 15, 2).kind == "free"
 
 
 def test_restored_copy_of_the_file_is_not_taken_for_the_latest(tmp_path: Path) -> None:
     """The number of lives does not reveal a copy of the same life, but its location on the disk does."""
-    keep = File(tmp_path / "g0.owners", synced=True)
+    file = File(tmp_path / "g0.owners", synced=True)
     path = tmp_path / "g0.owners.0"
-    keep.write({"term": 1})
+    file.write({"term": 1})
     copy = path.read_bytes()
-    assert keep.read() == {"term": 1}
-    keep.write({"term": 2})
+    assert file.read() == {"term": 1}
+    file.write({"term": 2})
     assert File(tmp_path / "g0.owners", synced=True).read() == {"term": 2}
     path.unlink()
     path.write_bytes(copy)
     assert File(tmp_path / "g0.owners", synced=True).read() is None
-    keep.write({"term": 3})
-    assert keep.read() == {"term": 3}
+    file.write({"term": 3})
+    assert file.read() == {"term": 3}
     (tmp_path / "g0.owners.mark").unlink()
-    assert keep.read() is None, "killed before its mark was written"
+    assert file.read() is None, "killed before its mark was written"
     for cut in range(0, len(path.read_bytes()), 7):
         whole = path.read_bytes()
         path.write_bytes(whole[:cut])
-        assert keep.read() is None, "a torn file counts as lost"
-        keep.write({"term": 3})
+        assert file.read() is None, "a torn file counts as lost"
+        file.write({"term": 3})
 
 
 def test_stale_copy_of_the_state_counts_as_lost() -> None:
-    held = make_owners(3).durable.record()
-    owners = make_owners(3, held)
+    stored = make_owners(3).durable.record()
+    owners = make_owners(3, stored)
     assert owners.durable.intact
     greeted = DutyMessage(
         "greeted", 0, 7, 0, owners.name_digests[1], *owners.durable.lists.digests(), intact=True
     )
     owners.on_message(T, 1, greeted._replace(known_life=owners.durable.life + 3))
     assert (
-        not owners.durable.intact and not owners.durable.confirmed and owners.durable.life > held["life"] + 3
+        not owners.durable.intact
+        and not owners.durable.confirmed
+        and owners.durable.life > stored["life"] + 3
     )
     assert owners.counts["stale copy of the state directory"] == 1
 
@@ -473,10 +477,10 @@
 @given(st.binary(max_size=120))
 def test_arbitrary_bytes_are_decoded_completely_or_refused(data: bytes) -> None:
     try:
-        words = decode(data)
+        message = decode(data)
     except InvalidMessage:
         return
-    assert encode(words) == data or words.kind in ("deny", "told", "yield")
+    assert encode(message) == data or message.kind in ("deny", "told", "yield")
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -489,7 +493,7 @@
         term = chance.choice([0, 1, 2**20, 2**40, MAX_TERM, MAX_TERM + 1, 2**64 - 1])
         sender = chance.choice([1, 2, 3, 60_000])
         who = owners.name_digests[sender] if sender < 3 else b"abcd"
-        words = DutyMessage(
+        message = DutyMessage(
             kind,
             chance.choice([0, 1, 9]),
             chance.choice([7, 1, 2**32 - 1]),
@@ -504,8 +508,8 @@
             terms=(term,) * chance.randrange(4),
         )
         if sender == 2:  # the other member is faulty
-            words = words._replace(terms=(3, 3), term=min(term, 3), known_life=0)
-        owners.on_message(now, sender, decode(encode(words)))
+            message = message._replace(terms=(3, 3), term=min(term, 3), known_life=0)
+        owners.on_message(now, sender, decode(encode(message)))
         take_decisions(owners, now)
         now += chance.choice([0.0, 0.3, 5.0])
     assert all(v.term < 2**32 for v in owners.durable.voters.values())
@@ -530,7 +534,7 @@
 runpy.run_module("ledgehitch.{entry}", run_name="__main__")
 """
     environment = {k: v for k, v in os.environ.items() if k != "ROUTER_CONFIG"}
-    ended = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code],
         capture_output=True,
         text=True,
@@ -539,10 +543,10 @@
         env=environment,
         timeout=60,
     )
-    loaded = ended.stdout.strip().splitlines()[-1]
+    loaded = result.stdout.strip().splitlines()[-1]
     assert f"ledgehitch.{entry}" in loaded and "ledgehitch.brain" in loaded
-    for off in ("members", "owners", "budgets", "halls", "daemon", "fleet", "scale", "regions"):
-        assert f"ledgehitch.{off}" not in loaded
+    for package in ("members", "owners", "budgets", "halls", "daemon", "fleet", "scale", "regions"):
+        assert f"ledgehitch.{package}" not in loaded
 
 
 def test_record_contains_all_greeted_lives_and_earlier_records_do_not_change() -> None:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -38,8 +38,8 @@
 
 
 def in_force(rig: FleetRig, name: str) -> float:
-    told = rig.asked(name, "/v1/owners")
-    return told["share"]["in_force"] / WHOLE if told else -1.0
+    status = rig.asked(name, "/v1/owners")
+    return status["share"]["in_force"] / WHOLE if status else -1.0
 
 
 def test_partitioned_regions_own_their_duties_and_admit_the_whole(tmp_path: Path) -> None:
@@ -56,11 +56,11 @@
         rig.loop.sleep(cut + CUT - since)
         assert rig.let_in(since) / (time.monotonic() - since) / RATE >= 0.9, "during the whole partition"
         wait_for_owners(rig, 2 * rig.lease + 1.0)
-        code, said = rig.fleet("owners")
-        assert code == 1 and "budgets (north)" in said and "budgets (south)" in said, said
-        assert "it needs a majority of the gateways of all regions" in said, said
-        code, said = rig.fleet("budgets")
-        assert "share 0.500" in said and "nobody is known to lend" not in said, said
+        code, output = rig.fleet("owners")
+        assert code == 1 and "budgets (north)" in output and "budgets (south)" in output, output
+        assert "it needs a majority of the gateways of all regions" in output, output
+        code, output = rig.fleet("budgets")
+        assert "share 0.500" in output and "nobody is known to lend" not in output, output
         rig.heal()
         rig.owner("restarts")
         # Partitions in one direction each, with an owner that is suspended meanwhile and resumes late.
@@ -88,11 +88,11 @@
 def test_shares_change_safely_and_a_gone_regions_share_is_distributed(tmp_path: Path) -> None:
     north, south = ("g0", "g2", "g4"), ("g1", "g3", "g5")
 
-    def stating(rig: FleetRig, *regions: dict[str, Any]) -> None:
+    def set_regions(rig: FleetRig, *regions: dict[str, Any]) -> None:
         rig.site = msgspec.structs.replace(rig.site, regions=msgspec.convert(regions, list[RegionRecord]))
         rig.write_site()
 
-    def anew(rig: FleetRig, *names: str) -> None:
+    def restart(rig: FleetRig, *names: str) -> None:
         for name in names:
             rig.kill(name)
             rig.start_all([name])
@@ -103,14 +103,14 @@
         wait_for_owners(rig)
         rig.viewers()
         rig.until(lambda: admitted_share(rig) >= 0.9, 60.0, 0.5)
-        stating(rig, {**REGIONS[0], "share": 0.75}, {**REGIONS[1], "share": 0.25})
-        anew(rig, *north)
+        set_regions(rig, {**REGIONS[0], "share": 0.75}, {**REGIONS[1], "share": 0.25})
+        restart(rig, *north)
         wait_for_owners(rig)
         rig.until(lambda: all(rig.asked(n, "/v1/owners")["region"]["settled"] for n in north), 60.0)
         assert [in_force(rig, n) for n in north] == [0.5] * 3, "the south uses the former version"
-        code, said = rig.fleet("owners")
-        assert "its region uses 0.500 of the whole, 0.750 is stated" in said, said
-        anew(rig, "g1")  # no majority of three yet
+        code, output = rig.fleet("owners")
+        assert "its region uses 0.500 of the whole, 0.750 is stated" in output, output
+        restart(rig, "g1")  # no majority of three yet
         assert in_force(rig, "g1") == 0.25
         rig.until(lambda: "g1" in rig.asked("g0", "/v1/owners")["share"]["go_by_it"], 60.0)
         rig.loop.sleep(3 * rig.lease)
@@ -118,15 +118,15 @@
         rig.kill("g0")
         rig.start_all(["g0"])  # a restart keeps the wait
         assert in_force(rig, "g0") == 0.5
-        anew(rig, "g3", "g5")
+        restart(rig, "g3", "g5")
         rig.until(lambda: all(in_force(rig, n) == 0.75 for n in north), 60.0)
         wait_for_owners(rig)
         rig.until(lambda: admitted_share(rig) >= 0.9, 60.0, 0.5)
         # The whole south fails, and an operator declares it gone.
         for name in south:
             rig.kill(name)
-        stating(rig, {**REGIONS[0], "share": 0.75}, {**REGIONS[1], "share": 0.25, "gone": True})
-        anew(rig, *north)
+        set_regions(rig, {**REGIONS[0], "share": 0.75}, {**REGIONS[1], "share": 0.25, "gone": True})
+        restart(rig, *north)
         rig.until(lambda: all(in_force(rig, n) == 1.0 for n in north), 60.0)
         rig.owner("budgets", region="north")
         rig.owner("restarts")  # by all three remaining gateways
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -64,10 +64,12 @@
 RAISED = (NORTH._replace(share=WHOLE * 3 // 4), SOUTH._replace(share=WHOLE // 4))
 
 
-def start_shares(mine: str, regions: tuple[Region, ...], held: Any) -> RegionShares:
-    found = shares.initial_shares(mine, regions, [g for r in EVEN for g in r.gateways], held, False)
-    assert found is not None
-    return found
+def start_shares(region: str, regions: tuple[Region, ...], stored: Any) -> RegionShares:
+    region_shares = shares.initial_shares(
+        region, regions, [g for r in EVEN for g in r.gateways], stored, False
+    )
+    assert region_shares is not None
+    return region_shares
 
 
 def test_share_rises_when_no_region_has_a_majority_on_the_former_version() -> None:
@@ -293,27 +295,27 @@
 
 
 def test_each_region_elects_its_owner_independently_and_without_a_third_of_its_members() -> None:
-    some = TwoRegions(6, duties=(BUDGETS,))
-    some.until(lambda: bool(some.owner(0) and some.owner(1)), 60.0)
-    some.run(5.0)
-    terms = [o and o.durable.voters[BUDGETS].term for o in some.all.values()]
-    before = some.owner(0), some.owner(1)
-    some.part([0, 2, 4])
-    some.run(60.0)
-    assert (some.owner(0), some.owner(1)) == before and some.most_owners == 2
-    assert terms == [o and o.durable.voters[BUDGETS].term for o in some.all.values()]
-    some.stop(before[0][0])
-    at = some.now
-    some.until(lambda: some.owner(0) not in ([], before[0]), 60.0)
-    assert some.now - at <= 2 * 10.0 + 1.0 and some.owner(1) == before[1]
-    some.stop(some.owner(0)[0])
-    some.run(30.0)
-    assert some.owner(0) == [] and some.owner(1) == before[1], "one of three is no majority"
-    some.part([])
+    crowd = TwoRegions(6, duties=(BUDGETS,))
+    crowd.until(lambda: bool(crowd.owner(0) and crowd.owner(1)), 60.0)
+    crowd.run(5.0)
+    terms = [o and o.durable.voters[BUDGETS].term for o in crowd.all.values()]
+    before = crowd.owner(0), crowd.owner(1)
+    crowd.part([0, 2, 4])
+    crowd.run(60.0)
+    assert (crowd.owner(0), crowd.owner(1)) == before and crowd.most_owners == 2
+    assert terms == [o and o.durable.voters[BUDGETS].term for o in crowd.all.values()]
+    crowd.stop(before[0][0])
+    at = crowd.now
+    crowd.until(lambda: crowd.owner(0) not in ([], before[0]), 60.0)
+    assert crowd.now - at <= 2 * 10.0 + 1.0 and crowd.owner(1) == before[1]
+    crowd.stop(crowd.owner(0)[0])
+    crowd.run(30.0)
+    assert crowd.owner(0) == [] and crowd.owner(1) == before[1], "one of three is no majority"
+    crowd.part([])
     for n in (0, 2, 4):
-        some.start(n, "same")
-    some.until(lambda: bool(some.owner(0)), 60.0)
-    assert some.most_owners == 2 and some.owner(1) == before[1]
+        crowd.start(n, "same")
+    crowd.until(lambda: bool(crowd.owner(0)), 60.0)
+    assert crowd.most_owners == 2 and crowd.owner(1) == before[1]
 
 
 def test_messages_of_another_region_version_or_unknown_duty_are_refused_and_counted() -> None:
@@ -322,26 +324,26 @@
         T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=regions_digest(EVEN), scope="north"
     )
     memory.confirmed, memory.may_vote_from = True, T
-    one = Owners(T, 0, names, memory, random.Random(1), north, [2])
-    take_decisions(one, T)
+    owners = Owners(T, 0, names, memory, random.Random(1), north, [2])
+    take_decisions(owners, T)
     before = memory.record()
-    good = DutyMessage("ask", 2, 9, 1, one.name_digests[2], *memory.lists.digests())
+    good = DutyMessage("ask", 2, 9, 1, owners.name_digests[2], *memory.lists.digests())
     other = MemberLists(NORTH.gateways, (), 10.0, 10.0, regions=regions_digest(RAISED)).digests()
     for sender, message in (
-        (1, good._replace(who=one.name_digests[1])),
+        (1, good._replace(who=owners.name_digests[1])),
         (2, good._replace(duty=1)),
         (2, good._replace(list=other[0])),
         (2, good._replace(term=1 << 63)),
     ):
-        one.on_message(T, sender, decode(encode(message)))
-    assert sorted(one.counts.items()) == [
+        owners.on_message(T, sender, decode(encode(message)))
+    assert sorted(owners.counts.items()) == [
         ("message about an unknown duty", 1),
         ("request under another version of the site", 1),
         ("sender in another region", 1),
         ("term out of range", 1),
     ]
     assert memory.record() == before
-    one.on_message(T, 2, good)
+    owners.on_message(T, 2, good)
     assert memory.voters[BUDGETS].member == "g2"
 
 
@@ -349,15 +351,15 @@
     first = DurableState(
         T, "g0", NORTH.gateways, (BUDGETS,), 10.0, None, 1, regions=regions_digest(EVEN), scope="north"
     )
-    held = first.record()
+    stored = first.record()
     assert DurableState(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=regions_digest(EVEN), scope="north"
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, stored, 2, regions=regions_digest(EVEN), scope="north"
     ).intact
     assert not DurableState(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=regions_digest(EVEN), scope="south"
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, stored, 2, regions=regions_digest(EVEN), scope="south"
     ).intact
     m = DurableState(
-        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, held, 2, regions=regions_digest(RAISED), scope="north"
+        T, "g0", NORTH.gateways, (BUDGETS,), 10.0, stored, 2, regions=regions_digest(RAISED), scope="north"
     )
     assert m.lists.former == NORTH.gateways and first.lists.digests()[0] == m.lists.digests()[1]
     third = DurableState(
@@ -405,13 +407,13 @@
 
 def test_owners_are_reported_with_region_and_missing_ones_with_reason() -> None:
     regions = {g: r.name for r in EVEN for g in r.gateways}
-    some = [
+    reports = [
         make_report("g0", "north", (BUDGETS,)),
         make_report("g2", "north"),
         make_report("g1", "south"),
         *(Said(name, None, "timed out") for name in ("g3", "g4", "g5")),
     ]
-    found = {o.duty: o for o in owned(some, regions)}
+    found = {o.duty: o for o in owned(reports, regions)}
     assert sorted(found) == ["budgets (north)", "budgets (south)", "restarts", "verdicts"]
     assert (found["budgets (north)"].kind, found["budgets (north)"].owner) == ("owned", "g0")
     assert found["budgets (south)"].kind == "unknown" and "1 of 3 answered" in found["budgets (south)"].why
@@ -420,7 +422,7 @@
     assert found["budgets (south)"].kind == "nobody" and found["budgets (south)"].standstill == "no budgets"
     assert found["restarts"].why == "it needs a majority of the gateways of all regions; no restarts"
     # A region without any answer is listed, too.
-    found = {o.duty: o for o in owned(some[:2], regions)}
+    found = {o.duty: o for o in owned(reports[:2], regions)}
     assert found["budgets (south)"].kind == "unknown"
     two = owned([make_report("g0", "north", (BUDGETS,)), make_report("g2", "north", (BUDGETS,))], regions)
     assert two[0].kind == "contradicting"
--- a/tests/test_whole_units.py
+++ b/tests/test_whole_units.py
@@ -226,13 +226,13 @@
 
     def round(self, wanted: dict[int, int]) -> list[int]:
         """Lets all request once within a period; returns the units that each has then."""
-        for me, b in enumerate(self.borrowers):
+        for me, borrower in enumerate(self.borrowers):
             self.now += PERIOD / len(self.borrowers)
-            b._next_request_at = -1e18
-            words = b.next_request(self.now, 1, {}, {SET_UPS: wanted.get(me, 0) * self.budget.grain})
+            borrower._next_request_at = -1e18
+            words = borrower.next_request(self.now, 1, {}, {SET_UPS: wanted.get(me, 0) * self.budget.grain})
             assert words is not None
             answer = self.lender.on_request(self.now, me, words)
-            assert answer is not None and b.on_loan(self.now, answer)
+            assert answer is not None and borrower.on_loan(self.now, answer)
             assert sum(self.units()) <= WHOLE // self.budget.grain
         return self.units()
 
