--- a/ledgehitch/regions/shares.py
+++ b/ledgehitch/regions/shares.py
@@ -40,8 +40,8 @@
         gone by an operator. `max_lent_duration`: seconds for which a former lease and its loans may last."""
         if self.former_unused or self.settles_at < NEVER:
             return
-        done = on_current | gone
-        if all(_is_minority(r, done) for r in (*self.current, *(self.former or ()))):
+        excluded = on_current | gone
+        if all(_is_minority(r, excluded) for r in (*self.current, *(self.former or ()))):
             self.settles_at = now + max_lent_duration
 
     def settle(self, now: float) -> bool:
@@ -86,9 +86,9 @@
         return {"current": [list(r) for r in self.current], "former": former, "known": self.former_unused}
 
 
-def _is_minority(region: Region, on_current: Set[str]) -> bool:
-    """Returns whether the gateways that may use another version are no majority of this region."""
-    return len(set(region.gateways) - on_current) <= len(region.gateways) // 2
+def _is_minority(region: Region, excluded: Set[str]) -> bool:
+    """Returns whether the gateways of this region without the excluded ones are no majority of it."""
+    return len(set(region.gateways) - excluded) <= len(region.gateways) // 2
 
 
 def read_regions(stored: Any) -> tuple[Region, ...] | None:
