--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -117,8 +117,8 @@
             reader.feed(spoilt(self.request, self.chance))
 
     def certificate(self) -> None:
-        with contextlib.suppress(judge.Refused):
-            judge.shown(self.chance.randbytes(self.chance.randrange(200)))
+        with contextlib.suppress(judge.CertificateRejected):
+            judge.parse_certificate(self.chance.randbytes(self.chance.randrange(200)))
 
 
 def memory() -> float:
--- a/ledgehitch/cli/keys.py
+++ b/ledgehitch/cli/keys.py
@@ -47,7 +47,7 @@
 def list_command(store: Keys) -> None:
     """All certificates, whom they name, and how long they are still good."""
     table, now, revoked = Table("file", "names", "for", "good for", box=None), time.time(), store.revoked()
-    for path, one in store.listed():
+    for path, one in store.certificates():
         left = (one.ends - now) / 86400
         word = "revoked" if one.serial in revoked else f"{left:.1f} days" if left > 0 else "expired"
         table.add_row(path.name, one.name, ", ".join(one.roles) or "signing", word)
@@ -68,10 +68,10 @@
 def fleet_command(store: Keys, step: str) -> None:
     """Change the fleet's key in three steps, with a rolling restart after each: add, use, drop."""
     if step == "add":
-        click.echo(f"{store.ring}: {store.add()} keys")
+        click.echo(f"{store.ring}: {store.add_fleet_key()} keys")
     elif step == "use":
-        store.use()
+        store.sign_with_newer_key()
         click.echo(f"{store.ring}: the newer key signs")
     else:
-        store.drop()
+        store.drop_older_key()
         click.echo(f"{store.ring}: one key")
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -27,11 +27,10 @@
 from ledgehitch.daemon.watchdog import Watchdog
 from ledgehitch.gateway.serve import RunningGateway, print_ready, read_peer_keys
 from ledgehitch.gateway.versions import CompiledSite, SiteReloader
-from ledgehitch.http import Refused as NotTaken
-from ledgehitch.http import Request, Response, Server
+from ledgehitch.http import Refused, Request, Response, Server
 from ledgehitch.http.client import TLS
-from ledgehitch.keys.contexts import context
-from ledgehitch.keys.judge import Refused, shown, taken
+from ledgehitch.keys.contexts import tls_context
+from ledgehitch.keys.judge import CertificateRejected, authorize, parse_certificate
 from ledgehitch.keys.store import Keys
 from ledgehitch.loop import Child, Endpoint, Event, Loop, TimedOut, endpoint
 from ledgehitch.loop.pump import Pump
@@ -179,7 +178,7 @@
             os.umask(before)
         here = next(g for g in self.site.gateways if g.name == self.name)
         if here.admin_at and self.keys is not None:
-            tls = context(self.keys.ca, self.keys.directory / f"{self.name}.pem", True)
+            tls = tls_context(self.keys.ca, self.keys.directory / f"{self.name}.pem", True)
             far = endpoint(here.admin_at.removeprefix(TLS))
             servers.append(Server(self.loop, far, self._asked_from_afar, tls=tls))
         return servers
@@ -187,11 +186,11 @@
     def _asked_from_afar(self, request: Request) -> Response:
         assert self.keys is not None
         try:
-            one = shown(request.certificate)
-            role = taken(one, time.time(), ("operate", "look", "gateway"), self.keys.revoked())
-        except Refused as why:
+            one = parse_certificate(request.certificate)
+            role = authorize(one, time.time(), ("operate", "look", "gateway"), self.keys.revoked())
+        except CertificateRejected as why:
             log.warning("an operator is refused", why=str(why), peer=request.peer)
-            raise NotTaken(403, str(why)) from None
+            raise Refused(403, str(why)) from None
         return self.admin.handle(request, role)
 
     def _wait_for_list(self) -> None:
--- a/ledgehitch/fleet/carry.py
+++ b/ledgehitch/fleet/carry.py
@@ -11,8 +11,8 @@
 from ledgehitch.fleet.found import Found, Target, judged, unheard
 from ledgehitch.fleet.plan import Ask, Call, Joins, Over, Rolling, Write
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Response
-from ledgehitch.keys.contexts import context
-from ledgehitch.keys.judge import Refused, shown, taken
+from ledgehitch.keys.contexts import tls_context
+from ledgehitch.keys.judge import CertificateRejected, authorize, parse_certificate
 from ledgehitch.keys.store import Keys
 from ledgehitch.loop import Event, Loop, TimedOut
 
@@ -93,11 +93,17 @@
     def judge(address: str, shown_der: bytes) -> None:
         """Guards against an impostor at a gateway's address: it must show that gateway's certificate."""
         try:
-            taken(shown(shown_der), time.time(), ("gateway",), keys.revoked(), names.get(address, ""))
-        except Refused as why:
+            authorize(
+                parse_certificate(shown_der),
+                time.time(),
+                ("gateway",),
+                keys.revoked(),
+                names.get(address, ""),
+            )
+        except CertificateRejected as why:
             raise ConnectFailed(str(why)) from None
 
-    return Client(loop, context(keys.ca, certificate, False), judge)
+    return Client(loop, tls_context(keys.ca, certificate, False), judge)
 
 
 class Lines(Protocol):
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -35,7 +35,7 @@
 from ledgehitch.gateway.versions import CompiledSite, SiteReloader
 from ledgehitch.gateway.watch import HostMonitor
 from ledgehitch.http import Limits, Server
-from ledgehitch.keys.store import ring_in
+from ledgehitch.keys.store import read_key_ring
 from ledgehitch.loop import Datagrams, Event, Loop, endpoint
 from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.regions.facts import regions_of
@@ -48,7 +48,7 @@
 
 def read_peer_keys(site: Site) -> list[bytes]:
     """The keys that gateways share, from a file that only its owner can read; none where none is named."""
-    return ring_in(Path(site.peer_key_file)) if site.peer_key_file else []
+    return read_key_ring(Path(site.peer_key_file)) if site.peer_key_file else []
 
 
 def own_shares(site: Site, name: str) -> tuple[float, dict[str, float]]:
--- a/ledgehitch/keys/contexts.py
+++ b/ledgehitch/keys/contexts.py
@@ -4,12 +4,12 @@
 from pathlib import Path
 
 from ledgehitch.config import BadInput
-from ledgehitch.keys.store import private
+from ledgehitch.keys.store import read_secret
 
 
-def context(ca: Path, bearer: Path, server: bool) -> ssl.SSLContext:
+def tls_context(ca: Path, bearer: Path, server: bool) -> ssl.SSLContext:
     """`bearer`: a certificate with its key, in a file that only its owner may read."""
-    private(bearer)
+    read_secret(bearer)
     some = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
     some.minimum_version = ssl.TLSVersion.TLSv1_3
     some.check_hostname = False  # the name is a gateway's, not a host's: it is judged by `judge.taken`
--- a/ledgehitch/keys/judge.py
+++ b/ledgehitch/keys/judge.py
@@ -17,7 +17,7 @@
 Role = Literal["operate", "look", "gateway"]
 
 
-class Shown(NamedTuple):
+class Certificate(NamedTuple):
     """A certificate as far as it matters here. Times are seconds of the wall clock."""
 
     serial: int
@@ -28,16 +28,16 @@
     issuer: str
 
 
-class Refused(Exception):
+class CertificateRejected(Exception):
     """Why it is not taken, in words."""
 
 
-def shown(der: bytes) -> Shown:
-    """Reads a certificate; raises `Refused` for what is none."""
+def parse_certificate(der: bytes) -> Certificate:
+    """Reads a certificate; raises `CertificateRejected` for what is none."""
     try:
         cert = x509.load_der_x509_certificate(der)
     except ValueError:
-        raise Refused("what was shown is no certificate") from None
+        raise CertificateRejected("what was shown is no certificate") from None
     names = cert.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
     issuers = cert.issuer.get_attributes_for_oid(NameOID.COMMON_NAME)
     try:
@@ -48,7 +48,7 @@
         uris = []
     said = [uri.removeprefix(SCHEME) for uri in uris if uri.startswith(SCHEME)]
     roles = tuple(role for role in ROLES if role in said)
-    return Shown(
+    return Certificate(
         cert.serial_number,
         str(names[0].value) if names else "",
         roles,  # type: ignore[arg-type]
@@ -58,19 +58,23 @@
     )
 
 
-def taken(one: Shown, now: float, wanted: Collection[str], revoked: Collection[int], name: str = "") -> Role:
+def authorize(
+    one: Certificate, now: float, wanted: Collection[str], revoked: Collection[int], name: str = ""
+) -> Role:
     """The role in which it is taken, one of `wanted`. `name`: whom it must name."""
     if now < one.begins - SKEW:
-        raise Refused(
+        raise CertificateRejected(
             f"the certificate of {one.name!r} is not valid before {one.begins - now:.0f} s from now"
         )
     if now > one.ends:
-        raise Refused(f"the certificate of {one.name!r} expired {now - one.ends:.0f} s ago")
+        raise CertificateRejected(f"the certificate of {one.name!r} expired {now - one.ends:.0f} s ago")
     if one.serial in revoked:
-        raise Refused(f"the certificate of {one.name!r} was revoked")
+        raise CertificateRejected(f"the certificate of {one.name!r} was revoked")
     if name and one.name != name:
-        raise Refused(f"the certificate names {one.name!r}, not {name!r}")
+        raise CertificateRejected(f"the certificate names {one.name!r}, not {name!r}")
     for role in one.roles:
         if role in wanted:
             return role
-    raise Refused(f"the certificate of {one.name!r} is for {', '.join(one.roles) or 'nothing here'}")
+    raise CertificateRejected(
+        f"the certificate of {one.name!r} is for {', '.join(one.roles) or 'nothing here'}"
+    )
--- a/ledgehitch/keys/store.py
+++ b/ledgehitch/keys/store.py
@@ -17,7 +17,7 @@
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
 from ledgehitch.config import BadInput
-from ledgehitch.keys.judge import SCHEME, Role, Shown, shown
+from ledgehitch.keys.judge import SCHEME, Certificate, Role, parse_certificate
 
 DAYS = 90.0
 CA_DAYS = 3650.0
@@ -26,7 +26,7 @@
 KEPT = 2  # fleet keys that are taken: one is signed with, the other is coming or going
 
 
-def private(path: Path) -> bytes:
+def read_secret(path: Path) -> bytes:
     """A file with a secret; refused where others may read it."""
     try:
         if path.stat().st_mode & PRIVATE:
@@ -36,7 +36,7 @@
         raise BadInput(f"{path}: cannot be read: {problem.strerror}") from None
 
 
-def written(path: Path, data: bytes, mode: int = 0o600) -> None:
+def write_atomically(path: Path, data: bytes, mode: int = 0o600) -> None:
     """Whole or not at all, and never readable by others in between."""
     partly = path.with_name(path.name + ".new")
     partly.unlink(missing_ok=True)
@@ -88,15 +88,15 @@
             .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
             .add_extension(_usage(signs=True), critical=True)
         )
-        written(self.ca_key, _pem(key))
+        write_atomically(self.ca_key, _pem(key))
         cert = builder.sign(key, hashes.SHA256())
-        written(self.ca, cert.public_bytes(serialization.Encoding.PEM), 0o644)
+        write_atomically(self.ca, cert.public_bytes(serialization.Encoding.PEM), 0o644)
 
     def issue(self, name: str, role: Role, now: float, days: float = DAYS) -> Path:
         """A certificate with its key for `name`; an older one of that name goes on being good until its end
         or until it is revoked."""
         authority = x509.load_pem_x509_certificate(self.ca.read_bytes())
-        signer = serialization.load_pem_private_key(private(self.ca_key), None)
+        signer = serialization.load_pem_private_key(read_secret(self.ca_key), None)
         assert isinstance(signer, ec.EllipticCurvePrivateKey)
         key = ec.generate_private_key(ec.SECP256R1())
         begins, ends = _dates(now, days)
@@ -125,14 +125,14 @@
         path = self.directory / f"{name}.pem"
         if path.exists():
             os.replace(path, self.directory / f"{name}.before.pem")
-        written(path, cert.public_bytes(serialization.Encoding.PEM) + _pem(key))
+        write_atomically(path, cert.public_bytes(serialization.Encoding.PEM) + _pem(key))
         return path
 
-    def listed(self) -> list[tuple[Path, Shown]]:
+    def certificates(self) -> list[tuple[Path, Certificate]]:
         found = []
         for path in sorted(self.directory.glob("*.pem")):
             cert = x509.load_pem_x509_certificate(path.read_bytes())
-            found.append((path, shown(cert.public_bytes(serialization.Encoding.DER))))
+            found.append((path, parse_certificate(cert.public_bytes(serialization.Encoding.DER))))
         return found
 
     def revoke(self, path: Path) -> int:
@@ -140,37 +140,39 @@
         serial = x509.load_pem_x509_certificate(path.read_bytes()).serial_number
         known = self.revoked()
         if serial not in known:
-            written(self.revocations, "".join(f"{n:x}\n" for n in sorted({*known, serial})).encode(), 0o644)
+            write_atomically(
+                self.revocations, "".join(f"{n:x}\n" for n in sorted({*known, serial})).encode(), 0o644
+            )
         return serial
 
     def revoked(self) -> set[int]:
-        return revoked_in(self.revocations)
+        return read_revocations(self.revocations)
 
     # ---- fleet keys ----------------------------------------------------------------------------------------
 
-    def add(self) -> int:
+    def add_fleet_key(self) -> int:
         """A new fleet key, taken but not signed with yet: the gateways learn it one after the other. How many
         keys the ring has now."""
-        old = ring_in(self.ring) if self.ring.exists() else []
+        old = read_key_ring(self.ring) if self.ring.exists() else []
         if len(old) >= KEPT:
             raise BadInput(f"{self.ring}: a change is under way: `use` the new key, then `drop` the old one")
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
-        written(self.ring, b"".join([*old, secrets.token_bytes(KEY)]))
+        write_atomically(self.ring, b"".join([*old, secrets.token_bytes(KEY)]))
         return len(old) + 1
 
-    def use(self) -> None:
+    def sign_with_newer_key(self) -> None:
         """From their next start on gateways sign with the newer key; all of them must know it by now."""
-        ring = ring_in(self.ring)
+        ring = read_key_ring(self.ring)
         if len(ring) < KEPT:
             raise BadInput(f"{self.ring}: there is no newer key: `add` one")
-        written(self.ring, b"".join(reversed(ring)))
+        write_atomically(self.ring, b"".join(reversed(ring)))
 
-    def drop(self) -> None:
+    def drop_older_key(self) -> None:
         """The key that is not signed with is taken no more; all must sign with the other by now."""
-        written(self.ring, ring_in(self.ring)[0])
+        write_atomically(self.ring, read_key_ring(self.ring)[0])
 
 
-def revoked_in(path: Path) -> set[int]:
+def read_revocations(path: Path) -> set[int]:
     """Serial numbers that are refused; none where there is no such file."""
     try:
         return {int(line, 16) for line in path.read_text("ascii").split()}
@@ -180,9 +182,9 @@
         raise BadInput(f"{path}: the list of revoked certificates does not read: {problem}") from None
 
 
-def ring_in(path: Path) -> list[bytes]:
+def read_key_ring(path: Path) -> list[bytes]:
     """Fleet keys, the one that is signed with first; a file of one key is a ring, too."""
-    data = private(path)
+    data = read_secret(path)
     if not data or len(data) % KEY or len(data) > KEPT * KEY:
         raise BadInput(f"{path}: a ring holds one or two peer keys of {KEY} bytes, not {len(data)} bytes")
     return [data[i : i + KEY] for i in range(0, len(data), KEY)]
--- a/ledgehitch/scale/hollow.py
+++ b/ledgehitch/scale/hollow.py
@@ -23,7 +23,7 @@
 from ledgehitch.door.rates import SET_UPS, offers_budget
 from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.http import Refused, Request, Response, Server
-from ledgehitch.keys.store import ring_in
+from ledgehitch.keys.store import read_key_ring
 from ledgehitch.loop import Event, Loop, Task, endpoint
 from ledgehitch.owners.facts import BUDGETS, DUTIES
 from ledgehitch.proof.tape import Tape
@@ -109,7 +109,7 @@
         self, loop: Loop, site: Site, names: list[str], state: Path, tape: Tape, seed: int, share: float
     ) -> None:
         self.loop, self.site, self.state, self.tape, self.share = loop, site, state, tape, share
-        self.names, self.seed, self.ring = names, seed, ring_in(Path(site.peer_key_file))
+        self.names, self.seed, self.ring = names, seed, read_key_ring(Path(site.peer_key_file))
         self.lives = dict.fromkeys(names, 0)
         self.live: dict[str, Live] = {}
         self.home = loop.current
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -12,9 +12,9 @@
 from ledgehitch.config import BadInput
 from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Request, Response, Server
-from ledgehitch.keys.contexts import context
-from ledgehitch.keys.judge import Refused, shown, taken
-from ledgehitch.keys.store import Keys, ring_in, written
+from ledgehitch.keys.contexts import tls_context
+from ledgehitch.keys.judge import CertificateRejected, authorize, parse_certificate
+from ledgehitch.keys.store import Keys, read_key_ring, write_atomically
 from ledgehitch.loop import Loop, TimedOut, connect, endpoint
 
 NOW = time.time()
@@ -35,24 +35,24 @@
 
 
 def test_a_certificate_is_taken_for_what_it_is_and_refused_with_the_reason(store: Keys) -> None:
-    ops = shown(der(store.directory / "ops.pem"))
+    ops = parse_certificate(der(store.directory / "ops.pem"))
     assert ops.name == "ops" and ops.roles == ("operate",) and ops.issuer == "fleet"
-    assert taken(ops, NOW, ("operate", "look"), ()) == "operate"
+    assert authorize(ops, NOW, ("operate", "look"), ()) == "operate"
     both = ("operate", "look")
-    with pytest.raises(Refused, match="'ops' was revoked"):
-        taken(ops, NOW, both, {ops.serial})
-    with pytest.raises(Refused, match="'ops' expired 86400 s ago"):
-        taken(ops, ops.ends + 86400, both, ())
-    with pytest.raises(Refused, match="is not valid before 3600 s from now"):
-        taken(ops, ops.begins - 3600, both, ())
-    assert taken(ops, ops.begins - 30, both, ()) == "operate", "clocks may differ a little"
-    with pytest.raises(Refused, match="'ops' is for operate"):
-        taken(ops, NOW, ("gateway",), ())
-    g0 = shown(der(store.directory / "g0.pem"))
-    with pytest.raises(Refused, match="names 'g0', not 'g1'"):
-        taken(g0, NOW, ("gateway",), (), "g1")
-    with pytest.raises(Refused, match="no certificate"):
-        shown(b"nonsense")
+    with pytest.raises(CertificateRejected, match="'ops' was revoked"):
+        authorize(ops, NOW, both, {ops.serial})
+    with pytest.raises(CertificateRejected, match="'ops' expired 86400 s ago"):
+        authorize(ops, ops.ends + 86400, both, ())
+    with pytest.raises(CertificateRejected, match="is not valid before 3600 s from now"):
+        authorize(ops, ops.begins - 3600, both, ())
+    assert authorize(ops, ops.begins - 30, both, ()) == "operate", "clocks may differ a little"
+    with pytest.raises(CertificateRejected, match="'ops' is for operate"):
+        authorize(ops, NOW, ("gateway",), ())
+    g0 = parse_certificate(der(store.directory / "g0.pem"))
+    with pytest.raises(CertificateRejected, match="names 'g0', not 'g1'"):
+        authorize(g0, NOW, ("gateway",), (), "g1")
+    with pytest.raises(CertificateRejected, match="no certificate"):
+        parse_certificate(b"nonsense")
 
 
 def test_secrets_are_their_owners_alone_and_nothing_is_written_over(store: Keys, tmp_path: Path) -> None:
@@ -61,13 +61,13 @@
     with pytest.raises(BadInput, match="never written over"):
         store.new_authority("again", NOW)
     open_to_all = tmp_path / "open.pem"
-    written(open_to_all, (store.directory / "ops.pem").read_bytes(), 0o644)
+    write_atomically(open_to_all, (store.directory / "ops.pem").read_bytes(), 0o644)
     with pytest.raises(BadInput, match="chmod 600"):
-        context(store.ca, open_to_all, False)
+        tls_context(store.ca, open_to_all, False)
     before = store.directory / "eyes.pem"
-    first = shown(der(before)).serial
+    first = parse_certificate(der(before)).serial
     store.issue("eyes", "look", NOW)
-    assert shown(der(store.directory / "eyes.before.pem")).serial == first
+    assert parse_certificate(der(store.directory / "eyes.before.pem")).serial == first
     assert store.revoke(store.directory / "eyes.before.pem") == first and store.revoked() == {first}
     store.revocations.write_text("not a number\n")
     with pytest.raises(BadInput, match="does not read"):
@@ -78,33 +78,33 @@
 
 def test_the_fleets_key_changes_in_three_steps_without_a_word_lost(tmp_path: Path) -> None:
     keys = Keys(tmp_path)
-    assert keys.add() == 1
-    ring = ring_in(keys.ring)
+    assert keys.add_fleet_key() == 1
+    ring = read_key_ring(keys.ring)
     old = PeerCodec(ring, 0, 1)
-    assert keys.add() == 2
+    assert keys.add_fleet_key() == 2
     with pytest.raises(BadInput, match="a change is under way"):
-        keys.add()
-    added = PeerCodec(ring_in(keys.ring), 1, 1)
+        keys.add_fleet_key()
+    added = PeerCodec(read_key_ring(keys.ring), 1, 1)
     assert added.unframe(NOW, old.frame(NOW, 1, b"a")) == (0, b"a")
     said = PeerCodec(ring, 0, 1).unframe(NOW, added.frame(NOW, 0, b"b"))
     assert said == (1, b"b"), "it still signs with the old one"
-    keys.use()
-    used = PeerCodec(ring_in(keys.ring), 2, 1)
+    keys.sign_with_newer_key()
+    used = PeerCodec(read_key_ring(keys.ring), 2, 1)
     assert added.unframe(NOW, used.frame(NOW, 1, b"c")) == (2, b"c")
     assert used.unframe(NOW, added.frame(NOW, 2, b"d")) == (1, b"d")
     with pytest.raises(DatagramRejected, match="mac"):
         old.unframe(NOW, used.frame(NOW, 0, b"e"))
-    keys.drop()
-    dropped = PeerCodec(ring_in(keys.ring), 3, 1)
+    keys.drop_older_key()
+    dropped = PeerCodec(read_key_ring(keys.ring), 3, 1)
     assert dropped.unframe(NOW, used.frame(NOW, 3, b"f")) == (2, b"f")
     with pytest.raises(DatagramRejected, match="mac"):
         dropped.unframe(NOW, added.frame(NOW, 3, b"g"))
     keys.ring.chmod(0o640)
     with pytest.raises(BadInput, match="chmod 600"):
-        ring_in(keys.ring)
-    written(keys.ring, b"x" * 31)
+        read_key_ring(keys.ring)
+    write_atomically(keys.ring, b"x" * 31)
     with pytest.raises(BadInput, match="one or two peer keys of 32 bytes, not 31 bytes"):
-        ring_in(keys.ring)
+        read_key_ring(keys.ring)
 
 
 def test_calls_over_tls_show_who_is_who_on_both_sides(store: Keys, tmp_path: Path) -> None:
@@ -114,23 +114,23 @@
     stranger = other.issue("ops", "operate", NOW)
 
     def handle(request: Request) -> Response:
-        seen.append(shown(request.certificate).name)
+        seen.append(parse_certificate(request.certificate).name)
         return Response(200, [], b"x" * 200_000)
 
     def judged(name: str) -> Any:
         def judge(address: str, certificate: bytes) -> None:
             try:
-                taken(shown(certificate), time.time(), ("gateway",), store.revoked(), name)
-            except Refused as why:
+                authorize(parse_certificate(certificate), time.time(), ("gateway",), store.revoked(), name)
+            except CertificateRejected as why:
                 raise ConnectFailed(str(why)) from None
 
         return judge
 
     def main() -> None:
-        tls = context(store.ca, store.directory / "g0.pem", True)
+        tls = tls_context(store.ca, store.directory / "g0.pem", True)
         server = Server(loop, endpoint("127.0.0.1:0"), handle, tls=tls)
         at = f"tls:{server.at}"
-        ops = context(store.ca, store.directory / "ops.pem", False)
+        ops = tls_context(store.ca, store.directory / "ops.pem", False)
         client = Client(loop, ops, judged("g0"))
         with loop.deadline(20.0):
             for _ in range(3):
@@ -141,7 +141,7 @@
             Client(loop, ops, judged("g1")).request(at, "GET", "/x")
         with pytest.raises(ConnectFailed, match="none is given"):
             Client(loop).request(at, "GET", "/x")
-        bad = context(store.ca, stranger, False)
+        bad = tls_context(store.ca, stranger, False)
         with pytest.raises((ConnectFailed, Interrupted)), loop.deadline(20.0):
             Client(loop, bad, judged("g0")).request(at, "GET", "/x")
         plain = connect(loop, server.at)
@@ -160,7 +160,7 @@
 
 def test_older_versions_of_tls_are_not_spoken(store: Keys) -> None:
     for server in (True, False):
-        some = context(store.ca, store.directory / "g0.pem", server)
+        some = tls_context(store.ca, store.directory / "g0.pem", server)
         assert some.minimum_version == ssl.TLSVersion.TLSv1_3 and some.verify_mode == ssl.CERT_REQUIRED
 
 
@@ -170,7 +170,7 @@
     loop = Loop()
 
     def main() -> None:
-        tls = context(store.ca, store.directory / "g0.pem", True)
+        tls = tls_context(store.ca, store.directory / "g0.pem", True)
         limits = Limits(request_timeout_s=0.2)
         server = Server(loop, endpoint("127.0.0.1:0"), lambda _: Response(200), limits, tls=tls)
         streams = [connect(loop, server.at) for _ in range(20)]
