--- a/ledgehitch/gateway/__init__.py
+++ b/ledgehitch/gateway/__init__.py
@@ -1,5 +1,6 @@
-"""One gateway: sockets' events become the module's calls, and what it decides is carried out.
+"""One gateway: passes events from its sockets to the decision module and executes the module's decisions.
 
-It places, blocks and steps nothing by itself. Start reading at `carry.py`; `gate.py` (what may leave),
-`watch.py` (which media hosts are lost), `roll.py` (which list counts) and `peers.py` are free of I/O.
+It takes no decision on placement or rates itself. Start reading at `carry.py`. `watch.py` (failure detector
+of media hosts), `roll.py` (the list of media hosts) and `peers.py` (datagrams between gateways) are free of
+I/O.
 """
--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -1,10 +1,10 @@
-"""The gateway's HTTP face: WHEP and WHIP requests become offers at the carrier; what is settled answers them.
+"""The gateway's HTTP interface: passes WHEP and WHIP offers to the executor and answers with the results.
 
 POST   /whep/{package}/{title}   an offer to watch; ?top=N says the highest rung that the viewer can use
 POST   /whip/{package}/{title}   an offer to send
 PATCH  /viewings/{id}            trickled candidates, or an ICE restart
 DELETE /viewings/{id}            ends the viewing
-POST, GET /viewings/{id}/events  what happens to the viewing, as server-sent events
+POST, GET /viewings/{id}/events  events of the viewing, as server-sent events
 POST   /viewings/{id}/layer      answered 409: the gateway sets the rate
 GET    /health, /state           whether it serves, and its counters
 """
@@ -37,27 +37,29 @@
     412: "the condition names another state of the ICE session",
     428: "a PATCH needs If-Match: the ETag, or * to restart ICE",
 }
-ANSWER_GRACE_S = 0.1  # seconds after patience at which a viewing without a decision is answered all the same
+ANSWER_GRACE_S = 0.1  # after patience; then a viewing without a decision is answered all the same
 
 
 class HttpFrontend:
+    """Handles the HTTP requests of viewers to one gateway."""
+
     def __init__(
         self,
         loop: Loop,
-        carrier: Executor,
+        executor: Executor,
         packages: Mapping[str, Package],
         titles: Mapping[str, tuple[int, int]],
-        rates: tuple[float, ...],
+        rung_rates: tuple[float, ...],
         state: Callable[[], dict[str, Any]],
     ) -> None:
-        self.loop, self.executor = loop, carrier
-        self.packages, self.titles, self.rung_rates, self.state = packages, titles, rates, state
+        self.loop, self.executor = loop, executor
+        self.packages, self.titles, self.rung_rates, self.state = packages, titles, rung_rates, state
         self.draining = False
-        self.other_gateway: Callable[[], str] = str  # where who asks a gateway that drains may be taken
-        self.reports: ReportService | None = None  # where they are taken in this process
-        self.reports_at = ""  # http://ADDRESS where they are taken in a process beside
+        self.other_gateway: Callable[[], str] = str  # address for redirects while draining, or empty
+        self.reports: ReportService | None = None  # set if this process takes reports
+        self.reports_at = ""  # http://ADDRESS of a separate report process
         self.token_issuer: TokenIssuer | None = None
-        self.playing_by_rack: Callable[[], dict[str, int]] = dict  # viewings that play now, by rack
+        self.playing_by_rack: Callable[[], dict[str, int]] = dict  # numbers of playing viewings
         self.rack_of: Callable[[str], str] = lambda host: ""
         self._connection_numbers = itertools.count(1)
         self._viewing_ids = itertools.count(1)
@@ -74,10 +76,12 @@
             case ["viewings", resource, "layer"]:
                 self._require_method(request, "POST")
                 self._viewing(resource)
-                raise Refused(409, "the gateway sets the rate of this viewing; ask with ?top=N for less")
+                raise Refused(
+                    409, "the gateway sets the rate of a viewing; limit it with ?top=N in the offer"
+                )
             case ["viewings", _, "reports"] | ["quality", "tables" | "report"] if self.reports_at:
-                there = f"{self.reports_at}{request.target}"
-                raise Refused(307, "reports are taken beside", [("Location", there)])
+                location = f"{self.reports_at}{request.target}"
+                raise Refused(307, "another process takes reports", [("Location", location)])
             case ["viewings", _, "reports"] | ["quality", "tables" | "report"] if self.reports is not None:
                 return self.reports.handle(request)
             case ["quality", "playing"]:
@@ -95,7 +99,9 @@
     def _require_method(request: Request, *methods: str) -> None:
         if request.method not in methods:
             allowed = ", ".join(methods)
-            raise Refused(405, f"{request.method} is not done here, {allowed} is", [("Allow", allowed)])
+            raise Refused(
+                405, f"method {request.method} is not allowed here, only {allowed}", [("Allow", allowed)]
+            )
 
     # ---- offers --------------------------------------------------------------------------------------------
 
@@ -104,31 +110,31 @@
             fields = [("Accept-Post", SDP), ("Allow", "POST, OPTIONS"), *_cors_headers()]
             return Response(204, fields)
         self._require_method(request, "POST", "OPTIONS")
-        sold, cells = self.packages.get(package), self.titles.get(title)
-        if sold is None:
+        package_terms, cells = self.packages.get(package), self.titles.get(title)
+        if package_terms is None:
             raise Refused(404, f"no package {package!r}; there are {', '.join(sorted(self.packages))}")
         if cells is None:
             raise Refused(404, f"no title {title!r}")
         if request.media_type() != SDP:
-            raise Refused(415, f"an offer is {SDP}", [("Accept-Post", SDP)])
+            raise Refused(415, f"the content type of an offer must be {SDP}", [("Accept-Post", SDP)])
         if not _accepts(request.headers.get("accept"), SDP):
-            raise Refused(406, f"the answer is {SDP}")
+            raise Refused(406, f"the answer can only be {SDP}")
         token = _bearer_token(request)
         offer = self._parse_offer(request, method)
         top = self._highest_rung(request, offer)
-        wait = min(_preferred_wait(request.headers.get("prefer")), sold.patience)
+        wait = min(_preferred_wait(request.headers.get("prefer")), package_terms.patience)
         if self.draining:
             other = self.other_gateway()
             if other:
-                there = [("Location", f"http://{other}{request.target}"), *_cors_headers()]
-                raise Refused(307, "this gateway drains, another takes it", there)
-            raise Refused(503, "this gateway drains", [("Retry-After", "0")])
+                location = [("Location", f"http://{other}{request.target}"), *_cors_headers()]
+                raise Refused(307, "this gateway is draining; use the one in Location", location)
+            raise Refused(503, "this gateway is draining", [("Retry-After", "0")])
         conn, viewing_id = next(self._connection_numbers), next(self._viewing_ids)
         digest = blake3()
         for part in (method, package, title, token, str(top)):
             digest.update(part.encode() + b"\0")
         digest.update(request.body)
-        viewing = Viewing(token, method, sold, title, request.body, offer, asked_at=request.arrived)
+        viewing = Viewing(token, method, package_terms, title, request.body, offer, asked_at=request.arrived)
         patience = request.arrived + wait
         event = self.executor.on_offer(
             conn,
@@ -149,16 +155,16 @@
         except TimedOut:
             self.executor.on_overdue(conn, viewing_id)
         if viewing_id is None:
-            raise NoAnswer("the client hung up")
+            raise NoAnswer("the client disconnected")
         return self._answer(conn, viewing_id)
 
     def _parse_offer(self, request: Request, method: str) -> Offer:
         try:
             offer = parse_sdp(request.body.decode("utf-8"))
-        except UnicodeDecodeError as wrong:
-            raise Refused(400, f"the offer is not UTF-8 at byte {wrong.start}") from None
-        except BadSdp as wrong:
-            raise Refused(400, f"the offer does not parse: {wrong}") from None
+        except UnicodeDecodeError as error:
+            raise Refused(400, f"the offer is not UTF-8 at byte {error.start}") from None
+        except BadSdp as error:
+            raise Refused(400, f"invalid SDP in the offer: {error}") from None
         unfit = "sendonly" if method == "whep" else "recvonly"
         for number, media in enumerate(offer.media):
             if media.direction == unfit:
@@ -166,14 +172,16 @@
         return offer
 
     def _highest_rung(self, request: Request, offer: Offer) -> int:
-        """The highest rung that the viewer can use: `?top=N`, else from the offer's bandwidth, else all."""
-        asked = request.query("top")
-        if asked is not None:
-            if not asked.isdigit():
+        """Returns the highest rung that the viewer can use: `?top=N`, else by the offer's bandwidth, else the
+        top."""
+        requested = request.query("top")
+        if requested is not None:
+            if not requested.isdigit():
                 raise Refused(
-                    400, f"top is the number of a rung, 0 to {len(self.rung_rates) - 1}, not {asked!r}"
+                    400,
+                    f"top must be the number of a rung, 0 to {len(self.rung_rates) - 1}, not {requested!r}",
                 )
-            return min(int(asked), len(self.rung_rates) - 1)
+            return min(int(requested), len(self.rung_rates) - 1)
         kb = offer.max_kb()
         if kb is None:
             return len(self.rung_rates) - 1
@@ -181,36 +189,42 @@
 
     def _answer(self, conn: int, viewing_id: int) -> Response:
         entry = self.executor.registry.entries.get(viewing_id)
-        settled = entry.result if entry is not None else None
-        if entry is None or settled is None:
-            # It ended between its answer and this connection's: for this one it never came about.
+        result = entry.result if entry is not None else None
+        if entry is None or result is None:
+            # The viewing ended before this repeated offer could be answered.
             self.executor.registry.on_answer_sent(self.loop.now, conn)
-            return problem(502, "the viewing ended as it was set up", kind=ABORTED_PROBLEM, answer="aborted")
-        if settled.kind == "plays":
-            at = f"/viewings/{entry.resource}"
-            known = f'; events="{",".join(EVENT_NAMES)}"'
+            return problem(
+                502, "the viewing ended while it was set up", kind=ABORTED_PROBLEM, answer="aborted"
+            )
+        if result.kind == "plays":
+            path = f"/viewings/{entry.resource}"
+            events = f'; events="{",".join(EVENT_NAMES)}"'
             fields = [
                 ("Content-Type", SDP),
-                ("Location", at),
+                ("Location", path),
                 ("ETag", self.executor.registry.etag(entry)),
-                ("Link", f'<{at}/layer>; rel="{LAYER_RELATION}"'),
-                ("Link", f'<{at}/events>; rel="{EVENTS_RELATION}"{known}'),
+                ("Link", f'<{path}/layer>; rel="{LAYER_RELATION}"'),
+                ("Link", f'<{path}/events>; rel="{EVENTS_RELATION}"{events}'),
                 ("Accept-Patch", FRAGMENT),
                 *_cors_headers(),
             ]
             playing = self.executor.viewings.get(viewing_id)
             if self.token_issuer is not None and playing is not None:
                 took = self.loop.now - playing.asked_at
-                rack, target = self.rack_of(playing.host), playing.package.join_target
+                rack, join_target = self.rack_of(playing.host), playing.package.join_target
                 package = playing.package.name
-                token = self.token_issuer.issue(entry.resource, rack, playing.title, took, target, package)
-                there = f"{self.reports_at}{at}/reports"
-                fields += [("Link", f'<{there}>; rel="{REPORTS_RELATION}"'), ("Report-Token", token)]
-            response = Response(201, fields, settled.answer.encode())
-        elif settled.kind == "blocked":
-            fields = [("Retry-After", str(math.ceil(settled.advice)))] if settled.advice > 0 else []
-            fields += [("Return-Ticket", settled.ticket)] if settled.ticket else []
-            why = f"not let in: {settled.why}" if settled.why else "no media host has room for this viewing"
+                token = self.token_issuer.issue(
+                    entry.resource, rack, playing.title, took, join_target, package
+                )
+                target = f"{self.reports_at}{path}/reports"
+                fields += [("Link", f'<{target}>; rel="{REPORTS_RELATION}"'), ("Report-Token", token)]
+            response = Response(201, fields, result.answer.encode())
+        elif result.kind == "blocked":
+            fields = [("Retry-After", str(math.ceil(result.advice)))] if result.advice > 0 else []
+            fields += [("Return-Ticket", result.ticket)] if result.ticket else []
+            why = (
+                f"not admitted: {result.why}" if result.why else "no media host has capacity for this viewing"
+            )
             response = problem(503, why, [*fields, *_cors_headers()], BLOCKED_PROBLEM, answer="blocked")
         else:
             response = problem(
@@ -220,15 +234,15 @@
                 ABORTED_PROBLEM,
                 answer="aborted",
             )
-        response.after = lambda whole: self._on_answer_written(conn, whole)
+        response.after = lambda complete: self._on_answer_written(conn, complete)
         return response
 
-    def _on_answer_written(self, conn: int, whole: bool) -> None:
-        desk = self.executor.registry
-        if whole:
-            desk.on_answer_sent(self.loop.now, conn)
+    def _on_answer_written(self, conn: int, complete: bool) -> None:
+        registry = self.executor.registry
+        if complete:
+            registry.on_answer_sent(self.loop.now, conn)
         else:
-            desk.on_answer_failed(self.loop.now, conn)
+            registry.on_answer_failed(self.loop.now, conn)
             self.executor.wake()
 
     # ---- resources -----------------------------------------------------------------------------------------
@@ -254,25 +268,27 @@
             self.executor.wake()
             return Response(200)
         if request.media_type() != FRAGMENT:
-            raise Refused(415, f"a PATCH is {FRAGMENT}", [("Accept-Patch", FRAGMENT)])
+            raise Refused(
+                415, f"the content type of a PATCH must be {FRAGMENT}", [("Accept-Patch", FRAGMENT)]
+            )
         viewing = self._viewing(resource)
         try:
             fragment = parse_fragment(request.body.decode("utf-8"))
-        except (UnicodeDecodeError, BadSdp) as wrong:
-            raise Refused(400, f"the fragment does not parse: {wrong}") from None
-        desk = self.executor.registry
-        status = desk.on_patch(resource, request.headers.get("if-match"), fragment.ufrag)
+        except (UnicodeDecodeError, BadSdp) as error:
+            raise Refused(400, f"invalid SDP fragment: {error}") from None
+        registry = self.executor.registry
+        status = registry.on_patch(resource, request.headers.get("if-match"), fragment.ufrag)
         if status in (404, 412, 428):
             raise Refused(status, PATCH_REFUSALS[status])
         headers = [("Content-Type", FRAGMENT), ("If-Match", request.headers["if-match"])]
-        passed = self.executor.forward_patch(viewing, headers, request.body)
-        if passed is None or passed.status >= 400:
-            raise Refused(502, "the media host did not take it")
+        answer = self.executor.forward_patch(viewing, headers, request.body)
+        if answer is None or answer.status >= 400:
+            raise Refused(502, "the media host did not accept the PATCH")
         if status == 204:
             return Response(204, _cors_headers())
-        entry = desk.by_resource(resource)
-        tag = [("ETag", desk.etag(entry))] if entry is not None else []
-        return Response(200, [("Content-Type", FRAGMENT), *tag, *_cors_headers()], passed.body)
+        entry = registry.by_resource(resource)
+        tag = [("ETag", registry.etag(entry))] if entry is not None else []
+        return Response(200, [("Content-Type", FRAGMENT), *tag, *_cors_headers()], answer.body)
 
     def _on_events_request(self, request: Request, resource: str) -> Response:
         self._require_method(request, "GET", "POST")
@@ -280,34 +296,36 @@
         if request.method == "POST":
             try:
                 wanted = msgspec.json.decode(request.body or b"[]", type=list[str])
-            except msgspec.MsgspecError as wrong:
-                raise Refused(400, f"a list of names of events is meant: {wrong}") from None
+            except msgspec.MsgspecError as error:
+                raise Refused(400, f"expected a JSON list of event names: {error}") from None
             query = ",".join(name for name in wanted if name in EVENT_NAMES)
             return Response(201, [("Location", f"/viewings/{resource}/events?of={query}"), *_cors_headers()])
         only = set((request.query("of") or ",".join(EVENT_NAMES)).split(","))
         feed = Feed(self.loop, 64)
 
-        def tell(name: str, data: dict[str, Any]) -> None:
+        def notify(name: str, data: dict[str, Any]) -> None:
             if name in only:
                 feed.tell(event(msgspec.json.encode(data).decode(), name))
             if name == "inactive":
                 feed.close()
 
-        tell("active", {})
-        tell("layers", {"encodingId": str(viewing.current_rung)})
-        viewing.event_listeners = [*(viewing.event_listeners or []), tell]
+        notify("active", {})
+        notify("layers", {"encodingId": str(viewing.current_rung)})
+        viewing.event_listeners = [*(viewing.event_listeners or []), notify]
 
         def stream(send: Callable[[bytes], None]) -> None:
             try:
                 feed.send_all(send)
             finally:
-                viewing.event_listeners = [t for t in viewing.event_listeners or [] if t is not tell] or None
+                viewing.event_listeners = [
+                    listener for listener in viewing.event_listeners or [] if listener is not notify
+                ] or None
 
         return Response(200, [("Content-Type", "text/event-stream"), *_cors_headers()], stream=stream)
 
 
-def _json(status: int, thing: Any) -> Response:
-    return Response(status, [("Content-Type", "application/json")], msgspec.json.encode(thing))
+def _json(status: int, body: Any) -> Response:
+    return Response(status, [("Content-Type", "application/json")], msgspec.json.encode(body))
 
 
 def _cors_headers() -> list[tuple[str, str]]:
@@ -316,6 +334,7 @@
 
 
 def _accepts(header: str | None, kind: str) -> bool:
+    """Returns whether an Accept header allows this media type."""
     if header is None:
         return True
     for part in header.split(","):
@@ -333,24 +352,28 @@
     scheme, _, token = request.headers.get("authorization", "").partition(" ")
     token = token.strip()
     if scheme.lower() != "bearer" or not token:
-        raise Refused(401, "a viewer is named by a bearer token", [("WWW-Authenticate", "Bearer")])
+        raise Refused(
+            401, "a bearer token that identifies the viewer is required", [("WWW-Authenticate", "Bearer")]
+        )
     if len(token) > MAX_TOKEN_LENGTH:
         raise Refused(
-            401, f"a token has at most {MAX_TOKEN_LENGTH} characters", [("WWW-Authenticate", "Bearer")]
+            401,
+            f"a bearer token may have at most {MAX_TOKEN_LENGTH} characters",
+            [("WWW-Authenticate", "Bearer")],
         )
     return token
 
 
 def _preferred_wait(prefer: str | None) -> float:
-    """Seconds of `Prefer: wait=SECONDS` (RFC 7240), without bound where it is not there."""
+    """Returns the seconds of `Prefer: wait=SECONDS` (RFC 7240), infinite without it."""
     for part in (prefer or "").replace(";", ",").split(","):
         name, _, value = part.strip().partition("=")
         if name.strip().lower() == "wait":
             try:
                 wait = float(value.strip().strip('"'))
             except ValueError:
-                raise Refused(400, f"Prefer: wait takes seconds, not {value[:20]!r}") from None
+                raise Refused(400, f"Prefer: wait must be a number of seconds, not {value[:20]!r}") from None
             if not 0 <= wait < math.inf:
-                raise Refused(400, f"Prefer: wait takes seconds from 0 up, not {value[:20]!r}")
+                raise Refused(400, f"Prefer: wait must be finite and not negative, not {value[:20]!r}")
             return wait
     return math.inf
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -1,7 +1,8 @@
-"""Players' reports: taken in, counted, exchanged with others, kept, judged now and then.
+"""Quality reports of players: receives, counts, exchanges, saves and periodically evaluates them.
 
-`Tokens` is the gateway's part: who plays may report. `Reports` runs in the gateway's process, or where the
-site names `reports_at` in a process of its own beside it, so that set-ups do not wait for it.
+`TokenIssuer` belongs to the gateway and gives players the tokens to report with. `ReportService` runs in the
+gateway's process or, where the site has `reports_at`, in a process of its own, so that it does not delay
+set-ups.
 """
 
 import json
@@ -26,22 +27,20 @@
 from ledgehitch.quality.passes import BadPass, Passes
 from ledgehitch.quality.tally import KEPT, WINDOW, Cell, Side, Tally, Window
 
-SAVE_INTERVAL_S = 2.0  # seconds of counts that a kill may lose at most
+SAVE_INTERVAL_S = 2.0  # a kill loses at most the counts of so long
 EXCHANGE_INTERVAL_S = 5.0
-MAX_INLINE_VIEWINGS = 500  # viewings up to which a snapshot is written in place
+MAX_INLINE_VIEWINGS = 500  # above, snapshots and verdicts are made in a forked process
 VERDICT_INTERVAL_S = WINDOW
-VERDICT_WINDOWS = 6  # windows that a look goes over
-KEY_ROTATION_S = 12 * 3600.0  # seconds that one key signs tokens
-KEY_RELOAD_DELAY_S = (
-    0.5  # seconds between two looks at a gateway's key file for a token that it does not know
-)
+VERDICT_WINDOWS = 6  # covered by a periodic verdict
+KEY_ROTATION_S = 12 * 3600.0  # how long one key signs tokens
+KEY_RELOAD_DELAY_S = 0.5  # least time between two reads of a key file because of unknown tokens
 REPORTS_RELATION = "urn:ledgehitch:reports"
-MARK_HEADER = "Quality-Mark"  # life and changes up to which the tables of an answer go
+MARK_HEADER = "Quality-Mark"  # life and change count up to which an answer's tables go
 log = structlog.get_logger("quality")
 
 
 class SharedWindow(msgspec.Struct):
-    """One gateway's counts of one window, as they are told to others."""
+    """One gateway's counts of one window, as sent to other gateways."""
 
     source: str
     window: int
@@ -51,7 +50,7 @@
 
 
 class TokenIssuer:
-    """The keys of one gateway, kept for its next life and for the process that takes its reports."""
+    """Issues report tokens. The keys are saved for the next start and for a separate report process."""
 
     def __init__(self, name: str, state_dir: Path | None) -> None:
         self.key_store = Keep(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
@@ -64,17 +63,17 @@
             self.key_store.write(self.passes.frozen())
 
     def load(self) -> None:
-        held = self.key_store.read() if self.key_store is not None else None
+        saved = self.key_store.read() if self.key_store is not None else None
         try:
-            if held is not None:
-                self.passes.thawed(held, time.time())
-        except msgspec.MsgspecError as wrong:
-            log.error("the kept keys do not read, tokens of before are refused", why=str(wrong))
+            if saved is not None:
+                self.passes.thawed(saved, time.time())
+        except msgspec.MsgspecError as error:
+            log.error("cannot read the saved keys, earlier tokens will be refused", why=str(error))
 
     def issue(
         self, resource: str, rack: str, title: str, asked_ago: float, join_target: float, package: str
     ) -> str:
-        """A viewing plays: its players may report from now on. Gives the token that they report with."""
+        """Returns the token with which the players of a viewing that now plays may report."""
         now = time.time()
         if now - self.passes.keys[-1].since > KEY_ROTATION_S:
             self.passes.rotate(secrets.token_bytes(32), now)
@@ -83,7 +82,7 @@
 
 
 class KeyFileVerifier:
-    """The keys of a gateway that runs in another process: read from its file, anew where one is refused."""
+    """Verifies tokens of a gateway in another process. Reads its key file again when a token is refused."""
 
     def __init__(self, name: str, state_dir: Path) -> None:
         self.path, self.passes = state_dir / f"{name}.passes", Passes(secrets.token_bytes(32), 0.0)
@@ -97,13 +96,15 @@
             if now - self._read_at < KEY_RELOAD_DELAY_S:
                 raise
             self._read_at = now
-            held = Keep(self.path).read()
-            if held is not None:
-                self.passes.thawed(held, now)
+            saved = Keep(self.path).read()
+            if saved is not None:
+                self.passes.thawed(saved, now)
             return self.passes.check(now, token, resource)
 
 
 class ReportService:
+    """Takes the reports for one gateway and merges the counts of the others."""
+
     def __init__(
         self,
         loop: Loop,
@@ -112,8 +113,8 @@
         state_dir: Path | None,
         check: Callable[[float, str, str], Seen | None],
     ) -> None:
-        """`others`: where the other gateways' reports are taken, by name. `check` (now, token, viewing)
-        raises `BadPass`."""
+        """`others`: addresses of the other gateways' report services, by name. `check` takes the time, the
+        token and the viewing, and raises `BadPass`."""
         self.loop, self.name, self.others, self.check = loop, name, others, check
         self.store = Keep(state_dir / f"{name}.quality") if state_dir is not None else None
         self.limits = Limits(secrets.token_bytes(32))
@@ -121,27 +122,27 @@
         self.client = Client(loop)
         self.tally = self._load(time.time_ns())
         self.rack_name: Callable[[str], str] = lambda rack: rack
-        self.playing_by_rack: Callable[[], dict[str, int]] = dict  # viewings that play now, by rack
-        self._saved_count = -1
-        self._marks: dict[str, str] = {}  # up to where each gateway's tables are known
+        self.playing_by_rack: Callable[[], dict[str, int]] = dict  # numbers of playing viewings
+        self._saved_count = -1  # reports counted up to the last snapshot
+        self._marks: dict[str, str] = {}  # by gateway: the mark of the newest tables received
         self.refused = 0
 
     def _load(self, life: int) -> Tally:
-        held = self.store.read() if self.store is not None else None
+        saved = self.store.read() if self.store is not None else None
         try:
-            return Tally.thawed(held, life) if held is not None else Tally(self.name, life)
-        except (msgspec.MsgspecError, ValueError) as wrong:  # of another version of the program
-            log.error("the kept quality does not read, counting starts anew", why=str(wrong))
+            return Tally.thawed(saved, life) if saved is not None else Tally(self.name, life)
+        except (msgspec.MsgspecError, ValueError) as error:  # written by another version of the program
+            log.error("cannot read the saved quality counts, starting without them", why=str(error))
             return Tally(self.name, life)
 
     def start(self) -> None:
-        """Spawns the tasks that exchange, keep and judge."""
-        self.loop.spawn(self._save_periodically, name="keep quality")
+        """Spawns the periodic tasks."""
+        self.loop.spawn(self._save_periodically, name="save quality")
         self.loop.spawn(self._exchange_periodically, name="exchange quality")
         self.loop.spawn(self._judge_periodically, name="judge quality")
 
     def stop(self) -> None:
-        """Keeps what was counted, for the next start."""
+        """Saves the counts for the next start."""
         self.client.close()
         if self.store is not None:
             self.store.write(self.tally.frozen())
@@ -157,7 +158,7 @@
             case "GET", ["quality", "report"]:
                 return self.report()
             case _, ["viewings", _, "reports"] | ["quality", "tables" | "report"]:
-                raise Refused(405, f"{request.method} is not done here")
+                raise Refused(405, f"method {request.method} is not allowed here")
         raise Refused(404, f"nothing at {request.path[:100]!r}")
 
     def post(self, request: Request, resource: str) -> Response:
@@ -165,78 +166,80 @@
         now = time.time()
         try:
             if scheme.lower() != "bearer":
-                raise BadPass("a report comes with the token of its viewing's answer")
+                raise BadPass("a report needs the Report-Token of its viewing's answer as bearer token")
             seen = self.check(now, token.strip(), resource)
         except BadPass as why:
             self.refused += 1
-            raise Refused(401, f"the token is refused: {why}", [("WWW-Authenticate", "Bearer")]) from None
+            raise Refused(401, f"invalid token: {why}", [("WWW-Authenticate", "Bearer")]) from None
         try:
             good, bad = reports_in(request.body)
-        except ValueError as wrong:
-            raise Refused(400, str(wrong)) from None
+        except ValueError as error:
+            raise Refused(400, str(error)) from None
         wait = self.limits.asks(now, resource, len(good) + len(bad))
         if wait:
             raise Refused(
-                429, "more reports than one client may send", [("Retry-After", str(math.ceil(wait)))]
+                429, "report rate limit of this client exceeded", [("Retry-After", str(math.ceil(wait)))]
             )
         became: dict[str, int] = {}
         for report in sorted(good, key=lambda r: r.sn):
-            word = self.tally.reported(now, resource, report, seen)
-            became[word] = became.get(word, 0) + 1
+            outcome = self.tally.reported(now, resource, report, seen)
+            became[outcome] = became.get(outcome, 0) + 1
         if bad:
             return problem(
                 422,
-                f"{len(bad)} of {len(good) + len(bad)} reports are not counted",
+                f"{len(bad)} of {len(good) + len(bad)} reports are invalid and not counted",
                 errors=bad,
                 became=became,
             )
         return Response(200, [("Content-Type", "application/json")], json.dumps(became).encode())
 
-    # ---- others --------------------------------------------------------------------------------------------
+    # ---- exchange ------------------------------------------------------------------------------------------
 
     def tables(self, mark: str) -> Response:
-        """Own windows; to who names a mark of ours only those that changed since."""
+        """Answers with this gateway's windows; with a `mark` of ours, only those changed since."""
         life, _, after = mark.partition(".")
         known = (int(life), int(after)) if life.isdigit() and after.isdigit() else (0, 0)
-        told = [SharedWindow(*one) for one in self.tally.summaries(*known)]
+        windows = [SharedWindow(*summary) for summary in self.tally.summaries(*known)]
         fields = [
             ("Content-Type", "application/json"),
             (MARK_HEADER, f"{self.tally.life}.{self.tally.changes}"),
         ]
-        return Response(200, fields, msgspec.json.encode(told))
+        return Response(200, fields, msgspec.json.encode(windows))
 
     def _exchange_periodically(self) -> None:
         while True:
             self.loop.sleep(EXCHANGE_INTERVAL_S)
-            for name, at in self.others.items():
+            for name, address in self.others.items():
                 try:
                     with self.loop.deadline(2.0):
                         mark = self._marks.get(name, "")
-                        answer = self.client.request(at, "GET", f"/quality/tables?mark={mark}")
-                    for told in msgspec.json.decode(answer.body, type=list[SharedWindow]):
-                        self.tally.merge(told.source, told.window, told.life, told.version, told.counts)
+                        answer = self.client.request(address, "GET", f"/quality/tables?mark={mark}")
+                    for shared in msgspec.json.decode(answer.body, type=list[SharedWindow]):
+                        self.tally.merge(
+                            shared.source, shared.window, shared.life, shared.version, shared.counts
+                        )
                     self._marks[name] = answer.header(MARK_HEADER.lower()) or ""
                 except (TimedOut, ConnectFailed, Interrupted, ValueError, msgspec.MsgspecError):
-                    continue  # it is told all since its mark the next time
+                    continue  # the next request gets all changes since the same mark
             self.tally.forget(int(time.time() // WINDOW) - KEPT)
 
     def _save_periodically(self) -> None:
         while True:
             self.loop.sleep(SAVE_INTERVAL_S)
-            taken = self.tally.counts.taken + self.tally.counts.doubles
-            if self.store is not None and taken != self._saved_count:
-                self._saved_count = taken
+            counted = self.tally.counts.taken + self.tally.counts.doubles
+            if self.store is not None and counted != self._saved_count:
+                self._saved_count = counted
                 self._save(self.store)
 
-    def _save(self, keep: Keep) -> None:
+    def _save(self, store: Keep) -> None:
         if len(self.tally.clocks) <= MAX_INLINE_VIEWINGS:
-            keep.write(self.tally.frozen())
+            store.write(self.tally.frozen())
             return
-        # Guards against set-ups waiting for a large snapshot: a copy of the process writes it.
-        if run_forked(self.loop, lambda: keep.write(self.tally.frozen())) == 0:
-            keep.serial += 1
+        # A forked process writes a large snapshot, so that set-ups do not wait for it.
+        if run_forked(self.loop, lambda: store.write(self.tally.frozen())) == 0:
+            store.serial += 1
         else:
-            log.error("the snapshot was not written", path=str(keep.path))
+            log.error("the forked process failed to write the snapshot", path=str(store.path))
 
     def _judge_periodically(self) -> None:
         while True:
@@ -244,29 +247,31 @@
             before = self.judge.verdict.culprits
             verdict = self.judge.heard(self._compute_verdict(self._totals(VERDICT_WINDOWS)))
             if [(c.kind, c.name) for c in verdict.culprits] != [(c.kind, c.name) for c in before]:
-                log.warning("verdict", word=verdict.word)
+                log.warning("quality verdict changed", word=verdict.word)
 
     def _compute_verdict(self, table: dict[str, Cell]) -> Verdict:
-        """A look; at a large table in a copy of the process, so that set-ups do not wait for it."""
+        """Evaluates a table. A forked process does it for a large one, so that set-ups do not wait for it."""
         expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= FEW}
         if len(table) <= MAX_INLINE_VIEWINGS:
             return look(table, expected)
-        ours, theirs = os.pipe()
+        read_end, write_end = os.pipe()
         try:
-            told = lambda: discard(os.write(theirs, msgspec.json.encode(look(table, expected))[:65536]))  # noqa: E731
-            code = run_forked(self.loop, told)
+            send = lambda: discard(os.write(write_end, msgspec.json.encode(look(table, expected))[:65536]))  # noqa: E731
+            code = run_forked(self.loop, send)
             return (
-                msgspec.json.decode(os.read(ours, 65536), type=Verdict) if code == 0 else self.judge.verdict
+                msgspec.json.decode(os.read(read_end, 65536), type=Verdict)
+                if code == 0
+                else self.judge.verdict
             )
         except msgspec.MsgspecError:
-            return self.judge.verdict  # too many culprits to be told: the one that stands goes on standing
+            return self.judge.verdict  # too many culprits for the pipe: the current verdict stays
         finally:
-            os.close(ours)
-            os.close(theirs)
+            os.close(read_end)
+            os.close(write_end)
 
     def _totals(self, windows: int) -> dict[str, Cell]:
-        """Counts of so many windows up to now. Racks are counted by number and named here, so that one that
-        a reload renames is the same rack still."""
+        """Returns the counts of the last `windows` windows. Racks are counted by number and named only here,
+        so that a rack stays the same if a reload renames it."""
         last = int(time.time() // WINDOW) + 1
         table = self.tally.total(last - windows, last)
         return {self._with_rack_name(key): cell for key, cell in table.items()}
@@ -280,7 +285,7 @@
         return groups | {"rack": {self.rack_name(rack): side for rack, side in groups["rack"].items()}}
 
     def report(self) -> Response:
-        """All that people are shown, over all gateways as far as this one has heard."""
+        """Answers with the full report over all gateways, as far as their counts have arrived."""
         verdict = self._compute_verdict(self._totals(KEPT))
         last = int(time.time() // WINDOW) + 1
         series = {}
@@ -288,7 +293,7 @@
             groups = self._groups(w, w + 1)
             if groups["rack"]:
                 series[str(int(w * WINDOW))] = _encode_groups(groups)
-        told = {
+        report = {
             "gateway": self.name,
             "verdict": msgspec.to_builtins(verdict),
             "counts": self.tally.counts,
@@ -297,14 +302,14 @@
             "series": series,
             "heard_of": sorted(self.tally.others),
         }
-        return Response(200, [("Content-Type", "application/json")], msgspec.json.encode(told))
+        return Response(200, [("Content-Type", "application/json")], msgspec.json.encode(report))
 
 
 def _encode_groups(groups: dict[str, dict[str, Side]]) -> dict[str, dict[str, dict[str, Any]]]:
-    """Counts by kind and name; of start times the median and the 95th percentile, milliseconds."""
+    """Returns counts by kind and name, with the median and the 95th percentile of start times in ms."""
 
-    def shown(side: Side) -> dict[str, Any]:
-        told = {f: getattr(side, f) for f in (*Cell.__struct_fields__, "starts", "start")}
-        return told | {"start_p50": side.start_at(0.5), "start_p95": side.start_at(0.95)}
+    def encode_side(side: Side) -> dict[str, Any]:
+        fields = {f: getattr(side, f) for f in (*Cell.__struct_fields__, "starts", "start")}
+        return fields | {"start_p50": side.start_at(0.5), "start_p95": side.start_at(0.95)}
 
-    return {kind: {name: shown(side) for name, side in sides.items()} for kind, sides in groups.items()}
+    return {kind: {name: encode_side(side) for name, side in sides.items()} for kind, sides in groups.items()}
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -1,4 +1,4 @@
-"""One gateway as a process: put together from a site file, run until told to stop."""
+"""One gateway as a process: built from a site file, and run until it is signalled to stop."""
 
 import gc
 import json
@@ -41,19 +41,21 @@
 from ledgehitch.regions.facts import regions_of
 from ledgehitch.signalling import ViewingRegistry
 
-STATISTICS_INTERVAL_S = 5.0  # seconds between log lines with the loop's lag and the counters
+STATISTICS_INTERVAL_S = 5.0  # between log lines with the loop's lag and the counters
 SWEEP_INTERVAL_S = 1.0
 log = structlog.get_logger("gateway")
 
 
 def read_peer_keys(site: Site) -> list[bytes]:
-    """The keys that gateways share, from a file that only its owner can read; none where none is named."""
+    """Returns the keys that gateways share, from a file readable by its owner alone; empty without one."""
     return ring_in(Path(site.peer_key_file)) if site.peer_key_file else []
 
 
 def own_shares(site: Site, name: str) -> tuple[float, dict[str, float]]:
-    """Of the whole of the fleet's limits, what a gateway has though it hears nothing: of any, and of those of
-    which that is another. Where nothing is lent, all of it is divided among all."""
+    """Returns the gateway's own share of the fleet's limits, which it has without any loan.
+
+    The first value applies to any limit, the second to budgets whose own share differs. Without lending, the
+    whole limits are divided among all gateways."""
     lent = lends(site)
     names, share = stated(site) if lent else tuple(g.name for g in site.gateways), WHOLE
     region = next((r for r in regions_of(site) if name in r.gateways), None) if lent else None
@@ -66,7 +68,7 @@
 
 
 class RunningGateway:
-    """A gateway that serves. `build` within a task; `stop` ends it."""
+    """A gateway that serves. It has to be built within a task; `stop` ends it."""
 
     def __init__(
         self,
@@ -80,26 +82,29 @@
     ) -> None:
         self.loop, self.site, self.name = loop, site, name
         self.boot = secrets.token_hex(4)
-        me = [g.name for g in site.gateways].index(name) if name in [g.name for g in site.gateways] else -1
+        index = [g.name for g in site.gateways].index(name) if name in [g.name for g in site.gateways] else -1
         ladder, packages, fleet, terms = facts_of(site, name)
-        here = site.gateways[me]
-        ring = read_peer_keys(site)
-        self.peer_codec = PeerCodec(ring, me, time.time_ns()) if ring and terms.may_tell else None
-        brain = Gateway(seed, time.monotonic(), ladder, packages, fleet, terms)
+        own_record = site.gateways[index]
+        peer_keys = read_peer_keys(site)
+        self.peer_codec = (
+            PeerCodec(peer_keys, index, time.time_ns()) if peer_keys and terms.may_tell else None
+        )
+        module = Gateway(seed, time.monotonic(), ladder, packages, fleet, terms)
         self.reloader: SiteReloader | None = None
-        self.on_limits_changed: Callable[[Site], None] = lambda site: (
-            None
-        )  # called where the site's limits are new
+        # Called with the site whenever its limits are applied.
+        self.on_limits_changed: Callable[[Site], None] = lambda site: None
         self.recorder = Recorder(record) if record is not None else None
-        peer_socket = Datagrams(loop, endpoint(here.peer_at)) if self.peer_codec and here.peer_at else None
+        peer_socket = (
+            Datagrams(loop, endpoint(own_record.peer_at)) if self.peer_codec and own_record.peer_at else None
+        )
         others = {
             i: endpoint(g.peer_via or g.peer_at)
             for i, g in enumerate(site.gateways)
-            if i != me and (g.peer_via or g.peer_at)
+            if i != index and (g.peer_via or g.peer_at)
         }
         self.executor = Executor(
             loop,
-            RecordedModule(brain, self.recorder),
+            RecordedModule(module, self.recorder),
             ViewingRegistry(secrets.token_bytes(32)),
             SendGuard(terms.drain_grace),
             HostMonitor(random.Random(seed + 1)),
@@ -113,107 +118,118 @@
         )
         self.executor.owner_task = loop.current
         titles = {title: (t.first, t.spread) for title, t in site.titles.items()}
-        front = HttpFrontend(
+        frontend = HttpFrontend(
             loop, self.executor, {p.name: p for p in packages}, titles, ladder.kb, self.state
         )
-        self.frontend = front
-        others_at = {g.name: g.reports_at or g.at for i, g in enumerate(site.gateways) if i != me}
+        self.frontend = frontend
+        others_at = {g.name: g.reports_at or g.at for i, g in enumerate(site.gateways) if i != index}
         if site.door.on:
             values = {p.name: p.value for p in packages}
             targets = {p.name: p.join_target for p in packages}
-            chance = random.Random(secrets.randbits(64))
+            rng = random.Random(secrets.randbits(64))
             door = AdmissionController(
                 time.monotonic(),
-                chance,
+                rng,
                 values,
                 targets,
                 terms.may_advise,
                 terms.longest_advice,
                 gateways=terms.gateways,
             )
-            kept_door = Keep(state_dir / f"{name}.door", private=True) if state_dir is not None else None
-            self.executor.admission = AdmissionService(door, kept_door, site.door.order or DEFAULT_ORDER)
+            admission_store = (
+                Keep(state_dir / f"{name}.door", private=True) if state_dir is not None else None
+            )
+            self.executor.admission = AdmissionService(
+                door, admission_store, site.door.order or DEFAULT_ORDER
+            )
             self._apply_limits(site)
-        front.token_issuer = TokenIssuer(name, state_dir)
-        front.playing_by_rack = self.playing_by_rack
+        frontend.token_issuer = TokenIssuer(name, state_dir)
+        frontend.playing_by_rack = self.playing_by_rack
         self.reports: ReportService | None = None
-        if here.reports_at:
-            front.reports_at = f"http://{here.reports_at}"
+        if own_record.reports_at:
+            frontend.reports_at = f"http://{own_record.reports_at}"
         else:
-            self.reports = front.reports = ReportService(
-                loop, name, others_at, state_dir, front.token_issuer.passes.check
+            self.reports = frontend.reports = ReportService(
+                loop, name, others_at, state_dir, frontend.token_issuer.passes.check
             )
             self.reports.rack_name = lambda rack: rack_name(self.rack_names, rack)
             self.reports.playing_by_rack = self.playing_by_rack
             self.reports.start()
-        front.rack_of = self.rack_of
+        frontend.rack_of = self.rack_of
         self.rack_names = site.fleet.rack_names
-        kept = state_dir / f"{name}.hosts.json" if state_dir is not None else None
-        self.list_client = HostListClient(loop, self.executor, site.list_at, name, kept)
-        self.server = Server(loop, endpoint(here.at), front.handle, limits or Limits(), _log_task_failure)
+        snapshot_path = state_dir / f"{name}.hosts.json" if state_dir is not None else None
+        self.list_client = HostListClient(loop, self.executor, site.list_at, name, snapshot_path)
+        self.server = Server(
+            loop, endpoint(own_record.at), frontend.handle, limits or Limits(), _log_task_failure
+        )
         loop.spawn(self.list_client.run, name="list")
         loop.spawn(self._sweep, name="sweep")
         if peer_socket is not None:
             loop.spawn(self.executor.receive_peer_messages, name="peers")
 
     def state(self) -> dict[str, Any]:
-        c = self.executor
+        executor = self.executor
         return {
             "config": self.reloader.reloads.state() if self.reloader is not None else None,
             "name": self.name,
             "boot": self.boot,
             "version": __version__,
             "draining": self.frontend.draining,
-            "viewings": len(c.viewings),
-            "counts": msgspec.to_builtins(c.counts),
+            "viewings": len(executor.viewings),
+            "counts": msgspec.to_builtins(executor.counts),
             "list": {
                 "epoch": self.list_client.host_list.epoch,
                 "version": self.list_client.host_list.version,
             },
-            "door": c.admission.state() if c.admission is not None else None,
+            "door": executor.admission.state() if executor.admission is not None else None,
             "hosts": {
-                h: {"in_service": gone is None, "viewings": len(c.playing_at.get(h, {}))}
-                for h, gone in c.send_guard.hosts.items()
+                h: {"in_service": gone is None, "viewings": len(executor.playing_at.get(h, {}))}
+                for h, gone in executor.send_guard.hosts.items()
             },
             "answers": {str(k): n for k, n in sorted(self.server.served.items())},
             "connections": len(self.server.open),
             "out_of_descriptors": self.server.listener.refused_for_descriptors,
             "stood_still": self.loop.suspensions,
             "failed_tasks": self.loop.failed,
-            "to_hosts": {"opened": c.client.opened, "reused": c.client.reused, "idle": c.client.idle()},
+            "to_hosts": {
+                "opened": executor.client.opened,
+                "reused": executor.client.reused,
+                "idle": executor.client.idle(),
+            },
             "peers_refused": dict(self.peer_codec.rejected) if self.peer_codec else {},
         }
 
     def rack_of(self, host: str) -> str:
-        """The number of the rack that a media host stands in, by its cell as the list names it."""
-        line = self.list_client.host_list.entries.get(host)
-        return str(line.cell % max(1, self.site.fleet.racks)) if line is not None else "?"
+        """Returns the number of a media host's rack, from its cell in the host list; "?" if it is unknown."""
+        entry = self.list_client.host_list.entries.get(host)
+        return str(entry.cell % max(1, self.site.fleet.racks)) if entry is not None else "?"
 
     def playing_by_rack(self) -> dict[str, int]:
-        """Viewings that play here now, by rack."""
-        out: dict[str, int] = {}
+        """Returns the numbers of viewings that play now, by rack."""
+        counts: dict[str, int] = {}
         for host, viewings in self.executor.playing_at.items():
             rack = self.rack_of(host)
-            out[rack] = out.get(rack, 0) + len(viewings)
-        return out
+            counts[rack] = counts.get(rack, 0) + len(viewings)
+        return counts
 
     def apply_site(self, site: Site) -> None:
-        """What a new version changes at once: where titles lie for new viewings, what racks are called."""
+        """Applies what a new version changes at once: where titles lie, names of racks, and limits."""
         self.frontend.titles = {title: (t.first, t.spread) for title, t in site.titles.items()}
         if site.fleet.racks == self.site.fleet.racks:
             self.rack_names = site.fleet.rack_names
         self._apply_limits(site)
 
     def _apply_limits(self, site: Site) -> None:
-        """The door's limits, as the site has them now."""
-        d, doorman = site.door, self.executor.admission
-        if doorman is not None:
-            doorman.set_limits(d.client_rate, d.client_burst, d.package_rates, d.set_ups)
-            if (
-                doorman.refresh_share is None
-            ):  # nobody's part is larger than what needs nobody, until a daemon borrows
-                rest, own = own_shares(site, self.name)
-                doorman.set_share(time.monotonic(), rest, {}, 0.0, own)
+        """Applies the site's admission limits."""
+        limits, admission = site.door, self.executor.admission
+        if admission is not None:
+            admission.set_limits(
+                limits.client_rate, limits.client_burst, limits.package_rates, limits.set_ups
+            )
+            # Without a daemon that borrows, a gateway has no more than its own share.
+            if admission.refresh_share is None:
+                default_share, own = own_shares(site, self.name)
+                admission.set_share(time.monotonic(), default_share, {}, 0.0, own)
             self.on_limits_changed(site)
             self.executor.wake()
 
@@ -223,7 +239,7 @@
             self.reloader.set_draining(draining)
 
     def _sweep(self) -> None:
-        told = time.monotonic()
+        logged_at = time.monotonic()
         while True:
             self.loop.sleep(SWEEP_INTERVAL_S)
             self.executor.client.sweep()
@@ -231,11 +247,14 @@
                 self.recorder.flush()
             if self.executor.admission is not None:
                 self.executor.admission.save_if_due()
-            if time.monotonic() - told >= STATISTICS_INTERVAL_S:
-                told = time.monotonic()
+            if time.monotonic() - logged_at >= STATISTICS_INTERVAL_S:
+                logged_at = time.monotonic()
                 counts = msgspec.to_builtins(self.executor.counts)
                 log.info(
-                    "figures", viewings=len(self.executor.viewings), **self.loop.lag.take_figures(), **counts
+                    "statistics",
+                    viewings=len(self.executor.viewings),
+                    **self.loop.lag.take_figures(),
+                    **counts,
                 )
 
     def stop(self) -> None:
@@ -262,29 +281,31 @@
     ready: Callable[[str], None] | None = None,
     source: tuple[Path, CompiledSite, Path | None] | None = None,
 ) -> int:
-    """Runs until SIGTERM or SIGINT; SIGUSR1 drains, SIGHUP reloads where there is a `source` (the file, the
-    version that runs, where the last good one is kept). `ready` is told the address once it serves."""
+    """Runs a gateway until SIGTERM or SIGINT and returns the exit code. SIGUSR1 drains it.
+
+    SIGHUP reloads the site where there is a `source`: the file, the first version and the path of the last
+    good version. `ready` is called with the address once the gateway serves."""
     loop = Loop(_log_task_failure)
-    # Guards against pauses of the collector that grow with the viewings held: what is here at start stays,
-    # and viewings are let go by count of references.
+    # Collector pauses must not grow with the number of viewings. Objects that exist at the start are never
+    # collected, and viewings are freed by reference counting.
     gc.collect()
     gc.freeze()
     gc.set_threshold(2_000, 4, 1_000)
 
     def main() -> int:
-        over = Event(loop)
+        stop_event = Event(loop)
 
-        def on(number: int) -> None:
+        def on_signal(number: int) -> None:
             if number == signal.SIGUSR1:
                 running.set_draining(True)
-                log.info("drains")
+                log.info("draining")
             elif number == signal.SIGHUP:
                 if running.reloader is not None:
                     running.reloader.reload()
             else:
-                over.set(number)
+                stop_event.set(number)
 
-        restore = loop.on_signals([signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP], on)
+        restore = loop.on_signals([signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP], on_signal)
         try:
             running = RunningGateway(loop, site, name, seed, state_dir, record)
             if source is not None:
@@ -298,8 +319,8 @@
         log.info("serves", gateway=name, at=address, boot=running.boot, pid=os.getpid())
         if ready is not None:
             ready(address)
-        over.wait()
-        log.info("stops", signal=over.value)
+        stop_event.wait()
+        log.info("stopping", signal=stop_event.value)
         running.stop()
         restore()
         return 0
@@ -308,5 +329,5 @@
 
 
 def print_ready(address: str) -> None:
-    """The line that whoever started us waits for."""
+    """Prints the line that the starting process waits for."""
     print(json.dumps({"gateway": f"http://{address}"}), flush=True)
--- a/ledgehitch/proof/__init__.py
+++ b/ledgehitch/proof/__init__.py
@@ -1,5 +1,6 @@
-"""Tapes of what crossed the sockets, and the checker that judges the six rules from a tape alone.
+"""Traces of the traffic on all sockets ("tapes"), and the checker that verifies the six rules from a tape
+alone.
 
-It knows nothing of a gateway's insides and runs after the day. Start reading at `check.py`; `tape.py` has
-the one definition of what is written on a tape.
+The checker knows nothing of a gateway's internals and runs after a test day. Start reading at `check.py`;
+`tape.py` defines what is written to a tape.
 """
--- a/ledgehitch/proof/check.py
+++ b/ledgehitch/proof/check.py
@@ -1,7 +1,7 @@
-"""Judges the six rules from a tape alone.
+"""Checks the six rules from a tape alone.
 
-Each rule has its own function from the tape's lines and the rules' figures (`Figures`, which a site states)
-to breaches. A breach names the viewing, the times and the lines that show it.
+Each rule has its own function from the tape's lines and the rules' parameters, which a site states, to
+breaches. A breach names the viewing, the times and the lines that show it.
 """
 
 from collections import deque
@@ -13,12 +13,14 @@
 from ledgehitch.config import Site
 from ledgehitch.proof.tape import Line, read_tapes
 
-CLOCK_TOLERANCE_S = 0.1  # seconds: two ends of a wire are noted by two processes whose turns may cross
-NOT_RUN_STATUSES = (503,)  # answers of a media host after which nothing can have run
+CLOCK_TOLERANCE_S = 0.1  # the two ends of a connection are traced by two processes, in any order
+NOT_RUN_STATUSES = (503,)  # answers of a media host that prove that no set-up ran
 
 
 @dataclass(frozen=True)
 class PackageTerms:
+    """What a package requires of its viewings, as in the site file. `key_window` is in seconds."""
+
     floor: int = 0
     seats: int = 0
     effect: str = "repeatable"
@@ -28,7 +30,7 @@
 
 @dataclass(frozen=True)
 class RuleParameters:
-    """The rules' figures, as the terms of a site state them. Times in seconds."""
+    """The parameters of the rules, as the terms of a site state them. Times are in seconds."""
 
     answer_slack: float = 0.25
     drain_grace: float = 1.0
@@ -45,21 +47,22 @@
 
 
 def rule_parameters(site: Site) -> RuleParameters:
-    t = site.terms
-    sold = {
+    """Returns the parameters that a site states."""
+    terms = site.terms
+    packages = {
         p.name: PackageTerms(p.floor, p.seats, p.effect, p.key_scope, p.key_window) for p in site.packages
     }
     return RuleParameters(
-        t.answer_slack,
-        t.drain_grace,
-        t.warm_up,
-        t.cold_share,
-        t.fall_multiple,
-        t.fall_after,
-        t.extra_free,
-        t.extra_ratio,
-        t.extra_window,
-        sold,
+        terms.answer_slack,
+        terms.drain_grace,
+        terms.warm_up,
+        terms.cold_share,
+        terms.fall_multiple,
+        terms.fall_after,
+        terms.extra_free,
+        terms.extra_ratio,
+        terms.extra_window,
+        packages,
         {h.name: h.zone for h in site.hosts},
         {h.name: h.cell for h in site.hosts},
     )
@@ -67,6 +70,8 @@
 
 @dataclass(frozen=True)
 class Breach:
+    """A violation of a rule. `lines`: the lines of the tape that show it, with their `times`."""
+
     rule: int
     message: str
     viewing: str
@@ -74,12 +79,13 @@
     lines: tuple[str, ...]
 
     def describe(self, start: float = 0.0) -> str:
+        """Returns the breach as one line of text, with times relative to `start`."""
         times = ", ".join(f"{t - start:.3f}" for t in self.times)
         return f"rule {self.rule}: {self.message}; {self.viewing}; at {times} s; {', '.join(self.lines)}"
 
 
 class SetUp:
-    """One tune-in as the media host's end shows it."""
+    """One tune-in as traced by the media host. `key` names the viewing, `number` counts its tune-ins."""
 
     __slots__ = (
         "line",
@@ -101,42 +107,44 @@
         self.started_at: float = line["t"]
         self.ended_at: float | None = None
         self.end_line: Line | None = None
-        self.status = 0  # 0: no answer left the host
+        self.status = 0  # 0: the host sent no answer
         self.stopped_at: float | None = None
         self.rungs: list[tuple[Line, int]] = [(line, line["rung"])]
 
 
 def collect_set_ups(lines: Iterable[Line]) -> list[SetUp]:
+    """Returns all tune-ins of a tape with what became of them."""
     found: dict[str, SetUp] = {}
     down: dict[str, list[SetUp]] = {}
     for line in lines:
         match line["ev"]:
             case "setup":
-                one = found[line["id"]] = SetUp(line)
-                down.setdefault(one.host, []).append(one)
+                set_up = found[line["id"]] = SetUp(line)
+                down.setdefault(set_up.host, []).append(set_up)
             case "setup_out" | "setup_gone" as ev:
-                one = found[line["id"]]
-                if one.ended_at is None:
-                    one.ended_at, one.end_line = line["t"], line
-                    one.status = line["status"] if ev == "setup_out" else 0
+                set_up = found[line["id"]]
+                if set_up.ended_at is None:
+                    set_up.ended_at, set_up.end_line = line["t"], line
+                    set_up.status = line["status"] if ev == "setup_out" else 0
             case "rung":
                 found[line["id"]].rungs.append((line, line["rung"]))
             case "stop":
                 if found[line["id"]].stopped_at is None:
                     found[line["id"]].stopped_at = line["t"]
             case "down" | "fell":
-                for one in down.pop(line["host"], []):
-                    one.ended_at = one.ended_at if one.ended_at is not None else line["t"]
-                    one.stopped_at = one.stopped_at if one.stopped_at is not None else line["t"]
+                for set_up in down.pop(line["host"], []):
+                    set_up.ended_at = set_up.ended_at if set_up.ended_at is not None else line["t"]
+                    set_up.stopped_at = set_up.stopped_at if set_up.stopped_at is not None else line["t"]
     return list(found.values())
 
 
 # ---- the rules ---------------------------------------------------------------------------------------------
 
 
-def rule_1(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
-    """Every viewing that a running gateway took has exactly one answer within viewer patience. While a
-    gateway stands still (its process is stopped) it does not run: that time is not counted."""
+def rule_1(lines: Sequence[Line], parameters: RuleParameters) -> list[Breach]:
+    """Every viewing taken by a running gateway gets exactly one answer within viewer patience.
+
+    Time during which the gateway's process is stopped is not counted."""
     asks = {line["conn"]: line for line in lines if line["ev"] == "ask"}
     ends: dict[int, list[Line]] = {conn: [] for conn in asks}
     downs: dict[str, list[float]] = {}
@@ -154,13 +162,13 @@
     answered: dict[tuple[str, ...], list[tuple[Line, Line]]] = {}
     for conn, ask in asks.items():
         viewing = f"{ask['who']} ({ask['package']}/{ask['title']} at {ask['gateway']})"
-        until = ask["t"] + ask["patience"] + f.answer_slack
+        until = ask["t"] + ask["patience"] + parameters.answer_slack
         for first, last in still.get(ask["gateway"], ()):
             if first <= until and last > ask["t"]:
                 until += last - max(first, ask["t"])
 
-        def breach(what: str, *more: Line, ask: Line = ask, viewing: str = viewing) -> None:
-            shown = (ask, *more)
+        def breach(what: str, *extra_lines: Line, ask: Line = ask, viewing: str = viewing) -> None:
+            shown = (ask, *extra_lines)
             breaches.append(
                 Breach(1, what, viewing, tuple(x["t"] for x in shown), tuple(x.at for x in shown))
             )
@@ -171,10 +179,10 @@
         if len(answers) > 1 or any(x["extra"] for x in answers):
             breach("answered more than once", *answers)
         for answer in answers[:1]:
-            if answer["kind"] == "other":  # "moved": it was not taken, and the viewer asked elsewhere
+            if answer["kind"] == "other":  # "moved" is fine: the viewer was redirected
                 breach(f"answered {answer['status']}: neither plays, blocked nor aborted", answer)
             elif answer["t"] > until:
-                breach(f"answered {answer['t'] - ask['t']:.3f} s after it was asked", answer)
+                breach(f"answered {answer['t'] - ask['t']:.3f} s after the request", answer)
             answered.setdefault((ask["who"], ask["gateway"], ask["offer"]), []).append((ask, answer))
         if not answers and not left and not killed:
             breach("never answered", *ends[conn])
@@ -188,31 +196,31 @@
     return breaches
 
 
-def rule_2(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
-    """Never two tune-ins out for a viewing; none set up twice where that is paid for."""
+def rule_2(lines: Sequence[Line], parameters: RuleParameters) -> list[Breach]:
+    """A viewing never has two tune-ins in progress, and no second set-up where each set-up is paid for."""
     by_key: dict[str, list[SetUp]] = {}
-    for one in collect_set_ups(lines):
-        by_key.setdefault(one.key, []).append(one)
+    for set_up in collect_set_ups(lines):
+        by_key.setdefault(set_up.key, []).append(set_up)
     breaches = []
     for key, tries in by_key.items():
         tries.sort(key=lambda x: x.started_at)
-        sold = f.packages.get(tries[0].line["package"], PackageTerms())
+        terms = parameters.packages.get(tries[0].line["package"], PackageTerms())
         for a, b in zip(tries, tries[1:], strict=False):
             over = a.ended_at if a.ended_at is not None else float("inf")
             if b.started_at < over - CLOCK_TOLERANCE_S:
-                breaches.append(_breach_of_pair(2, "two tune-ins out at once", key, a, b))
+                breaches.append(_breach_of_pair(2, "two tune-ins in progress at once", key, a, b))
         ran = [x for x in tries if x.status not in NOT_RUN_STATUSES]
         for a, b in zip(ran, ran[1:], strict=False):
             first = ran[0]
-            if sold.effect == "once":
+            if terms.effect == "once":
                 breaches.append(_breach_of_pair(2, "set up again though paid for", key, a, b))
-            elif sold.effect == "by_key":
-                place = {"zone": f.zones, "cell": f.cells}.get(sold.key_scope)
+            elif terms.effect == "by_key":
+                place = {"zone": parameters.zones, "cell": parameters.cells}.get(terms.key_scope)
                 if place is not None and place.get(first.host) != place.get(b.host):
                     breaches.append(
-                        _breach_of_pair(2, f"set up again in another {sold.key_scope}", key, first, b)
+                        _breach_of_pair(2, f"set up again in another {terms.key_scope}", key, first, b)
                     )
-                if b.started_at > first.started_at + sold.key_window + CLOCK_TOLERANCE_S:
+                if b.started_at > first.started_at + terms.key_window + CLOCK_TOLERANCE_S:
                     breaches.append(_breach_of_pair(2, "set up again after its key's window", key, first, b))
     return breaches
 
@@ -222,8 +230,9 @@
     return Breach(rule, what, viewing, tuple(x["t"] for x in shown), tuple(x.at for x in shown))
 
 
-def rule_3(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
-    """Nothing new to a media host later than the grace after hearing that it drains or is gone."""
+def rule_3(lines: Sequence[Line], parameters: RuleParameters) -> list[Breach]:
+    """No tune-in goes to a media host later than the grace after the gateway was told that it drains or is
+    gone."""
     told: dict[tuple[str, str], Line | None] = {}
     breaches = []
     for line in lines:
@@ -235,15 +244,15 @@
                 told[line["gateway"], line["host"]] = line
         elif line["ev"] == "setup":
             gone = told.get((line["gateway"], line["host"]))
-            if gone is not None and line["t"] > gone["t"] + f.drain_grace + CLOCK_TOLERANCE_S:
-                late = line["t"] - gone["t"]
-                what = f"set up at {line['host']} {late:.3f} s after it was told to be {gone['state']}"
+            if gone is not None and line["t"] > gone["t"] + parameters.drain_grace + CLOCK_TOLERANCE_S:
+                delay = line["t"] - gone["t"]
+                what = f"set up at {line['host']} {delay:.3f} s after it was listed as {gone['state']}"
                 breaches.append(Breach(3, what, line["key"], (gone["t"], line["t"]), (gone.at, line.at)))
     return breaches
 
 
-def rule_4(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
-    """A cold media host is not pushed over by all gateways together."""
+def rule_4(lines: Sequence[Line], parameters: RuleParameters) -> list[Breach]:
+    """All gateways together do not overload a cold media host."""
     started: dict[str, Line] = {}
     recent: dict[str, deque[Line]] = {}
     breaches = []
@@ -251,20 +260,31 @@
         if line["ev"] == "started":
             started[line["host"]], recent[line["host"]] = line, deque()
         elif line["ev"] == "fell":
-            breaches.append(Breach(4, f"{line['host']} fell over", line["host"], (line["t"],), (line.at,)))
+            breaches.append(
+                Breach(4, f"{line['host']} failed from overload", line["host"], (line["t"],), (line.at,))
+            )
         elif line["ev"] == "setup" and line["host"] in started:
             start = started[line["host"]]
             age = line["t"] - start["t"]
-            if age >= f.warm_up:
+            if age >= parameters.warm_up:
                 continue
             window = recent[line["host"]]
             window.append(line)
-            while window[0]["t"] <= line["t"] - f.fall_after:
+            while window[0]["t"] <= line["t"] - parameters.fall_after:
                 window.popleft()
-            warmed = f.cold_share + (1 - f.cold_share) * age / f.warm_up
-            budget = f.fall_multiple * start["slots"] / f.warm_up * warmed * f.fall_after
+            warmed = parameters.cold_share + (1 - parameters.cold_share) * age / parameters.warm_up
+            budget = (
+                parameters.fall_multiple
+                * start["slots"]
+                / parameters.warm_up
+                * warmed
+                * parameters.fall_after
+            )
             if len(window) > budget + 1:
-                what = f"{len(window)} set-ups in {f.fall_after:g} s at {line['host']}, {budget:.1f} are safe"
+                what = (
+                    f"{len(window)} set-ups in {parameters.fall_after:g} s at {line['host']}, "
+                    f"{budget:.1f} are safe"
+                )
                 shown = (start, window[0], line)
                 breaches.append(
                     Breach(4, what, line["key"], tuple(x["t"] for x in shown), tuple(x.at for x in shown))
@@ -273,38 +293,45 @@
     return breaches
 
 
-def rule_5(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
-    """Never under a package's floor; no more of a title and package at one gateway than its seats."""
+def rule_5(lines: Sequence[Line], parameters: RuleParameters) -> list[Breach]:
+    """No rung below a package's floor, and no more viewings of a title and package per gateway than seats."""
     breaches = []
     held: dict[tuple[str, str, str], list[tuple[float, int, Line]]] = {}
-    for one in collect_set_ups(lines):
-        package, title = one.line["package"], one.line["title"]
-        sold = f.packages.get(package, PackageTerms())
-        for line, rung in one.rungs:
-            if rung < sold.floor:
-                what = f"rung {rung} of {package} is under its floor, {sold.floor}"
-                breaches.append(Breach(5, what, one.key, (line["t"],), (line.at,)))
-        if sold.seats:
-            # A seat is free again with an end that the gateway knows of; what it cannot know yet counts not.
-            ended = one.stopped_at if one.status == 201 and one.stopped_at is not None else one.ended_at
-            if one.status == 201 and one.stopped_at is None:
+    for set_up in collect_set_ups(lines):
+        package, title = set_up.line["package"], set_up.line["title"]
+        terms = parameters.packages.get(package, PackageTerms())
+        for line, rung in set_up.rungs:
+            if rung < terms.floor:
+                what = f"rung {rung} of {package} is below its floor, {terms.floor}"
+                breaches.append(Breach(5, what, set_up.key, (line["t"],), (line.at,)))
+        if terms.seats:
+            # A seat is freed by an end that the gateway knows of; ends that it cannot know of yet don't count.
+            ended = (
+                set_up.stopped_at
+                if set_up.status == 201 and set_up.stopped_at is not None
+                else set_up.ended_at
+            )
+            if set_up.status == 201 and set_up.stopped_at is None:
                 ended = float("inf")
-            changes = held.setdefault((one.key.partition(".")[0], title, package), [])
-            changes.append((one.started_at + CLOCK_TOLERANCE_S, 1, one.line))
-            changes.append((ended if ended is not None else float("inf"), -1, one.line))
+            changes = held.setdefault((set_up.key.partition(".")[0], title, package), [])
+            changes.append((set_up.started_at + CLOCK_TOLERANCE_S, 1, set_up.line))
+            changes.append((ended if ended is not None else float("inf"), -1, set_up.line))
     for (gateway, title, package), changes in held.items():
         count = 0
         for t, change, line in sorted(changes, key=lambda c: (c[0], c[1])):
             count += change
-            if change > 0 and count > f.packages[package].seats:
-                what = f"{count} of {package}/{title} at {gateway}, it has {f.packages[package].seats} seats"
+            if change > 0 and count > parameters.packages[package].seats:
+                what = (
+                    f"{count} of {package}/{title} at {gateway}, "
+                    f"it has {parameters.packages[package].seats} seats"
+                )
                 breaches.append(Breach(5, what, line["key"], (t,), (line.at,)))
     return breaches
 
 
-def rule_6(lines: Sequence[Line], f: RuleParameters) -> list[Breach]:
-    """Tune-ins beyond each viewing's first stay within a few, plus a share of the viewings taken."""
-    if f.extra_free is None:
+def rule_6(lines: Sequence[Line], parameters: RuleParameters) -> list[Breach]:
+    """Tune-ins beyond each viewing's first stay within a fixed number plus a share of the viewings taken."""
+    if parameters.extra_free is None:
         return []
     breaches = []
     asked: dict[str, deque[float]] = {}
@@ -313,18 +340,23 @@
         if line["ev"] == "ask":
             asked.setdefault(line["gateway"], deque()).append(line["t"])
         elif line["ev"] == "setup" and int(line["key"].rpartition(".")[2] or 0) > 0:
-            gateway, since = line["gateway"], line["t"] - f.extra_window
-            more, all_asked = extra.setdefault(gateway, deque()), asked.setdefault(gateway, deque())
-            more.append(line)
-            while more[0]["t"] <= since:
-                more.popleft()
+            gateway, since = line["gateway"], line["t"] - parameters.extra_window
+            extra_lines, all_asked = extra.setdefault(gateway, deque()), asked.setdefault(gateway, deque())
+            extra_lines.append(line)
+            while extra_lines[0]["t"] <= since:
+                extra_lines.popleft()
             while all_asked and all_asked[0] <= since - CLOCK_TOLERANCE_S:
                 all_asked.popleft()
-            budget = f.extra_free + f.extra_ratio * len(all_asked)
-            if len(more) > budget + 1e-9:
-                what = f"{len(more)} further tune-ins of {gateway} in {f.extra_window:g} s, not {budget:.1f}"
+            budget = parameters.extra_free + parameters.extra_ratio * len(all_asked)
+            if len(extra_lines) > budget + 1e-9:
+                what = (
+                    f"{len(extra_lines)} extra tune-ins of {gateway} in {parameters.extra_window:g} s, "
+                    f"allowed are {budget:.1f}"
+                )
                 breaches.append(
-                    Breach(6, what, line["key"], (more[0]["t"], line["t"]), (more[0].at, line.at))
+                    Breach(
+                        6, what, line["key"], (extra_lines[0]["t"], line["t"]), (extra_lines[0].at, line.at)
+                    )
                 )
     return breaches
 
@@ -340,12 +372,14 @@
 
 
 def check_rules(lines: Sequence[Line], figures: RuleParameters) -> list[Breach]:
-    """All breaches, rule by rule."""
+    """Returns all breaches, rule by rule."""
     return [breach for rule in RULES for breach in rule(lines, figures)]
 
 
 def check_tapes(directory: Path, figures: RuleParameters) -> tuple[list[Breach], dict[str, Any]]:
-    """The breaches of a directory of tapes, and what the tapes held (a tape of nothing proves nothing)."""
+    """Returns the breaches in a directory of tapes, and how many lines of each event the tapes hold.
+
+    The counts show whether anything was traced: an empty tape proves nothing."""
     lines = read_tapes(directory)
     counts: dict[str, int] = {}
     for line in lines:
--- a/ledgehitch/proof/owned.py
+++ b/ledgehitch/proof/owned.py
@@ -1,10 +1,10 @@
-"""Judges from a tape alone that one owner at a time worked, and that a plan touched each gateway once.
+"""Checks from a tape alone that one owner at a time acted, and that a plan restarted each gateway once.
 
-Lines, at the wires between daemons (`standins/wires.py`):
-    step      id, owner, to, path, duty, term, then, ticket: an owner's call set out
-    step_in   id: it was handed to the gateway
-    step_out  id, status (0: nobody listened, -1: no whole answer), boot, started_by, phase
-At the receiver of verdicts:
+Lines written by the proxies between daemons (`standins/wires.py`):
+    step      id, owner, to, path, duty, term, then, ticket: an owner sent a request
+    step_in   id: the request was delivered to the gateway
+    step_out  id, status (0: connection refused, -1: no complete answer), boot, started_by, phase
+Written by the receiver of verdicts:
     verdict   owner, term, window, status, verdict
 """
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A promise that was not kept. `lines`: where the tape shows it."""
+    """A violated invariant. `lines`: the lines of the tape that show it."""
 
     invariant: str
     message: str
@@ -27,7 +27,7 @@
 
 
 class Step:
-    """One call as the wires saw it."""
+    """One request of an owner to a gateway, as the proxy between them saw it."""
 
     def __init__(self, line: Line) -> None:
         self.line = line
@@ -58,12 +58,12 @@
 
 
 def check_fencing(steps: Sequence[Step]) -> list[Violation]:
-    """At one receiver no effect is taken under a term once one under a higher term was taken."""
-    out = []
+    """Checks that no gateway accepts a request under a term after one under a higher term (fencing)."""
+    violations = []
     highest: dict[tuple[str, str], Step] = {}
     taken = deque(sorted((s for s in steps if s.duty and s.accepted), key=lambda s: s.answered_at))
     for step in sorted((s for s in steps if s.duty), key=lambda s: s.delivered_at):
-        # What was answered before this one was handed over is surely earlier.
+        # Requests answered before this one was delivered were certainly processed earlier.
         while taken and taken[0].answered_at <= step.delivered_at:
             other = taken.popleft()
             best = highest.setdefault((other.duty, other.recipient), other)
@@ -71,27 +71,27 @@
                 highest[other.duty, other.recipient] = other
         before = highest.get((step.duty, step.recipient))
         if step.accepted and before is not None and before.term > step.term:
-            out.append(
+            violations.append(
                 Violation(
                     "terms fence",
-                    f"{step.recipient} took a step of {step.owner} under term {step.term} "
+                    f"{step.recipient} accepted a request of {step.owner} under term {step.term} "
                     f"after one under term {before.term}",
                     (before.answered_at, step.delivered_at),
                     (before.line.at, step.line.at),
                 )
             )
-    return out
+    return violations
 
 
 def check_owner_of_term(steps: Sequence[Step], verdicts: Sequence[Line]) -> list[Violation]:
-    """A term of a duty is used by one member alone."""
-    out, by = [], dict[tuple[str, int], tuple[str, Line]]()
-    said = [(s.duty, s.term, s.owner, s.line) for s in steps if s.duty]
-    said += [("verdicts", v["term"], v["owner"], v) for v in verdicts]
-    for duty, term, owner, line in said:
+    """Checks that each term of a duty is used by one member only."""
+    violations, by = [], dict[tuple[str, int], tuple[str, Line]]()
+    used = [(s.duty, s.term, s.owner, s.line) for s in steps if s.duty]
+    used += [("verdicts", verdict["term"], verdict["owner"], verdict) for verdict in verdicts]
+    for duty, term, owner, line in used:
         first = by.setdefault((duty, term), (owner, line))
         if first[0] != owner:
-            out.append(
+            violations.append(
                 Violation(
                     "one owner a term",
                     f"{first[0]} and {owner} used term {term} of {duty}",
@@ -99,44 +99,48 @@
                     (first[1].at, line.at),
                 )
             )
-    return out
+    return violations
 
 
-def check_restarts(steps: Sequence[Step], names: Iterable[str], whole: bool) -> list[Violation]:
-    """For each plan no gateway has two lives that it began; `whole`: and each has one."""
+def check_restarts(steps: Sequence[Step], names: Iterable[str], complete: bool) -> list[Violation]:
+    """Checks that no plan started a gateway twice and, with `complete`, that it started each of them."""
     lives: dict[str, dict[str, Line]] = {}
     for step in steps:
         by, boot = step.answer.get("started_by", ""), step.answer.get("boot", "")
         if by.endswith(f"/{step.recipient}") and boot:
             lives.setdefault(by, {})[boot] = step.line
-    out = []
-    for ticket, some in sorted(lives.items()):
-        if len(some) > 1:
-            lines = tuple(line.at for line in some.values())
-            times = tuple(line["t"] for line in some.values())
-            out.append(Violation("restarted once", f"{ticket} began {len(some)} lives", times, lines))
-    if whole:
+    violations = []
+    for ticket, boots in sorted(lives.items()):
+        if len(boots) > 1:
+            lines = tuple(line.at for line in boots.values())
+            times = tuple(line["t"] for line in boots.values())
+            violations.append(
+                Violation("restarted once", f"{ticket} started {len(boots)} processes", times, lines)
+            )
+    if complete:
         begun = {ticket.rpartition("/")[2] for ticket in lives}
         for name in sorted(set(names) - begun):
-            out.append(Violation("nobody left out", f"no life of {name} was begun by the plan", (), ()))
-    return out
+            violations.append(Violation("nobody left out", f"the plan started no process of {name}", (), ()))
+    return violations
 
 
 def check_away_together(steps: Sequence[Step], most: int) -> list[Violation]:
-    """From when a restart was taken until its gateway says to an owner that it serves, no more than the plan
-    says. A life that was begun by somebody else serves too: it is not away."""
+    """Checks that no more gateways are away together than the plan allows.
+
+    A gateway is away from the acceptance of its restart until it reports to an owner that it serves, no
+    matter who started the process that serves."""
     away: dict[str, Step] = {}
-    out = []
+    violations = []
     for step in sorted(steps, key=lambda s: s.answered_at):
         if step.is_drain and step.accepted and step.line.get("then") == "restart":
             if step.recipient not in away and step.answer.get("phase") != "ready":
                 away[step.recipient] = step
             if len(away) > most:
                 names = ", ".join(sorted(away))
-                out.append(
+                violations.append(
                     Violation(
                         "never more at once",
-                        f"{names} were away together, {most} may be",
+                        f"{names} were away together, the plan allows {most}",
                         tuple(s.answered_at for s in away.values()),
                         tuple(s.line.at for s in away.values()),
                     )
@@ -146,48 +150,49 @@
             and step.answer.get("phase") == "ready"
             and step.recipient in away
             and step.delivered_at > away[step.recipient].answered_at
-        ):  # what was asked before may be answered late
+        ):  # an earlier request may be answered late
             del away[step.recipient]
-    return out
+    return violations
 
 
 def check_verdicts(verdicts: Sequence[Line]) -> list[Violation]:
-    """No window got two verdicts that differ, and none was taken under a term below an earlier one's."""
-    out, by, highest = [], dict[int, Line](), 0
-    for v in verdicts:
-        if v["status"] != 200:
+    """Checks that no window got two different verdicts, and that none was accepted under a lower term."""
+    violations, by, highest = [], dict[int, Line](), 0
+    for verdict in verdicts:
+        if verdict["status"] != 200:
             continue
-        if v["term"] < highest:
-            out.append(
+        if verdict["term"] < highest:
+            violations.append(
                 Violation(
                     "terms fence",
-                    f"a verdict of term {v['term']} was taken after term {highest}",
-                    (v["t"],),
-                    (v.at,),
+                    f"a verdict of term {verdict['term']} was accepted after term {highest}",
+                    (verdict["t"],),
+                    (verdict.at,),
                 )
             )
-        highest = max(highest, v["term"])
-        first = by.setdefault(v["window"], v)
-        if first["verdict"] != v["verdict"]:
-            out.append(
+        highest = max(highest, verdict["term"])
+        first = by.setdefault(verdict["window"], verdict)
+        if first["verdict"] != verdict["verdict"]:
+            violations.append(
                 Violation(
                     "one verdict a window",
-                    f"window {v['window']} was told twice, differently",
-                    (first["t"], v["t"]),
-                    (first.at, v.at),
+                    f"window {verdict['window']} got two different verdicts",
+                    (first["t"], verdict["t"]),
+                    (first.at, verdict.at),
                 )
             )
-    return out
+    return violations
 
 
 def check_lender_of_term(tape: Sequence[Line], regions: Mapping[str, str]) -> list[Violation]:
-    """In one region a term of budgets is used by one member alone, and nobody lends to another region.
-    `regions`: of each gateway; without any, all are one."""
-    out, by, told = [], dict[tuple[str, int], Line](), set[tuple[str, int]]()
+    """Checks that in a region one member uses each term of budgets, and that no one lends to another region.
+
+    `regions` holds the region of each gateway. Without any, all gateways are in one."""
+    violations, by, told = [], dict[tuple[str, int], Line](), set[tuple[str, int]]()
     for line in (x for x in tape if x["ev"] == "lent"):
         here, there = regions.get(line["who"], ""), regions.get(line["to"], "")
         if here != there:
-            out.append(
+            violations.append(
                 Violation(
                     "each region lends for itself",
                     f"{line['who']} of {here or 'none'} lent to {line['to']} of {there or 'none'}",
@@ -200,25 +205,27 @@
             told.add((here, line["term"]))
             what = f"{first['who']} and {line['who']} used term {line['term']} of budgets"
             times, at = (first["t"], line["t"]), (first.at, line.at)
-            out.append(Violation("one owner a term", f"{what} of {here}" if here else what, times, at))
-    return out
+            violations.append(Violation("one owner a term", f"{what} of {here}" if here else what, times, at))
+    return violations
 
 
 def check_owners(
     lines: Sequence[Line],
     names: Iterable[str] = (),
     most: int = 1,
-    whole: bool = False,
+    complete: bool = False,
     regions: Mapping[str, str] | None = None,
 ) -> list[Violation]:
-    """All promises on owners. `whole`: a plan of all `names` was carried to its end. `regions`: of each
-    gateway, where the site has any."""
+    """Checks all invariants on owners.
+
+    `complete`: a plan of all gateways in `names` was completed. `regions`: the region of each gateway, where
+    the site has any."""
     steps = collect_steps(lines)
     verdicts = [line for line in lines if line["ev"] == "verdict"]
     return [
         *check_fencing(steps),
         *check_owner_of_term(steps, verdicts),
-        *check_restarts(steps, names, whole),
+        *check_restarts(steps, names, complete),
         *check_away_together(steps, most),
         *check_verdicts(verdicts),
         *check_lender_of_term(lines, regions or {}),
--- a/ledgehitch/proof/tape.py
+++ b/ledgehitch/proof/tape.py
@@ -1,23 +1,23 @@
-"""What is written on a tape: one JSON object a line, at the stand-ins' ends of the sockets.
+"""Tapes: trace files with one JSON object per line, written by the simulated peers of the gateways.
 
-Every line has `t` (seconds of the machine's monotonic clock) and `ev`. At the viewers' end:
-    ask       conn, who, package, title, gateway, patience, offer (digest): a whole request was sent
+Every line has `t` (seconds of the machine's monotonic clock) and `ev`. Written by viewers:
+    ask       conn, who, package, title, gateway, patience, offer (digest): a complete request was sent
     answer    conn, status, kind (plays, blocked, aborted, other), extra (bytes after the answer)
-    hangup    conn: the viewer closed before an answer
+    hangup    conn: the viewer closed the connection before an answer
     broken    conn: the connection ended or was reset before an answer
-At the media hosts' end:
-    started   host, slots: a process began, cold
+Written by media hosts:
+    started   host, slots: a process started, cold
     down      host: its process is gone
-    fell      host: it was pushed over while cold
-    setup     host, id, key (gateway.boot.vw.number), gateway, package, title, rung: a tune-in came
-    setup_out id, status: it was answered
-    setup_gone id: the gateway closed it, or it was lost with a connection
-    stop      id: what it had set up has ended
+    fell      host: it was overloaded while cold and failed
+    setup     host, id, key (gateway.boot.vw.number), gateway, package, title, rung: a tune-in arrived
+    setup_out id, status: the tune-in was answered
+    setup_gone id: the gateway closed the tune-in's connection, or the connection was lost
+    stop      id: the session that the tune-in had set up has ended
     rung      id, rung: the rung was changed
-At the list service's end:
-    told      gateway, host, state: written to that gateway's stream
-By who runs the day:
-    gateway   gateway, how (up, killed, still, goes_on)
+Written by the list service:
+    told      gateway, host, state: sent on the stream to that gateway
+Written by the process that runs the day:
+    gateway   gateway, how (up, killed, still: stopped, goes_on: continued)
 """
 
 import io
@@ -32,7 +32,7 @@
 
 
 class Tape:
-    """Writes lines to a file, buffered; `flush` before the file is read or the process ends."""
+    """Writes lines to a file, buffered. Call `flush` before the file is read or the process ends."""
 
     def __init__(self, path: Path | None) -> None:
         self._file: io.BufferedWriter | None = None
@@ -55,13 +55,14 @@
 
 
 class Line(dict[str, Any]):
-    """One line of a tape, and where it stands."""
+    """One line of a tape; `at` is its file and line number."""
 
     at: str = ""
 
 
 def read_tapes(directory: Path) -> list[Line]:
-    """All lines of a directory's tapes (`*.tape`) in the order of time; a last line cut off is left out."""
+    """Returns all lines of a directory's tapes (`*.tape`) in order of time, without an incomplete last
+    line."""
     found: list[Line] = []
     for path in sorted(directory.glob("*.tape")):
         found += _read_tape(path)
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -144,8 +144,12 @@
     (1, "more than once", [ask(0.0), answered(1.0, extra=1)]),
     (1, "neither plays", [ask(0.0), answered(1.0, status=500, kind="other")]),
     (1, "two answers", [ask(0.0), ask(0.1, 2), answered(1.0), answered(1.0, 2, resource="/b")]),
-    (2, "two tune-ins out", [set_up(0.0), set_up(0.5, "h1", "s2", "g0.b.1.1"), out(1.0), out(1.0, "s2")]),
-    (2, "two tune-ins out", [set_up(0.0), set_up(0.5, "h1", "s2", "g0.b.1.1"), out(0.6, "s2")]),
+    (
+        2,
+        "two tune-ins in progress",
+        [set_up(0.0), set_up(0.5, "h1", "s2", "g0.b.1.1"), out(1.0), out(1.0, "s2")],
+    ),
+    (2, "two tune-ins in progress", [set_up(0.0), set_up(0.5, "h1", "s2", "g0.b.1.1"), out(0.6, "s2")]),
     (
         2,
         "paid for",
@@ -161,9 +165,9 @@
         "key's window",
         [set_up(0.0, package="key"), gone(0.2), set_up(1.5, "h2", "s2", "g0.b.1.1", "key"), out(2, "s2")],
     ),
-    (3, "was told to be terminating", [told(0.0, "in_service"), told(1.0, "terminating"), set_up(2.3)]),
-    (3, "was told to be terminated", [told(1.0, "terminated"), told(2.0, "terminating"), set_up(2.3)]),
-    (4, "fell over", [(1.0, "fell", {"host": "h0"})]),
+    (3, "was listed as terminating", [told(0.0, "in_service"), told(1.0, "terminating"), set_up(2.3)]),
+    (3, "was listed as terminated", [told(1.0, "terminated"), told(2.0, "terminating"), set_up(2.3)]),
+    (4, "failed from overload", [(1.0, "fell", {"host": "h0"})]),
     (
         4,
         "4.0 are safe",
@@ -172,8 +176,8 @@
             *(set_up(0.01 + n / 1000, id=f"s{n}", key=f"g{n % 3}.b.{n}.0") for n in range(6)),
         ],
     ),
-    (5, "under its floor", [set_up(0.0, package="floor", rung=0), out(0.1)]),
-    (5, "under its floor", [set_up(0.0, package="floor"), out(0.1), (1.0, "rung", {"id": "s", "rung": 0})]),
+    (5, "below its floor", [set_up(0.0, package="floor", rung=0), out(0.1)]),
+    (5, "below its floor", [set_up(0.0, package="floor"), out(0.1), (1.0, "rung", {"id": "s", "rung": 0})]),
     (
         5,
         "3 of seats/t",
@@ -185,7 +189,7 @@
             )
         ],
     ),
-    (6, "further tune-ins", [ask(0.0), *(set_up(0.1 + n, id=f"s{n}", key=f"g0.b.{n}.1") for n in range(3))]),
+    (6, "extra tune-ins", [ask(0.0), *(set_up(0.1 + n, id=f"s{n}", key=f"g0.b.{n}.1") for n in range(3))]),
 ]
 
 
