--- a/ledgehitch/brain.py
+++ b/ledgehitch/brain.py
@@ -42,6 +42,7 @@
 # How much lower the target is for a step that earns next to nothing a kB. More leaves room for cheap steps.
 TARGET_USE_REDUCTION = 0.45
 SHORT_DELIVERY_SHARE = 0.98  # a delivered share below this is short
+MIN_DELIVERED_SHARE = 0.05  # a lower delivered share counts as this
 CROSS_ZONE_PENALTY = 3.0  # use added to a holder in another zone, for each unit of the crossing price
 TRIED_HOST_PENALTY = 0.5  # use added to a holder that failed the same viewing
 SECONDARY_USE_WEIGHT = 0.25  # weight of the less used of link and uplink when holders are compared
@@ -49,7 +50,7 @@
 # and overloads more often.
 LOWEST_RUNG_MAX_USE = 0.9
 HOLDER_WAIT_SHARE = 0.4  # share of the join target that a viewing may wait for a holder before it is blocked
-# Limit of a recorded use, so that a media host that stands still is tried again within useful time.
+# Limit of a recorded use, so that a media host that stalled is tried again within useful time.
 MAX_RECORDED_USE = 3.0
 # Factor on the part by which a gateway may step down while delivery is short. More drops deeper and sooner.
 SHORT_DELIVERY_STEP_FACTOR = 1.5
@@ -61,8 +62,8 @@
 TYPICAL_USE_PRIOR = 0.3
 # Number of holders with a recent reading from which on no other is probed, and how long an answer is awaited.
 ENOUGH_READINGS, PROBE_TIMEOUT_S = 6, 0.1
-MAX_RECENT_CHANGES = 64  # own changes kept since the last reading. More account better for a crowded second
-UNREAD_SAMPLE_SIZE = 3  # holders without a recent reading that are considered. More find an emptier one
+MAX_RECENT_CHANGES = 64  # own changes kept since a reading; a larger number tracks a crowded second better
+UNREAD_SAMPLE_SIZE = 3  # holders without a recent reading that are compared; more find an emptier one
 FRESH_REPORT_INTERVALS = 1.5  # age in report intervals above which a reading fades into the guess
 LOAD_REPORT_DELAY_S, READING_EXPIRY_S = 0.3, 10.0  # age of a load report on arrival; oldest reading averaged
 # An uplink is blamed when several hosts fall short within this time, or a lone one that still delivers more
@@ -80,18 +81,22 @@
 MIN_SETUPS_SEEN, TALLY_HALVING_COUNT = 8, 40
 FAILURE_SHARE_MARGIN = 0.25  # a media host is suspended when its failure share exceeds the median by this
 FAILURES = Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET
+MIN_OUTCOMES_JUDGED = 4  # outcomes from which on the failure share of a media host counts
 MAX_CONSECUTIVE_FAILURES = 2  # this many failures in a row suspend a media host too, whatever the share
 SUSPENSION_S, SUSPENSION_JITTER_S = 4.0, 3.0  # a suspension lasts the first, plus up to the second at random
 COLD_BUDGET_SHARE = 0.8  # share of the budget of a cold media host that all gateways together plan to use
+COLD_WINDOW_MARGIN_S = 0.1  # time by which the window of that budget is extended
 MAX_LIST_LAG_S = 7.0  # longest lag of a list; for this time a restarted gateway takes unknown hosts for cold
 WARM_HOST_USE = 0.3  # with this much of its link used by other gateways, a media host did not just start
 LIST_RETRY_S, LIST_RETRY_JITTER_S = 1.0, 5.0  # delay of a new request for a lost list, and random part
 PLACEMENT_INTERVAL_S = 0.05  # time between two placement rounds while viewings wait
-# Up to this many waiting viewings are placed at any event. More find room sooner, and cost more when there is
-# none.
+# Up to this many waiting viewings are tried again at any event. A larger number finds room sooner, and costs
+# more when there is none.
 FEW_WAITING = 8
 RATE_CHANGE = struct.Struct(">Hh")  # a change sent to other gateways: key of the media host, kB a second
-PEER_FANOUT = 2  # gateways that each message goes to. More spread it wider and cost as many times as much
+MAX_RATE_CHANGE_KB = 32767  # what the signed 16 bits of the second field hold
+MAX_CHANGES_PER_MESSAGE = 60
+PEER_FANOUT = 2  # gateways that each message goes to; each further one costs as much again
 PATIENCE_MARGIN_S = 0.03  # time kept free before patience ends
 
 
@@ -172,6 +177,7 @@
         self.uses_of: tuple[float, int, int, int] | None = None
 
     def failure_share(self) -> float:
+        """Returns the share of failed set-ups, biased towards 0 while there are few."""
         return self.bad / (self.good + self.bad + 2.0)
 
 
@@ -237,7 +243,7 @@
         fleet: Fleet,
         terms: Terms,
     ) -> None:
-        self.chance = random.Random(seed)
+        self.chance = random.Random(seed)  # source of all random choices
         self.started = now
         self.doubts_until = now + min(terms.warm_up, MAX_LIST_LAG_S)  # end of the time with doubted hosts
         self.rates = ladder.kb or (1.0,)
@@ -248,6 +254,7 @@
         self.hosts: dict[str, MediaHost] = {}
         self.named = 0  # number of media hosts ever listed
         self.busy: dict[int, MediaHost] = {}  # hosts with viewings of this gateway, by number
+        # Uplink and media hosts of each rack.
         self.racks: list[tuple[Use, list[MediaHost]]] = [
             (Use(fleet.uplink_kb or 1e12), []) for _ in range(max(1, fleet.racks))
         ]
@@ -260,9 +267,8 @@
         # What a kB of each step up earns, and the most that a kB of any step earns.
         self.gains = [(w2 - w1) / max(1e-9, kb2 - kb1) for kb1, kb2, w1, w2 in steps]
         self.best = max((p.value * g / max(1e-9, p.scale) for p in packages for g in self.gains), default=1.0)
-        self.stale = max(
-            1.0, FRESH_REPORT_INTERVALS * (fleet.told_every or 2.0)
-        )  # age from which on a reading is stale
+        # Age from which on a reading is stale.
+        self.stale = max(1.0, FRESH_REPORT_INTERVALS * (fleet.told_every or 2.0))
         self.x1 = "x1" in fleet.load_fields  # whether the use of uplinks is reported
         self.must_probe = fleet.reports == "pull" and terms.may_probe
         # Probes before a set-up are sent only where an answer states the use of a link. Elsewhere each
@@ -411,7 +417,7 @@
                 # A new shortage gets its round of steps at once instead of seconds later.
                 host.tick_at = host.tick_at if host.short else now
                 host.short, host.share_at = True, now
-                self._record_short_delivery(now, at, host, max(value, 0.05))
+                self._record_short_delivery(now, at, host, max(value, MIN_DELIVERED_SHARE))
             elif host.short:
                 host.short = False
                 for use in (host.link, host.uplink):
@@ -464,6 +470,7 @@
         self.waiting[viewing_id] = viewing
 
     def on_viewer_left(self, now: float, viewing_id: int) -> None:
+        """Forgets a viewing that waits; one with a tune-in under way is forgotten with its outcome."""
         viewing = self.viewings.get(viewing_id)
         if viewing is not None and self.waiting.pop(viewing_id, None) is not None:
             del self.viewings[viewing_id]
@@ -478,6 +485,7 @@
     def on_probe_result(
         self, now: float, host_name: str, code: int, latency: float, loads: Sequence[float] = ()
     ) -> None:
+        """Takes the answer to a probe, or its failure."""
         self.inputs += 1
         self._record_loads(now, self.hosts.get(host_name), loads)
 
@@ -502,6 +510,7 @@
     def _add_viewing(
         self, viewing_id: int, package_name: str, title: str, cells: tuple[int, int], top: int
     ) -> Viewing:
+        # An unknown package gets a join target of 1 s and a patience of 3 s.
         package = self.packages.get(package_name) or Package(package_name, 1.0, 3.0)
         tables = self.tables.get(package_name) or Tables(package, self.rates, self.gains, self.best)
         viewing = self.viewings[viewing_id] = Viewing(
@@ -517,6 +526,7 @@
         self._book_rate(now, viewing, viewing.rung)
 
     def _rate_kb(self, viewing: Viewing, rung: int) -> float:
+        """Returns the rate of a viewing at a rung, in kB a second."""
         return viewing.rates[min(rung, len(viewing.rates) - 1)]
 
     def _book_rate(self, now: float, viewing: Viewing, rung: int | None) -> None:
@@ -529,7 +539,8 @@
             self._add_change(now, viewing.host, kb - viewing.kb)
             if self.terms.may_tell:
                 self.untold += RATE_CHANGE.pack(
-                    viewing.host.mark, max(-32767, min(32767, round(kb - viewing.kb)))
+                    viewing.host.mark,
+                    max(-MAX_RATE_CHANGE_KB, min(MAX_RATE_CHANGE_KB, round(kb - viewing.kb))),
                 )
         viewing.kb = kb
 
@@ -557,9 +568,9 @@
     def _record_short_delivery(self, now: float, at: float, host: MediaHost, share: float) -> None:
         """Records a use of 1 / share for whichever of link and uplink is the bottleneck.
 
-        One media host that stands still must not make its uplink look smaller. So the uplink is blamed only
-        when it is reported fuller than the link, when two hosts of the rack are short whose links have room,
-        or when the host is the only one of the rack in use and still delivers a fair share.
+        One media host that stalls must not make its uplink look smaller. So the uplink is blamed only when it
+        is reported fuller than the link, when two hosts of the rack are short whose links have room, or when
+        the host is the only one of the rack in use and still delivers a fair share.
         """
         uplink = host.uplink
         rack = [x for x in host.rack if x.viewings and x.told_link < STEP_DOWN_USE]
@@ -602,14 +613,15 @@
             # it is not overloaded as it comes up.
             host.cold_until = max(host.cold_until, now + self.terms.warm_up)
         if code == Outcome.FULL:
-            # Not asked again and again, whether its link is full or its places are.
+            # Whether its link or its slots are full, it is not to be asked again and again.
             host.link.record_reading(now, now, max(host.told_link, self.fleet.full_from, 1.0))
         suspend = was_playing and code == Outcome.RESET
         if not was_playing and code in FAILURES:
             self._count_outcome(host, False)
             median_share = median(x.failure_share() for x in self.hosts.values())
             suspend = host.in_a_row >= MAX_CONSECUTIVE_FAILURES or (
-                host.good + host.bad >= 4 and host.failure_share() > median_share + FAILURE_SHARE_MARGIN
+                host.good + host.bad >= MIN_OUTCOMES_JUDGED
+                and host.failure_share() > median_share + FAILURE_SHARE_MARGIN
             )
         if suspend:
             host.aside_until = max(
@@ -668,6 +680,7 @@
         return decision
 
     def _decisions(self, now: float) -> Iterator[Decision]:
+        """Yields all decisions that are due now: list request, placement, steps, messages to gateways."""
         if self.list_due is not None and now >= self.list_due:
             self.list_due = now + (0.5 * self.terms.ask_within or LIST_RETRY_S)
             yield interface.Subscribe()
@@ -695,7 +708,7 @@
                     yield interface.Probe(host.row.host)  # load is reported on request only
                 yield from self._step_viewings(now, host)
         if self.untold:
-            message, self.untold = self.untold[: RATE_CHANGE.size * 60], b""
+            message, self.untold = self.untold[: RATE_CHANGE.size * MAX_CHANGES_PER_MESSAGE], b""
             # A message is of use only to gateways that play on the same hosts. Its chance of being sent is
             # the share of hosts on which this gateway itself plays.
             if self.chance.random() * len(self.hosts) < len(self.busy):
@@ -729,7 +742,7 @@
                 h for h in candidates if h.link.at >= read_since and not self._cold_budget_spent(now, h)
             ]
             # Gateways that know little would otherwise all choose the same media host, or one that is full,
-            # stands still or just started. So where probes are allowed, a holder without a reading is probed
+            # stalls or just started. So where probes are allowed, a holder without a reading is probed
             # first. Where no holder answers or has a reading, the viewing must not spend its patience on
             # probes: it probes up to its join target, well before patience ends, and then some holders are
             # tried unread, at random.
@@ -779,6 +792,7 @@
         )
 
     def _highest_fitting_rung(self, now: float, viewing: Viewing, host: MediaHost) -> int | None:
+        """Returns the highest rung at which a viewing fits at a host, or None where none does."""
         link, uplink = self._current_use(now, host)
         for rung in range(viewing.top, viewing.package.floor - 1, -1):
             limit = viewing.marks[rung] if rung > viewing.package.floor else LOWEST_RUNG_MAX_USE
@@ -843,7 +857,7 @@
         # On small sites the budget comes to less than one set-up. One in a window is allowed all the same.
         budget, n = max(1, int(self.cold_budget * slots)), self.gateways
         own_part = budget // n + ((self.terms.ordinal - host.mark) % n < budget % n)
-        while host.sent and host.sent[0] < now - self.terms.fall_after - 0.1:
+        while host.sent and host.sent[0] < now - self.terms.fall_after - COLD_WINDOW_MARGIN_S:
             host.sent.popleft()
         return len(host.sent) >= own_part
 
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -20,17 +20,17 @@
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Refused, Request, Response, problem
 from ledgehitch.loop import Loop, TimedOut, run_forked
 from ledgehitch.loop.kernel import discard
-from ledgehitch.quality.facts import Seen, reports_in
-from ledgehitch.quality.judge import FEW, Judge, Verdict, look
-from ledgehitch.quality.keep import Keep
-from ledgehitch.quality.limits import Limits
-from ledgehitch.quality.passes import BadPass, Passes
-from ledgehitch.quality.tally import KEPT, WINDOW, Cell, Side, Tally, Window
+from ledgehitch.quality.facts import ViewingRecord, parse_reports
+from ledgehitch.quality.judge import MIN_VIEWINGS, Verdict, VerdictTracker, evaluate
+from ledgehitch.quality.keep import SnapshotStore
+from ledgehitch.quality.limits import ReportRateLimit
+from ledgehitch.quality.passes import InvalidToken, ReportTokens
+from ledgehitch.quality.tally import STORED_WINDOWS, WINDOW_S, Cell, GroupCounts, Tally, Window
 
 SAVE_INTERVAL_S = 2.0  # a kill loses at most the counts of so long
 EXCHANGE_INTERVAL_S = 5.0
 MAX_INLINE_VIEWINGS = 500  # above, snapshots and verdicts are made in a forked process
-VERDICT_INTERVAL_S = WINDOW
+VERDICT_INTERVAL_S = WINDOW_S
 VERDICT_WINDOWS = 6  # covered by a periodic verdict
 KEY_ROTATION_S = 12 * 3600.0  # how long one key signs tokens
 KEY_RELOAD_DELAY_S = 0.5  # least time between two reads of a key file because of unknown tokens
@@ -53,20 +53,22 @@
     """Issues report tokens. The keys are saved for the next start and for a separate report process."""
 
     def __init__(self, name: str, state_dir: Path | None) -> None:
-        self.key_store = Keep(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
-        self.passes = Passes(secrets.token_bytes(32), time.time())
+        self.key_store = (
+            SnapshotStore(state_dir / f"{name}.passes", private=True) if state_dir is not None else None
+        )
+        self.passes = ReportTokens(secrets.token_bytes(32), time.time())
         self.load()
         self._save()
 
     def _save(self) -> None:
         if self.key_store is not None:
-            self.key_store.write(self.passes.frozen())
+            self.key_store.write(self.passes.snapshot())
 
     def load(self) -> None:
         saved = self.key_store.read() if self.key_store is not None else None
         try:
             if saved is not None:
-                self.passes.thawed(saved, time.time())
+                self.passes.restore(saved, time.time())
         except msgspec.MsgspecError as error:
             log.error("cannot read the saved keys, earlier tokens will be refused", why=str(error))
 
@@ -78,27 +80,29 @@
         if now - self.passes.keys[-1].since > KEY_ROTATION_S:
             self.passes.rotate(secrets.token_bytes(32), now)
             self._save()
-        return self.passes.issue(now, resource, Seen(rack, title, now - asked_ago, now, join_target, package))
+        return self.passes.issue(
+            now, resource, ViewingRecord(rack, title, now - asked_ago, now, join_target, package)
+        )
 
 
 class KeyFileVerifier:
     """Verifies tokens of a gateway in another process. Reads its key file again when a token is refused."""
 
     def __init__(self, name: str, state_dir: Path) -> None:
-        self.path, self.passes = state_dir / f"{name}.passes", Passes(secrets.token_bytes(32), 0.0)
+        self.path, self.passes = state_dir / f"{name}.passes", ReportTokens(secrets.token_bytes(32), 0.0)
         self.passes.keys = []
         self._read_at = -1e9
 
-    def check(self, now: float, token: str, resource: str) -> Seen | None:
+    def check(self, now: float, token: str, resource: str) -> ViewingRecord | None:
         try:
             return self.passes.check(now, token, resource)
-        except BadPass:
+        except InvalidToken:
             if now - self._read_at < KEY_RELOAD_DELAY_S:
                 raise
             self._read_at = now
-            saved = Keep(self.path).read()
+            saved = SnapshotStore(self.path).read()
             if saved is not None:
-                self.passes.thawed(saved, now)
+                self.passes.restore(saved, now)
             return self.passes.check(now, token, resource)
 
 
@@ -111,14 +115,14 @@
         name: str,
         others: dict[str, str],
         state_dir: Path | None,
-        check: Callable[[float, str, str], Seen | None],
+        check: Callable[[float, str, str], ViewingRecord | None],
     ) -> None:
         """`others`: addresses of the other gateways' report services, by name. `check` takes the time, the
-        token and the viewing, and raises `BadPass`."""
+        token and the viewing, and raises `InvalidToken`."""
         self.loop, self.name, self.others, self.check = loop, name, others, check
-        self.store = Keep(state_dir / f"{name}.quality") if state_dir is not None else None
-        self.limits = Limits(secrets.token_bytes(32))
-        self.judge = Judge()
+        self.store = SnapshotStore(state_dir / f"{name}.quality") if state_dir is not None else None
+        self.limits = ReportRateLimit(secrets.token_bytes(32))
+        self.judge = VerdictTracker()
         self.client = Client(loop)
         self.tally = self._load(time.time_ns())
         self.rack_name: Callable[[str], str] = lambda rack: rack
@@ -130,7 +134,7 @@
     def _load(self, life: int) -> Tally:
         saved = self.store.read() if self.store is not None else None
         try:
-            return Tally.thawed(saved, life) if saved is not None else Tally(self.name, life)
+            return Tally.restore(saved, life) if saved is not None else Tally(self.name, life)
         except (msgspec.MsgspecError, ValueError) as error:  # written by another version of the program
             log.error("cannot read the saved quality counts, starting without them", why=str(error))
             return Tally(self.name, life)
@@ -145,7 +149,7 @@
         """Saves the counts for the next start."""
         self.client.close()
         if self.store is not None:
-            self.store.write(self.tally.frozen())
+            self.store.write(self.tally.snapshot())
 
     # ---- requests ------------------------------------------------------------------------------------------
 
@@ -166,23 +170,23 @@
         now = time.time()
         try:
             if scheme.lower() != "bearer":
-                raise BadPass("a report needs the Report-Token of its viewing's answer as bearer token")
+                raise InvalidToken("a report needs the Report-Token of its viewing's answer as bearer token")
             seen = self.check(now, token.strip(), resource)
-        except BadPass as why:
+        except InvalidToken as why:
             self.refused += 1
             raise Refused(401, f"invalid token: {why}", [("WWW-Authenticate", "Bearer")]) from None
         try:
-            good, bad = reports_in(request.body)
+            good, bad = parse_reports(request.body)
         except ValueError as error:
             raise Refused(400, str(error)) from None
-        wait = self.limits.asks(now, resource, len(good) + len(bad))
+        wait = self.limits.acquire(now, resource, len(good) + len(bad))
         if wait:
             raise Refused(
                 429, "report rate limit of this client exceeded", [("Retry-After", str(math.ceil(wait)))]
             )
         became: dict[str, int] = {}
         for report in sorted(good, key=lambda r: r.sn):
-            outcome = self.tally.reported(now, resource, report, seen)
+            outcome = self.tally.on_report(now, resource, report, seen)
             became[outcome] = became.get(outcome, 0) + 1
         if bad:
             return problem(
@@ -202,7 +206,7 @@
         windows = [SharedWindow(*summary) for summary in self.tally.summaries(*known)]
         fields = [
             ("Content-Type", "application/json"),
-            (MARK_HEADER, f"{self.tally.life}.{self.tally.changes}"),
+            (MARK_HEADER, f"{self.tally.life}.{self.tally.change_count}"),
         ]
         return Response(200, fields, msgspec.json.encode(windows))
 
@@ -221,7 +225,7 @@
                     self._marks[name] = answer.header(MARK_HEADER.lower()) or ""
                 except (TimedOut, ConnectFailed, Interrupted, ValueError, msgspec.MsgspecError):
                     continue  # the next request gets all changes since the same mark
-            self.tally.forget(int(time.time() // WINDOW) - KEPT)
+            self.tally.remove_before(int(time.time() // WINDOW_S) - STORED_WINDOWS)
 
     def _save_periodically(self) -> None:
         while True:
@@ -231,12 +235,12 @@
                 self._saved_count = counted
                 self._save(self.store)
 
-    def _save(self, store: Keep) -> None:
+    def _save(self, store: SnapshotStore) -> None:
         if len(self.tally.clocks) <= MAX_INLINE_VIEWINGS:
-            store.write(self.tally.frozen())
+            store.write(self.tally.snapshot())
             return
         # A forked process writes a large snapshot, so that set-ups do not wait for it.
-        if run_forked(self.loop, lambda: store.write(self.tally.frozen())) == 0:
+        if run_forked(self.loop, lambda: store.write(self.tally.snapshot())) == 0:
             store.serial += 1
         else:
             log.error("the forked process failed to write the snapshot", path=str(store.path))
@@ -245,18 +249,22 @@
         while True:
             self.loop.sleep(VERDICT_INTERVAL_S)
             before = self.judge.verdict.culprits
-            verdict = self.judge.heard(self._compute_verdict(self._totals(VERDICT_WINDOWS)))
+            verdict = self.judge.on_evaluation(self._compute_verdict(self._totals(VERDICT_WINDOWS)))
             if [(c.kind, c.name) for c in verdict.culprits] != [(c.kind, c.name) for c in before]:
                 log.warning("quality verdict changed", word=verdict.word)
 
     def _compute_verdict(self, table: dict[str, Cell]) -> Verdict:
         """Evaluates a table. A forked process does it for a large one, so that set-ups do not wait for it."""
-        expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= FEW}
+        expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= MIN_VIEWINGS}
         if len(table) <= MAX_INLINE_VIEWINGS:
-            return look(table, expected)
+            return evaluate(table, expected)
         read_end, write_end = os.pipe()
         try:
-            send = lambda: discard(os.write(write_end, msgspec.json.encode(look(table, expected))[:65536]))  # noqa: E731
+            send = (
+                lambda: discard(  # noqa: E731
+                    os.write(write_end, msgspec.json.encode(evaluate(table, expected))[:65536])
+                )
+            )
             code = run_forked(self.loop, send)
             return (
                 msgspec.json.decode(os.read(read_end, 65536), type=Verdict)
@@ -272,43 +280,43 @@
     def _totals(self, windows: int) -> dict[str, Cell]:
         """Returns the counts of the last `windows` windows. Racks are counted by number and named only here,
         so that a rack stays the same if a reload renames it."""
-        last = int(time.time() // WINDOW) + 1
-        table = self.tally.total(last - windows, last)
+        last = int(time.time() // WINDOW_S) + 1
+        table = self.tally.totals(last - windows, last)
         return {self._with_rack_name(key): cell for key, cell in table.items()}
 
     def _with_rack_name(self, key: str) -> str:
         rack, _, title = key.partition("\t")
         return f"{self.rack_name(rack)}\t{title}"
 
-    def _groups(self, first: int, last: int) -> dict[str, dict[str, Side]]:
+    def _groups(self, first: int, last: int) -> dict[str, dict[str, GroupCounts]]:
         groups = self.tally.groups(first, last)
         return groups | {"rack": {self.rack_name(rack): side for rack, side in groups["rack"].items()}}
 
     def report(self) -> Response:
         """Answers with the full report over all gateways, as far as their counts have arrived."""
-        verdict = self._compute_verdict(self._totals(KEPT))
-        last = int(time.time() // WINDOW) + 1
+        verdict = self._compute_verdict(self._totals(STORED_WINDOWS))
+        last = int(time.time() // WINDOW_S) + 1
         series = {}
-        for w in range(last - KEPT, last):
+        for w in range(last - STORED_WINDOWS, last):
             groups = self._groups(w, w + 1)
             if groups["rack"]:
-                series[str(int(w * WINDOW))] = _encode_groups(groups)
+                series[str(int(w * WINDOW_S))] = _encode_groups(groups)
         report = {
             "gateway": self.name,
             "verdict": msgspec.to_builtins(verdict),
             "counts": self.tally.counts,
             "standing": msgspec.to_builtins(self.judge.verdict),
-            "groups": _encode_groups(self._groups(last - KEPT, last)),
+            "groups": _encode_groups(self._groups(last - STORED_WINDOWS, last)),
             "series": series,
-            "heard_of": sorted(self.tally.others),
+            "heard_of": sorted(self.tally.peers),
         }
         return Response(200, [("Content-Type", "application/json")], msgspec.json.encode(report))
 
 
-def _encode_groups(groups: dict[str, dict[str, Side]]) -> dict[str, dict[str, dict[str, Any]]]:
+def _encode_groups(groups: dict[str, dict[str, GroupCounts]]) -> dict[str, dict[str, dict[str, Any]]]:
     """Returns counts by kind and name, with the median and the 95th percentile of start times in ms."""
 
-    def encode_side(side: Side) -> dict[str, Any]:
+    def encode_side(side: GroupCounts) -> dict[str, Any]:
         fields = {f: getattr(side, f) for f in (*Cell.__struct_fields__, "starts", "start")}
         return fields | {"start_p50": side.start_at(0.5), "start_p95": side.start_at(0.95)}
 
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -37,7 +37,7 @@
 from ledgehitch.http import Limits, Server
 from ledgehitch.keys.store import ring_in
 from ledgehitch.loop import Datagrams, Event, Loop, endpoint
-from ledgehitch.quality.keep import Keep
+from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.regions.facts import regions_of
 from ledgehitch.signalling import ViewingRegistry
 
@@ -137,7 +137,7 @@
                 gateways=terms.gateways,
             )
             admission_store = (
-                Keep(state_dir / f"{name}.door", private=True) if state_dir is not None else None
+                SnapshotStore(state_dir / f"{name}.door", private=True) if state_dir is not None else None
             )
             self.executor.admission = AdmissionService(
                 door, admission_store, site.door.order or DEFAULT_ORDER
--- a/ledgehitch/proof/check.py
+++ b/ledgehitch/proof/check.py
@@ -305,7 +305,7 @@
                 what = f"rung {rung} of {package} is below its floor, {terms.floor}"
                 breaches.append(Breach(5, what, set_up.key, (line["t"],), (line.at,)))
         if terms.seats:
-            # A seat is freed by an end that the gateway knows of; ends that it cannot know of yet don't count.
+            # A seat is freed by an end that the gateway knows of; ends that it cannot know of yet do not.
             ended = (
                 set_up.stopped_at
                 if set_up.status == 201 and set_up.stopped_at is not None
