--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -17,7 +17,6 @@
 from ledgehitch import interface
 from ledgehitch.door.decide import Admit
 from ledgehitch.door.names import client_name
-from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.gateway.joins import JoinTimes
 from ledgehitch.gateway.mind import RecordedModule
@@ -29,6 +28,7 @@
 from ledgehitch.interface import Outcome, Package
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, Task, TimedOut
 from ledgehitch.loop.pump import Pump
+from ledgehitch.send_guard import SendForbidden, SendGuard
 from ledgehitch.signalling import AbandonViewing, Answer, EndViewing, Kind, Offer, ViewingRegistry
 from ledgehitch.signalling.sdp import answer_mismatch
 
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -23,7 +23,6 @@
 from ledgehitch.config.site import lends, rack_name, stated
 from ledgehitch.door.decide import AdmissionController
 from ledgehitch.door.names import DEFAULT_ORDER
-from ledgehitch.gate import SendGuard
 from ledgehitch.gateway.carry import Executor
 from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.gateway.front import HttpFrontend
@@ -39,6 +38,7 @@
 from ledgehitch.loop import Datagrams, Event, Loop, endpoint
 from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.regions.facts import regions_of
+from ledgehitch.send_guard import SendGuard
 from ledgehitch.signalling import ViewingRegistry
 
 STATISTICS_INTERVAL_S = 5.0  # between log lines with the loop's lag and the counters
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -12,11 +12,11 @@
 from ledgehitch import interface as say
 from ledgehitch.door.decide import AdmissionController, Admit
 from ledgehitch.door.names import client_name
-from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.gateway.carry import COMMAND_TIMEOUT_S, PROBE_TIMEOUT_S
 from ledgehitch.interface import Outcome, Package, Row
 from ledgehitch.model.media import Loads, MediaHost, Session
 from ledgehitch.model.spoilt import OpenGate
+from ledgehitch.send_guard import SendForbidden, SendGuard
 from ledgehitch.signalling import AbandonViewing, Answer, EndViewing, Kind, ViewingRegistry
 
 if TYPE_CHECKING:
--- a/ledgehitch/model/spoilt.py
+++ b/ledgehitch/model/spoilt.py
@@ -1,14 +1,14 @@
 """The decision module with one of its gates taken out, to see that checker and search notice. Free of I/O.
 
-A gateway made with these also lacks the second pair of eyes (`gate.py`), which would stop the sends.
+A gateway made with these also lacks the second pair of eyes (`send_guard.py`), which would stop the sends.
 """
 
 from collections.abc import Sequence
 from dataclasses import replace
 
 from ledgehitch.brain import Gateway, MediaHost, Viewing
-from ledgehitch.gate import SendGuard
 from ledgehitch.interface import Block, Decision, Row
+from ledgehitch.send_guard import SendGuard
 
 
 class OpenGate(SendGuard):
--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -9,7 +9,6 @@
 
 from ledgehitch.brain import Gateway
 from ledgehitch.facts import InvalidSetting, read_connection_settings, read_settings
-from ledgehitch.gate import SendGuard
 from ledgehitch.interface import Row
 from ledgehitch.loop.kernel import Event, Loop
 from ledgehitch.loop.sockets import Listener, endpoint
@@ -24,6 +23,7 @@
 from ledgehitch.platform.lost import FailureDetector
 from ledgehitch.platform.peers import PeerChannel
 from ledgehitch.platform.told import Configuration, parse_configuration, parse_host_list
+from ledgehitch.send_guard import SendGuard
 
 SWEEP_INTERVAL_S = 0.25  # between two sweeps for connections to close
 COUNTS_INTERVAL_S = 5.0  # between two lines of counts in the log
--- a/ledgehitch/platform/carry.py
+++ b/ledgehitch/platform/carry.py
@@ -11,7 +11,6 @@
 
 from ledgehitch import interface
 from ledgehitch.brain import Gateway
-from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.interface import Outcome, Package, Row
 from ledgehitch.loop.kernel import Loop
 from ledgehitch.loop.pump import Pump
@@ -21,6 +20,7 @@
 from ledgehitch.platform.hosts import HostConnection, HostConnections
 from ledgehitch.platform.log import log
 from ledgehitch.platform.lost import FailureDetector, OpenConnection
+from ledgehitch.send_guard import SendForbidden, SendGuard
 
 # By the cause that a media host gives.
 OUTCOMES = {
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from ledgehitch.gate import SendForbidden
 from ledgehitch.gateway.replay import replay_record
 from ledgehitch.http import Limits, NoAnswer, Request, Response
 from ledgehitch.http.parse import ResponseReader
 from ledgehitch.loop import connect, endpoint
+from ledgehitch.send_guard import SendForbidden
 from ledgehitch.standins.viewers import offer_of
 from tests.rig import Handler, Host, Rig, answer, notice, request
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,6 @@
 from ledgehitch import hostline, interface, rtsp
 from ledgehitch.brain import Gateway
 from ledgehitch.facts import InvalidSetting, nest_pairs, read_connection_settings, read_settings
-from ledgehitch.gate import SendForbidden, SendGuard
 from ledgehitch.interface import UNPLACED, Package, Row
 from ledgehitch.platform import lines
 from ledgehitch.platform.__main__ import main as platform
@@ -30,6 +29,7 @@
     eviction_candidate,
 )
 from ledgehitch.platform.told import parse_configuration, parse_host_list
+from ledgehitch.send_guard import SendForbidden, SendGuard
 from ledgehitch.simhost.wire import main as simhost
 
 SESSION_ID = "9b1f03aa5c7e2d41"
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -7,7 +7,6 @@
 import pytest
 
 from ledgehitch.brain import Gateway
-from ledgehitch.gate import SendGuard
 from ledgehitch.http import NoAnswer, Request, Response
 from ledgehitch.proof.check import (
     Breach,
@@ -18,6 +17,7 @@
     rule_parameters,
 )
 from ledgehitch.proof.tape import Line, Tape, read_tapes
+from ledgehitch.send_guard import SendGuard
 from ledgehitch.signalling import Answer, ViewingRegistry
 from tests.rig import Host, Rig
 
