--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -258,24 +258,18 @@
         expected = {self.rack_name(r): n for r, n in self.playing_by_rack().items() if n >= MIN_VIEWINGS}
         if len(table) <= MAX_INLINE_VIEWINGS:
             return evaluate(table, expected)
-        read_end, write_end = os.pipe()
+        reader, writer = os.pipe()
         try:
-            send = (
-                lambda: discard(  # noqa: E731
-                    os.write(write_end, msgspec.json.encode(evaluate(table, expected))[:65536])
-                )
-            )
+            send = lambda: discard(os.write(writer, msgspec.json.encode(evaluate(table, expected))[:65536]))  # noqa: E731
             code = run_forked(self.loop, send)
             return (
-                msgspec.json.decode(os.read(read_end, 65536), type=Verdict)
-                if code == 0
-                else self.judge.verdict
+                msgspec.json.decode(os.read(reader, 65536), type=Verdict) if code == 0 else self.judge.verdict
             )
         except msgspec.MsgspecError:
             return self.judge.verdict  # too many culprits for the pipe: the current verdict stays
         finally:
-            os.close(read_end)
-            os.close(write_end)
+            os.close(reader)
+            os.close(writer)
 
     def _totals(self, windows: int) -> dict[str, Cell]:
         """Returns the counts of the last `windows` windows. Racks are counted by number and named only here,
