--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Hard cases of the running gateway, each through real sockets on loopback."""
+"""Failure cases of a running gateway, each over real sockets on loopback."""
 
 import contextlib
 import json
@@ -23,8 +23,8 @@
     return str(json.loads(response.body).get("answer", ""))
 
 
-def first_then_play(first: str) -> dict[str, Handler]:
-    """Whichever host is asked first does `first`, all later set-ups play."""
+def fail_first_set_up(first: str) -> dict[str, Handler]:
+    """Returns handlers with which the first set-up fails in the way of `first` and all later ones succeed."""
 
     def act(host: Host, request: Request) -> Response:
         if len(host.rig.set_ups) > 1:
@@ -66,15 +66,15 @@
     "first",
     ["dies", "silent", "resets", "half", "wrong", "other kinds", "no place", "error", "full", "garbage"],
 )
-def test_a_set_up_that_goes_wrong_is_tried_elsewhere_and_answered_once(first: str) -> None:
-    rig = Rig(first_then_play(first))
+def test_a_failed_set_up_is_retried_on_another_host_and_answered_once(first: str) -> None:
+    rig = Rig(fail_first_set_up(first))
 
     def day(rig: Rig) -> None:
         response = rig.offer()
         assert response.status == 201
         assert len(rig.set_ups) == 2 and rig.set_ups[0][0] != rig.set_ups[1][0]
         assert rig.most_out == 1 or first == "silent", (
-            "never two out; a silent one is seen to end a turn later"
+            "never two in progress; the end of a silent one is noticed a turn later"
         )
         assert rig.counts().plays == 1 and rig.counts().stopped_at_gate == 0
         assert not rig.reports
@@ -82,16 +82,16 @@
     rig.run(day)
 
 
-def test_what_may_have_run_is_called_back() -> None:
+def test_a_set_up_that_may_have_run_is_deleted() -> None:
     def day(rig: Rig) -> None:
         rig.offer()
         host, key = rig.set_ups[0]
         rig.until(lambda: f"/tune-ins/{key}" in rig.hosts[host].deleted)
 
-    Rig(first_then_play("silent")).run(day)
+    Rig(fail_first_set_up("silent")).run(day)
 
 
-def test_an_answer_after_its_time_out_counts_for_nothing() -> None:
+def test_an_answer_after_the_time_out_is_ignored() -> None:
     def late(host: Host, request: Request) -> Response:
         if len(host.rig.set_ups) == 1:
             host.rig.loop.sleep(1.0)
@@ -106,7 +106,7 @@
     Rig({"*": late}).run(day)
 
 
-def test_a_host_that_answers_twice_never_gives_its_second_answer_to_another_viewing() -> None:
+def test_a_second_answer_of_a_host_never_goes_to_another_viewing() -> None:
     def twice(host: Host, request: Request) -> Response:
         response = host.plays(request)
         response.headers.append(("Content-Length", str(len(response.body))))
@@ -140,15 +140,17 @@
         a, b = answer(first), answer(second)
         assert a.status == b.status == 201 and a.header("location") == b.header("location")
         again = rig.offer()
-        assert again.header("location") == a.header("location"), "soon after: the same"
+        assert again.header("location") == a.header("location"), "a repeat soon after gets the same answer"
         other = rig.offer(2)
-        assert other.header("location") != a.header("location"), "another offer of the same viewer"
+        assert other.header("location") != a.header("location"), (
+            "another offer of the viewer is another viewing"
+        )
         assert len(rig.set_ups) == 2 and rig.counts().joined == 2
 
     Rig({"*": slow}).run(day)
 
 
-def test_a_repeat_goes_on_when_the_first_connection_hangs_up() -> None:
+def test_a_repeated_offer_is_answered_after_the_first_connection_closes() -> None:
     def slow(host: Host, request: Request) -> Response:
         host.rig.loop.sleep(0.1)
         return host.plays(request)
@@ -165,7 +167,7 @@
     Rig({"*": slow}).run(day)
 
 
-def test_a_client_that_hangs_up_is_a_viewer_who_left() -> None:
+def test_a_client_that_disconnects_ends_its_viewing() -> None:
     def day(rig: Rig) -> None:
         rig.ask().close()
         rig.until(lambda: rig.counts().left == 1)
@@ -175,11 +177,11 @@
     Rig({"*": Host.silent}).run(day)
 
 
-def test_a_viewing_whose_answer_reached_nobody_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_viewing_whose_answer_was_not_delivered_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ledgehitch.signalling.decide.ORPHAN_GRACE_S", 0.2)
 
     def day(rig: Rig) -> None:
-        # The hang-up is noticed by nobody before the answer is written.
+        # The gateway does not notice the disconnect before it writes the answer.
         rig.gateway.executor.on_hang_up = lambda conn: None  # type: ignore[method-assign]
         rig.ask().close()
         rig.until(lambda: rig.counts().plays)
@@ -193,7 +195,7 @@
     Rig({"*": slow}).run(day)
 
 
-def test_one_byte_a_second_is_ended_and_holds_up_nobody() -> None:
+def test_a_slow_request_times_out_and_does_not_delay_others() -> None:
     def day(rig: Rig) -> None:
         slow = connect(rig.loop, endpoint(rig.at))
         slow.send(b"P")
@@ -213,7 +215,7 @@
     Rig(limits=Limits(request_timeout_s=0.4)).run(day)
 
 
-def test_two_requests_in_one_segment_are_both_answered_in_order() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     def day(rig: Rig) -> None:
         stream = connect(rig.loop, endpoint(rig.at))
         stream.send(request(rig.at, 1, token="a") + request(rig.at, 2, token="b"))
@@ -237,7 +239,7 @@
     Rig().run(day)
 
 
-def test_a_delete_that_crosses_the_set_up_leaves_nothing_behind() -> None:
+def test_a_delete_during_the_set_up_leaves_no_state() -> None:
     def slow(host: Host, request: Request) -> Response:
         host.rig.loop.sleep(0.15)
         return host.plays(request)
@@ -247,7 +249,7 @@
         rig.until(lambda: rig.set_ups)
         resource = next(iter(rig.gateway.executor.registry.entries.values())).resource
         early = rig.client.request(rig.at, "DELETE", f"/viewings/{resource}")
-        assert early.status == 404, "it has no answer yet, so there is nothing to end"
+        assert early.status == 404, "there is nothing to end before the answer"
         place = answer(stream).header("location")
         assert rig.client.request(rig.at, "DELETE", str(place)).status == 200
         assert rig.client.request(rig.at, "DELETE", str(place)).status == 404
@@ -257,7 +259,7 @@
     Rig({"*": slow}).run(day)
 
 
-def test_nothing_goes_to_a_host_that_drains_while_its_set_up_ends_as_usual() -> None:
+def test_a_draining_host_gets_no_new_set_ups_but_finishes_the_pending_one() -> None:
     def slow(host: Host, request: Request) -> Response:
         host.rig.loop.sleep(0.2)
         return host.plays(request)
@@ -267,7 +269,7 @@
         rig.until(lambda: rig.set_ups)
         host = rig.set_ups[0][0]
         rig.listed(host, "terminating")
-        assert answer(stream).status == 201, "what was out when it was told may come about"
+        assert answer(stream).status == 201, "a set-up in progress when the drain was listed may complete"
         rig.until(lambda: rig.gateway.executor.send_guard.hosts[host] is not None)
         for n in range(2, 12):
             assert rig.offer(n, token=f"t{n}").status == 201
@@ -276,7 +278,7 @@
     Rig({"*": slow}).run(day)
 
 
-def test_the_gate_stops_what_the_module_should_never_send() -> None:
+def test_the_send_guard_refuses_tune_ins_that_break_a_rule() -> None:
     def day(rig: Rig) -> None:
         gate, now = rig.gateway.executor.send_guard, time.monotonic()
         with pytest.raises(SendForbidden, match="never requested"):
@@ -298,7 +300,7 @@
     Rig().run(day)
 
 
-def test_when_nothing_fits_the_answer_is_blocked_with_advice() -> None:
+def test_without_capacity_the_answer_is_blocked_with_a_retry_time() -> None:
     def day(rig: Rig) -> None:
         response = rig.offer()
         assert response.status == 503 and problem_kind(response) == "blocked"
@@ -308,7 +310,7 @@
     Rig({"*": lambda host, request: Response(503)}).run(day)
 
 
-def test_a_package_set_up_once_is_aborted_when_it_may_have_run() -> None:
+def test_a_package_with_effect_once_is_aborted_if_its_set_up_may_have_run() -> None:
     packages = [{"name": "recorded", "join_target": 0.3, "patience": 0.6, "effect": "once"}]
 
     def day(rig: Rig) -> None:
@@ -319,34 +321,34 @@
     Rig({"*": Host.silent}, packages=packages).run(day)
 
 
-def test_patience_bounds_the_answer_and_prefer_only_shortens_it() -> None:
+def test_patience_limits_the_wait_and_prefer_can_only_shorten_it() -> None:
     def day(rig: Rig) -> None:
         start = time.monotonic()
         response = rig.offer(wait=0.5)
         short = time.monotonic() - start
         assert response.status in (503, 504) and short < 2.0
-        assert rig.offer(2, wait=1e6).status in (503, 504), "never more than the package's"
+        assert rig.offer(2, wait=1e6).status in (503, 504), "never longer than the package's patience"
 
     Rig({"*": Host.silent}, packages=[{"name": "recorded", "join_target": 0.8, "patience": 1.5}]).run(day)
 
 
-def test_a_gateway_that_stood_still_counts_patience_from_when_it_was_asked() -> None:
+def test_a_suspended_gateway_counts_patience_from_the_arrival_of_requests() -> None:
     def day(rig: Rig) -> None:
         streams = [rig.ask(n, token=f"t{n}") for n in range(30)]
-        # The loop stands still while the requests lie in its sockets, then all comes at once.
+        # The loop is suspended while requests wait in its sockets, then all are read at once.
         entered = time.monotonic()
         poll = rig.loop.poll
-        rig.loop.poll = StoodStill(poll, 0.7)  # type: ignore[assignment]
+        rig.loop.poll = SuspendedPoll(poll, 0.7)  # type: ignore[assignment]
         statuses = [answer(stream).status for stream in streams]
         assert rig.loop.suspensions >= 1
         asked = [v.asked_at for v in rig.gateway.executor.module.gateway.viewings.values()]
         assert statuses and set(statuses) <= {201, 503, 504}
-        assert all(at <= entered + 0.6 for at in asked), "asked before the stop was over"
+        assert all(at <= entered + 0.6 for at in asked), "patience starts before the suspension ends"
 
     Rig().run(day)
 
 
-class StoodStill:
+class SuspendedPoll:
     """A poll that returns late once, as after SIGSTOP and SIGCONT."""
 
     def __init__(self, poll, seconds: float) -> None:  # type: ignore[no-untyped-def]
@@ -362,7 +364,7 @@
         return self.real.poll(timeout)
 
 
-def test_descriptors_run_out_and_the_gateway_recovers() -> None:
+def test_the_gateway_recovers_after_running_out_of_file_descriptors() -> None:
     def day(rig: Rig) -> None:
         assert rig.offer(0).status == 201
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -377,7 +379,7 @@
             before = time.process_time()
             rig.until(lambda: rig.gateway.server.listener.refused_for_descriptors > 0)
             rig.loop.sleep(0.4)
-            assert time.process_time() - before < 0.35, "it rests, it does not spin"
+            assert time.process_time() - before < 0.35, "it waits instead of spinning"
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             for fd in held:
@@ -389,7 +391,7 @@
     Rig().run(day)
 
 
-def test_statuses_of_signalling() -> None:
+def test_http_statuses_of_signalling() -> None:
     def day(rig: Rig) -> None:
         def status(path: str, method: str = "POST", body: bytes | None = None, **headers: str) -> Response:
             stream = connect(rig.loop, endpoint(rig.at))
@@ -418,7 +420,7 @@
         assert whip.status == 201
         options = status(good, "OPTIONS", body=b"")
         assert options.status == 204 and options.header("accept-post") == "application/sdp"
-        assert rig.counts().asked == 1, "what is refused at the face is never asked of the module"
+        assert rig.counts().asked == 1, "requests refused by the HTTP interface never reach the module"
 
         plays = status(good)
         place, tag = str(plays.header("location")), str(plays.header("etag"))
@@ -443,7 +445,7 @@
     Rig().run(day)
 
 
-def test_top_comes_from_the_query_or_the_offers_bandwidth() -> None:
+def test_the_highest_rung_comes_from_the_query_or_the_offers_bandwidth() -> None:
     def day(rig: Rig) -> None:
         tops: list[int] = []
         asked = rig.gateway.executor.on_offer
@@ -467,7 +469,7 @@
     Rig().run(day)
 
 
-def test_news_of_media_hosts_reaches_the_viewing_and_its_resource() -> None:
+def test_media_host_events_reach_the_viewing_and_its_event_stream() -> None:
     def day(rig: Rig) -> None:
         place = str(rig.offer().header("location"))
         host = rig.hosts[rig.set_ups[0][0]]
@@ -490,7 +492,7 @@
     Rig().run(day)
 
 
-def test_a_host_that_comes_back_as_another_process_has_lost_what_played() -> None:
+def test_a_restarted_host_has_lost_its_viewings() -> None:
     def day(rig: Rig) -> None:
         rig.offer()
         host = rig.hosts[rig.set_ups[0][0]]
@@ -503,7 +505,7 @@
     Rig().run(day)
 
 
-def test_a_broken_stream_alone_loses_nothing() -> None:
+def test_a_broken_event_stream_alone_ends_no_viewing() -> None:
     def day(rig: Rig) -> None:
         rig.offer()
         host = rig.hosts[rig.set_ups[0][0]]
@@ -517,7 +519,7 @@
     Rig().run(day)
 
 
-def test_a_record_of_it_all_replays_without_a_difference_and_a_changed_one_does_not(
+def test_a_flight_record_replays_without_difference_unless_the_module_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     rig = Rig(
@@ -535,13 +537,13 @@
     whole = next(rig.directory.glob("record.*"))
     cut = rig.directory / "cut"
     cut.write_bytes(whole.read_bytes()[:-7])
-    assert replay_record(cut).difference == "", "a crash leaves what was whole"
+    assert replay_record(cut).difference == "", "a cut-off entry is skipped"
     monkeypatch.setattr("ledgehitch.brain.LOWEST_RUNG_MAX_USE", 0.0)
     monkeypatch.setattr("ledgehitch.brain.MIN_TIMEOUT_S", 0.4)
     assert "was ['TuneIn'" in replay_record(rig.record).difference
 
 
-def test_a_gateway_starts_with_the_list_it_kept() -> None:
+def test_a_gateway_saves_its_host_list() -> None:
     rig = Rig()
 
     def day(rig: Rig) -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts of signalling and gateway that are free of I/O: desk, watch, roll, peers, records; sites and days."""
+"""Unit tests without I/O: viewing registry, host monitor, host list, peer codec, records, sites and days."""
 
 import random
 from pathlib import Path
@@ -47,117 +47,119 @@
 # ---- signalling --------------------------------------------------------------------------------------------
 
 
-def pulled(desk: ViewingRegistry, now: float) -> list[Any]:
+def decisions_of(registry: ViewingRegistry, now: float) -> list[Any]:
     out = []
-    while (decision := desk.decide(now)) is not None:
+    while (decision := registry.decide(now)) is not None:
         out.append(decision)
     return out
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_each_connection_is_answered_once_or_hung_up_whatever_happens(seed: int) -> None:
-    """Rule 1 at the desk, and rule 2: one offer is one viewing while it is unanswered or just answered."""
-    chance, desk, now = random.Random(seed), ViewingRegistry(bytes(32)), 0.0
-    owed: dict[int, int] = {}  # connection, viewing
+def test_each_connection_is_answered_once_unless_it_disconnects(seed: int) -> None:
+    """Rules 1 and 2 in the registry: an offer repeated before or soon after its answer adds no viewing."""
+    rng, registry, now = random.Random(seed), ViewingRegistry(bytes(32)), 0.0
+    owed: dict[int, int] = {}  # viewing by connection that is owed an answer
     asked: set[int] = set()  # viewings without an answer
     playing: set[int] = set()
-    given_up: set[int] = set()
+    abandoned: set[int] = set()
     conn = viewing_id = 0
-    on_way: list[int] = []
+    sent: list[int] = []
     for _ in range(80):
-        now += chance.choice([0.0, 0.01, 0.3, 2.0])
-        event = chance.randrange(8)
+        now += rng.choice([0.0, 0.01, 0.3, 2.0])
+        event = rng.randrange(8)
         if event < 3:
             conn, viewing_id = conn + 1, viewing_id + 1
-            key = bytes([chance.randrange(4)])
-            if desk.on_offer(now, conn, key, viewing_id):
+            key = bytes([rng.randrange(4)])
+            if registry.on_offer(now, conn, key, viewing_id):
                 asked.add(viewing_id)
                 owed[conn] = viewing_id
             else:
                 owed[conn] = 0
         elif event == 3 and asked:
-            done = chance.choice(sorted(asked))
+            done = rng.choice(sorted(asked))
             asked.discard(done)
-            kind = chance.choice(["plays", "blocked", "aborted"])
-            desk.on_result(now, done, kind, "answer", chance.choice([0.0, 1.0]))  # type: ignore[arg-type]
-            desk.on_result(now, done, "aborted", "a second answer")
+            kind = rng.choice(["plays", "blocked", "aborted"])
+            registry.on_result(now, done, kind, "answer", rng.choice([0.0, 1.0]))  # type: ignore[arg-type]
+            registry.on_result(now, done, "aborted", "a second answer")
             if kind == "plays":
                 playing.add(done)
         elif event == 4 and owed:
-            gone = chance.choice(sorted(owed))
+            gone = rng.choice(sorted(owed))
             del owed[gone]
-            desk.on_disconnect(now, gone)
-        elif event == 5 and on_way:
-            one = on_way.pop()
-            (desk.on_answer_sent if chance.random() < 0.7 else desk.on_answer_failed)(now, one)
+            registry.on_disconnect(now, gone)
+        elif event == 5 and sent:
+            one = sent.pop()
+            (registry.on_answer_sent if rng.random() < 0.7 else registry.on_answer_failed)(now, one)
         elif event == 6 and playing:
-            one = chance.choice(sorted(playing))
-            entry = desk.entries[one]
-            if chance.random() < 0.5:
-                assert desk.on_delete(now, entry.resource) and not desk.on_delete(now, entry.resource)
+            one = rng.choice(sorted(playing))
+            entry = registry.entries[one]
+            if rng.random() < 0.5:
+                assert registry.on_delete(now, entry.resource) and not registry.on_delete(now, entry.resource)
             else:
-                desk.on_viewing_end(now, one)
+                registry.on_viewing_end(now, one)
                 playing.discard(one)
-        for decision in pulled(desk, now):
+        for decision in decisions_of(registry, now):
             match decision:
                 case Answer(to, of):
-                    assert to in owed, "answered once, and nobody who hung up"
+                    assert to in owed, "answered once, and never after a disconnect"
                     if owed.pop(to):
-                        assert of in desk.entries or of not in asked
-                    on_way.append(to)
+                        assert of in registry.entries or of not in asked
+                    sent.append(to)
                 case AbandonViewing(of):
                     assert of in asked
                     asked.discard(of)
-                    given_up.add(of)
+                    abandoned.add(of)
                 case EndViewing(of):
-                    assert of in playing and of not in given_up
+                    assert of in playing and of not in abandoned
                     playing.discard(of)
-    assert all(of in desk.entries for of in asked | playing)
+    assert all(of in registry.entries for of in asked | playing)
 
 
-def test_the_same_offer_gets_the_same_answer_for_a_while_and_then_is_a_new_viewing() -> None:
-    desk = ViewingRegistry(bytes(32))
-    assert desk.on_offer(0.0, 1, b"k", 1)
-    assert not desk.on_offer(0.1, 2, b"k", 2)
-    desk.on_result(0.2, 1, "plays", "sdp")
-    assert pulled(desk, 0.2) == [Answer(1, 1), Answer(2, 1)]
-    assert not desk.on_offer(REPEAT_WINDOW_S, 3, b"k", 3) and pulled(desk, REPEAT_WINDOW_S) == [Answer(3, 1)]
-    assert pulled(desk, REPEAT_WINDOW_S + 1) == [] and desk.entries[1].result is not None
-    assert desk.entries[1].result.answer == "", "the text is let go"
-    assert desk.on_offer(REPEAT_WINDOW_S + 1, 4, b"k", 4)
+def test_a_repeated_offer_gets_the_same_answer_within_the_repeat_window() -> None:
+    registry = ViewingRegistry(bytes(32))
+    assert registry.on_offer(0.0, 1, b"k", 1)
+    assert not registry.on_offer(0.1, 2, b"k", 2)
+    registry.on_result(0.2, 1, "plays", "sdp")
+    assert decisions_of(registry, 0.2) == [Answer(1, 1), Answer(2, 1)]
+    assert not registry.on_offer(REPEAT_WINDOW_S, 3, b"k", 3) and decisions_of(registry, REPEAT_WINDOW_S) == [
+        Answer(3, 1)
+    ]
+    assert decisions_of(registry, REPEAT_WINDOW_S + 1) == [] and registry.entries[1].result is not None
+    assert registry.entries[1].result.answer == "", "the text of the answer is released"
+    assert registry.on_offer(REPEAT_WINDOW_S + 1, 4, b"k", 4)
 
 
-def test_a_block_stands_for_as_long_as_its_advice() -> None:
-    desk = ViewingRegistry(bytes(32))
-    desk.on_offer(0.0, 1, b"k", 1)
-    desk.on_result(0.0, 1, "blocked", advice=2.0)
-    assert not desk.on_offer(1.9, 2, b"k", 2)
-    pulled(desk, 2.1)
-    assert desk.on_offer(2.1, 3, b"k", 3) and 1 not in desk.entries
+def test_a_blocked_offer_stays_blocked_until_its_retry_time() -> None:
+    registry = ViewingRegistry(bytes(32))
+    registry.on_offer(0.0, 1, b"k", 1)
+    registry.on_result(0.0, 1, "blocked", advice=2.0)
+    assert not registry.on_offer(1.9, 2, b"k", 2)
+    decisions_of(registry, 2.1)
+    assert registry.on_offer(2.1, 3, b"k", 3) and 1 not in registry.entries
 
 
-def test_what_nobody_heard_of_is_ended_unless_it_is_asked_for_again() -> None:
+def test_a_viewing_whose_answer_was_not_delivered_ends_unless_the_offer_is_repeated() -> None:
     for again in (False, True):
-        desk = ViewingRegistry(bytes(32))
-        desk.on_offer(0.0, 1, b"k", 1)
-        desk.on_result(0.0, 1, "plays", "sdp")
-        pulled(desk, 0.0)
-        desk.on_answer_failed(0.0, 1)
+        registry = ViewingRegistry(bytes(32))
+        registry.on_offer(0.0, 1, b"k", 1)
+        registry.on_result(0.0, 1, "plays", "sdp")
+        decisions_of(registry, 0.0)
+        registry.on_answer_failed(0.0, 1)
         if again:
-            desk.on_offer(1.0, 2, b"k", 2)
-            pulled(desk, 1.0)
-            desk.on_answer_sent(1.0, 2)
-        assert pulled(desk, ORPHAN_GRACE_S + 0.1) == ([] if again else [EndViewing(1)])
+            registry.on_offer(1.0, 2, b"k", 2)
+            decisions_of(registry, 1.0)
+            registry.on_answer_sent(1.0, 2)
+        assert decisions_of(registry, ORPHAN_GRACE_S + 0.1) == ([] if again else [EndViewing(1)])
 
 
-def test_descriptions_are_read_and_what_is_wrong_is_named_by_line() -> None:
+def test_sdp_errors_name_their_line() -> None:
     text = offer_of(1).decode()
     offer = parse_sdp(text)
     assert [m.kind for m in offer.media] == ["audio", "video"] and offer.ufrag == "v1"
     assert parse_sdp(text.replace("\r\n", "\n")).ufrag == "v1"
     assert parse_sdp(text.replace("t=0 0\r\n", "t=0 0\r\nb=TIAS:8000000\r\n")).max_kb() == 1000
-    for spoilt, reason in (
+    for broken, reason in (
         ("", "line 1: expected v=0 as the first line"),
         (text.replace("s=-", "nonsense"), "line 3: expected a line of the form x=value, got 'nonsense'"),
         (text.replace("s=-\r\n", "\r\n"), "line 3: empty line"),
@@ -169,7 +171,7 @@
         ("v=0\n" + "a=x\n" * 3000, "more than 2000 lines"),
     ):
         with pytest.raises(BadSdp) as wrong:
-            parse_sdp(spoilt)
+            parse_sdp(broken)
         assert reason in str(wrong.value)
     with pytest.raises(BadSdp, match="line 2"):
         parse_fragment("a=ice-ufrag:x\nv=0\n")
@@ -177,71 +179,79 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.text("vostmab=:- 0\r\nice-ufragpwd", max_size=200))
-def test_any_text_is_read_or_refused_with_a_line(text: str) -> None:
-    for spoilt in (text, offer_of(1).decode() + text, "v=0\r\n" + text):
+def test_any_text_is_parsed_or_refused_with_a_line(text: str) -> None:
+    for broken in (text, offer_of(1).decode() + text, "v=0\r\n" + text):
         try:
-            parse_sdp(spoilt)
+            parse_sdp(broken)
         except BadSdp as wrong:
-            assert 1 <= wrong.line <= spoilt.count("\n") + 1
+            assert 1 <= wrong.line <= broken.count("\n") + 1
 
 
-# ---- watch, roll, peers ------------------------------------------------------------------------------------
+# ---- host monitor, host list, peer codec -------------------------------------------------------------------
 
 
-def decisions(watch: HostMonitor, now: float) -> list[Any]:
+def decisions(monitor: HostMonitor, now: float) -> list[Any]:
     out = []
-    while (decision := watch.decide(now)) is not None:
+    while (decision := monitor.decide(now)) is not None:
         out.append(decision)
     return out
 
 
-def test_a_host_is_lost_when_it_refuses_is_another_process_is_silent_or_gone() -> None:
-    watch = HostMonitor(random.Random(1))
-    watch.on_host_listed(0.0, "h", False)
-    assert decisions(watch, 0.0) == [Follow("h")]
-    watch.on_stream_opened(0.1, "h", "a")
-    watch.on_stream_ended(1.0, "h", refused=False)
-    assert decisions(watch, 1.0) == []
-    assert decisions(watch, 1.3) == [Follow("h")]
-    watch.on_stream_opened(1.4, "h", "a")
-    assert decisions(watch, 1.4) == [], "the same process: nothing is lost"
-    watch.on_stream_ended(2.0, "h", refused=True)
-    watch.on_stream_ended(2.0, "h", refused=True)
-    assert decisions(watch, 2.0) == [HostLost("h")], "once"
-    assert decisions(watch, 3.0) == [Follow("h")]
-    watch.on_stream_opened(3.0, "h", "b")
-    assert decisions(watch, 3.0) == [], "its loss was told already"
-    watch.on_stream_opened(3.5, "h", "c")
-    assert decisions(watch, 3.5) == [HostLost("h")]
-    watch.on_activity(4.0, "h")
-    assert not watch.is_silent(4.0 + SILENCE_TIMEOUT_S, "h") and watch.is_silent(4.1 + SILENCE_TIMEOUT_S, "h")
-    watch.on_stream_ended(8.0, "h", refused=False)
-    assert HostLost("h") not in decisions(watch, 8.0)
-    assert HostLost("h") in decisions(watch, 4.1 + LOSS_TIMEOUT_S)
-    watch.on_host_listed(20.0, "h", True)
-    assert decisions(watch, 20.0) == [HostLost("h"), Unfollow("h")] and watch.wake_at() == float("inf")
+def test_a_host_is_lost_if_it_refuses_restarts_is_silent_or_is_removed_from_the_list() -> None:
+    monitor = HostMonitor(random.Random(1))
+    monitor.on_host_listed(0.0, "h", False)
+    assert decisions(monitor, 0.0) == [Follow("h")]
+    monitor.on_stream_opened(0.1, "h", "a")
+    monitor.on_stream_ended(1.0, "h", refused=False)
+    assert decisions(monitor, 1.0) == []
+    assert decisions(monitor, 1.3) == [Follow("h")]
+    monitor.on_stream_opened(1.4, "h", "a")
+    assert decisions(monitor, 1.4) == [], "the same process: nothing is lost"
+    monitor.on_stream_ended(2.0, "h", refused=True)
+    monitor.on_stream_ended(2.0, "h", refused=True)
+    assert decisions(monitor, 2.0) == [HostLost("h")], "reported once"
+    assert decisions(monitor, 3.0) == [Follow("h")]
+    monitor.on_stream_opened(3.0, "h", "b")
+    assert decisions(monitor, 3.0) == [], "the loss has been reported already"
+    monitor.on_stream_opened(3.5, "h", "c")
+    assert decisions(monitor, 3.5) == [HostLost("h")]
+    monitor.on_activity(4.0, "h")
+    assert not monitor.is_silent(4.0 + SILENCE_TIMEOUT_S, "h") and monitor.is_silent(
+        4.1 + SILENCE_TIMEOUT_S, "h"
+    )
+    monitor.on_stream_ended(8.0, "h", refused=False)
+    assert HostLost("h") not in decisions(monitor, 8.0)
+    assert HostLost("h") in decisions(monitor, 4.1 + LOSS_TIMEOUT_S)
+    monitor.on_host_listed(20.0, "h", True)
+    assert decisions(monitor, 20.0) == [HostLost("h"), Unfollow("h")] and monitor.wake_at() == float("inf")
 
 
 def line(host: str, state: str = "in_service") -> HostEntry:
     return HostEntry(host, "127.0.0.1:1", 0, 1.0, "std", "", state)
 
 
-def test_lists_out_of_order_or_with_gaps_are_never_guessed_at() -> None:
-    roll = HostList()
-    assert roll.apply_changes(HostListUpdate("e", 1, [line("a")])) is None, "a change before any list"
-    assert roll.apply_full_list(HostListUpdate("e", 5, [line("a"), line("b")]))
-    assert roll.apply_changes(HostListUpdate("e", 6, [line("b", "terminated")])) and set(roll.entries) == {
-        "a"
-    }
-    assert roll.apply_changes(HostListUpdate("e", 6, [line("b")])) == (), "one that came twice"
-    assert roll.apply_changes(HostListUpdate("e", 4, [line("c")])) == () and roll.stale_updates == 2
-    assert roll.apply_changes(HostListUpdate("e", 8, [line("c")])) is None, "a gap"
-    assert roll.apply_full_list(HostListUpdate("e", 3, [])) is None, "an older list"
-    assert roll.apply_changes(HostListUpdate("f", 9, [line("c")])) is None, "another life of the service"
-    assert roll.apply_full_list(HostListUpdate("f", 1, [line("c")])) and roll.snapshot().version == 1
+def test_host_list_updates_out_of_order_or_with_gaps_are_not_applied() -> None:
+    host_list = HostList()
+    assert host_list.apply_changes(HostListUpdate("e", 1, [line("a")])) is None, (
+        "a change before any complete list"
+    )
+    assert host_list.apply_full_list(HostListUpdate("e", 5, [line("a"), line("b")]))
+    assert host_list.apply_changes(HostListUpdate("e", 6, [line("b", "terminated")])) and set(
+        host_list.entries
+    ) == {"a"}
+    assert host_list.apply_changes(HostListUpdate("e", 6, [line("b")])) == (), "a duplicate"
+    assert host_list.apply_changes(HostListUpdate("e", 4, [line("c")])) == () and host_list.stale_updates == 2
+    assert host_list.apply_changes(HostListUpdate("e", 8, [line("c")])) is None, "a gap"
+    assert host_list.apply_full_list(HostListUpdate("e", 3, [])) is None, "an older list"
+    assert host_list.apply_changes(HostListUpdate("f", 9, [line("c")])) is None, (
+        "another epoch of the service"
+    )
+    assert (
+        host_list.apply_full_list(HostListUpdate("f", 1, [line("c")])) and host_list.snapshot().version == 1
+    )
 
 
-def test_datagrams_are_taken_once_from_who_has_the_key_and_only_fresh() -> None:
+def test_datagrams_are_accepted_once_with_the_right_key_and_only_while_fresh() -> None:
     key = bytes(range(32))
     a, b = PeerCodec([key], 0, 100), PeerCodec([key], 1, 100)
 
@@ -252,10 +262,10 @@
 
     frames = [a.frame(1000.0, 1, b"%d" % n) for n in range(80)]
     assert b.unframe(1000.0, frames[3]) == (0, b"3")
-    assert b.unframe(1000.0, frames[1]) == (0, b"1"), "overtaken, not lost"
+    assert b.unframe(1000.0, frames[1]) == (0, b"1"), "out of order, but new"
     assert refused(frames[3]) == refused(frames[1]) == "replayed"
     assert b.unframe(1000.0, frames[79])[1] == b"79"
-    assert refused(frames[2]) == "replayed", "too old for the window"
+    assert refused(frames[2]) == "replayed", "older than the reorder window"
     assert refused(frames[50], wall=1000.1 + MAX_CLOCK_DIFFERENCE_S) == "stale"
     assert refused(a.frame(1000.0, 2, b"x")) == "address"
     assert refused(frames[60][:-1] + bytes([frames[60][-1] ^ 1])) == "mac"
@@ -270,7 +280,7 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.binary(max_size=200), st.integers(0, 250), st.integers(0, 255))
-def test_no_bytes_make_a_peer_believe_them(data: bytes, at: int, flip: int) -> None:
+def test_forged_or_altered_datagrams_are_rejected(data: bytes, at: int, flip: int) -> None:
     key = bytes(range(32))
     b = PeerCodec([key], 1, 1)
     frame = bytearray(PeerCodec([key], 0, 1).frame(0.0, 1, b"words" * 20))
@@ -288,15 +298,15 @@
 def test_a_record_rotates_and_each_segment_replays_from_its_own_checkpoint(tmp_path: Path) -> None:
     from ledgehitch.gateway.mind import RecordedModule
 
-    mind = RecordedModule(make_gateway(), Recorder(tmp_path / "r", segment_bytes=20000, max_segments=3))
+    module = RecordedModule(make_gateway(), Recorder(tmp_path / "r", segment_bytes=20000, max_segments=3))
     for n in range(300):
-        mind.on_viewing_request(200 + n / 10, n, "plain", "t1", 0, 6, 3, 203 + n / 10)
-        list(mind.decisions(200 + n / 10))
-        mind.on_tune_in_success(200.05 + n / 10, n, "h0", 0, 0.05)
-        mind.on_report(200.05 + n / 10, n, "h0", 3, 0.5)
-        list(mind.decisions(200.05 + n / 10))
-    assert mind.recorder is not None
-    mind.recorder.close()
+        module.on_viewing_request(200 + n / 10, n, "plain", "t1", 0, 6, 3, 203 + n / 10)
+        list(module.decisions(200 + n / 10))
+        module.on_tune_in_success(200.05 + n / 10, n, "h0", 0, 0.05)
+        module.on_report(200.05 + n / 10, n, "h0", 3, 0.5)
+        list(module.decisions(200.05 + n / 10))
+    assert module.recorder is not None
+    module.recorder.close()
     kept = segment_paths(tmp_path / "r")
     assert len(kept) == 3 and not kept[0].name.endswith("000001")
     verdict = replay_record(tmp_path / "r")
@@ -307,7 +317,7 @@
         list(read_entries(cut))
 
 
-def test_a_record_from_elsewhere_runs_nothing() -> None:
+def test_an_untrusted_record_cannot_execute_code() -> None:
     import pickle
 
     class Evil:
@@ -328,7 +338,7 @@
 # ---- sites and days ----------------------------------------------------------------------------------------
 
 
-def test_a_site_that_contradicts_itself_is_refused_with_its_place(tmp_path: Path) -> None:
+def test_an_inconsistent_site_is_refused_with_the_location_of_the_error(tmp_path: Path) -> None:
     good = msgspec.to_builtins(site())
     path = tmp_path / "site.json"
 
@@ -369,7 +379,7 @@
     check(site(), "again")
 
 
-def test_a_day_that_makes_no_sense_is_refused_with_its_place(tmp_path: Path) -> None:
+def test_an_invalid_day_is_refused_with_the_location_of_the_error(tmp_path: Path) -> None:
     day: dict[str, Any] = {"name": "d", "length": 10, "arrivals": {"rate": 1, "mix": [{"package": "p"}]}}
     path = tmp_path / "day.json"
     for fault, reason in (
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -1,4 +1,4 @@
-"""The checker of the rules: seen to fail on tapes made to break each, and on gateways without its gate."""
+"""The rule checker: finds each breach on synthetic tapes, and on real gateways with one safeguard removed."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -49,7 +49,7 @@
     return sorted(lines, key=lambda x: x["t"])
 
 
-def test_time_in_which_a_gateway_stands_still_is_not_counted() -> None:
+def test_time_in_which_a_gateway_is_stopped_is_not_counted() -> None:
     still = (10.5, "gateway", {"gateway": "g0", "how": "still"})
     goes_on = (16.0, "gateway", {"gateway": "g0", "how": "goes_on"})
 
@@ -193,14 +193,12 @@
 ]
 
 
-def test_a_tape_that_keeps_the_rules_is_found_to() -> None:
+def test_a_tape_that_keeps_the_rules_has_no_breach() -> None:
     assert check_rules(tape(*GOOD), F) == []
 
 
 @pytest.mark.parametrize(("rule", "what", "events"), BROKEN)
-def test_a_tape_made_to_break_a_rule_is_found_out_with_its_lines(
-    rule: int, what: str, events: list[Any]
-) -> None:
+def test_a_breach_is_found_with_the_lines_that_show_it(rule: int, what: str, events: list[Any]) -> None:
     figures = replace(F, extra_free=1.0, extra_ratio=0.5, extra_window=4.0) if rule == 6 else F
     breaches = [b for b in check_rules(tape(*events), figures) if b.rule == rule]
     assert breaches and what in breaches[0].message, breaches
@@ -208,7 +206,7 @@
     assert len(breaches[0].times) == len(breaches[0].lines) and "rule" in breaches[0].describe()
 
 
-def test_seats_are_free_again_with_an_end() -> None:
+def test_an_end_frees_a_seat() -> None:
     events = []
     for n in range(4):
         events += [
@@ -219,7 +217,7 @@
     assert check_rules(tape(*events), F) == []
 
 
-def test_tapes_are_read_in_the_order_of_time_and_up_to_a_cut(tmp_path: Path) -> None:
+def test_tapes_are_merged_by_time_and_incomplete_lines_are_skipped(tmp_path: Path) -> None:
     one, two = Tape(tmp_path / "a.tape"), Tape(tmp_path / "b.tape")
     two.write("first", n=1)
     one.write("second", n=2)
@@ -232,11 +230,11 @@
     assert check_tapes(tmp_path, F) == ([], {"first": 1, "second": 1})
 
 
-# ---- gateways with a gate taken out, on real sockets -------------------------------------------------------
+# ---- gateways with a safeguard removed, on real sockets ----------------------------------------------------
 
 
-class Taped:
-    """Writes a tape of one rig's wire: the test is the viewer, its hosts note what comes."""
+class TapedRig:
+    """Writes the tape of one rig: the test acts as the viewer, and the hosts trace what arrives."""
 
     def __init__(self, directory: Path) -> None:
         self.directory, self.tape, self.ids, self.conn = directory, Tape(directory / "x.tape"), 0, 0
@@ -300,156 +298,157 @@
         return check_tapes(self.directory, rule_parameters(rig.site))[0]
 
 
-def test_without_the_desk_s_answers_rule_1_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rule_1_breaks_without_the_registrys_answers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     real = ViewingRegistry.decide
 
-    def mute(desk: ViewingRegistry, now: float) -> Any:
-        decision = real(desk, now)
-        return real(desk, now) if isinstance(decision, Answer) else decision
+    def mute(registry: ViewingRegistry, now: float) -> Any:
+        decision = real(registry, now)
+        return real(registry, now) if isinstance(decision, Answer) else decision
 
     monkeypatch.setattr(ViewingRegistry, "decide", mute)
     monkeypatch.setattr("ledgehitch.gateway.front.ANSWER_GRACE_S", 30.0)
-    taped = Taped(tmp_path)
+    taped_rig = TapedRig(tmp_path)
     rig = Rig(
-        {"*": taped.host(Host.plays)}, packages=[{"name": "recorded", "join_target": 0.1, "patience": 0.3}]
+        {"*": taped_rig.host(Host.plays)},
+        packages=[{"name": "recorded", "join_target": 0.1, "patience": 0.3}],
     )
-    rig.run(lambda rig: taped.offer(rig, 1, 0.3))
-    assert {b.rule for b in taped.breaches(rig)} == {1}
+    rig.run(lambda rig: taped_rig.offer(rig, 1, 0.3))
+    assert {b.rule for b in taped_rig.breaches(rig)} == {1}
 
 
-def test_without_the_gates_of_module_and_host_rule_2_breaks(
+def test_rule_2_breaks_without_the_checks_of_module_and_send_guard(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(SendGuard, "check_send", lambda *args: None)
     monkeypatch.setattr(Gateway, "_may_set_up_at", lambda *args: True)
-    taped = Taped(tmp_path)
+    taped_rig = TapedRig(tmp_path)
 
     def act(host: Host, request: Request) -> Response:
         return Response(500) if len(host.rig.set_ups) == 1 else host.plays(request)
 
     rig = Rig(
-        {"*": taped.host(act)},
+        {"*": taped_rig.host(act)},
         packages=[{"name": "recorded", "join_target": 0.8, "patience": 3, "effect": "once"}],
     )
 
     def day(rig: Rig) -> None:
-        # The module sends what is paid for once more when its own gate is out; ours stops it when it is in.
-        taped.offer(rig, 1)
+        # Without its own check, the module sends a paid-for set-up again; only the send guard would stop it.
+        taped_rig.offer(rig, 1)
 
     rig.run(day)
-    assert {b.rule for b in taped.breaches(rig)} == {2}
+    assert {b.rule for b in taped_rig.breaches(rig)} == {2}
 
 
-def test_our_gate_alone_stops_a_second_set_up_of_what_is_paid_for(
+def test_the_send_guard_alone_stops_a_second_paid_set_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(Gateway, "_may_set_up_at", lambda *args: True)
-    taped = Taped(tmp_path)
+    taped_rig = TapedRig(tmp_path)
     packages = [{"name": "recorded", "join_target": 0.8, "patience": 3, "effect": "once"}]
-    rig = Rig({"*": taped.host(lambda host, request: Response(500))}, packages=packages)
+    rig = Rig({"*": taped_rig.host(lambda host, request: Response(500))}, packages=packages)
 
     def day(rig: Rig) -> None:
-        taped.offer(rig, 1)
+        taped_rig.offer(rig, 1)
         assert rig.counts().stopped_at_gate > 0 and len(rig.set_ups) == 1
 
     rig.run(day)
-    assert taped.breaches(rig) == []
+    assert taped_rig.breaches(rig) == []
 
 
-def test_without_the_news_of_drains_rule_3_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    listed = Gateway.on_host_list
+def test_rule_3_breaks_without_the_listing_of_drains(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    on_host_list = Gateway.on_host_list
     monkeypatch.setattr(
         Gateway,
         "on_host_list",
-        lambda gw, now, how, rows: listed(gw, now, how, [r for r in rows if r.state == "in_service"]),
+        lambda gw, now, how, rows: on_host_list(gw, now, how, [r for r in rows if r.state == "in_service"]),
     )
     monkeypatch.setattr(
         SendGuard, "on_host_state", lambda gate, now, host, up: gate.hosts.setdefault(host, None)
     )
-    taped = Taped(tmp_path)
-    rig = Rig({"*": taped.host(Host.plays)}, terms={"drain_grace": 0.1})
+    taped_rig = TapedRig(tmp_path)
+    rig = Rig({"*": taped_rig.host(Host.plays)}, terms={"drain_grace": 0.1})
 
     def day(rig: Rig) -> None:
-        rig.lists.tape = taped.tape
+        rig.lists.tape = taped_rig.tape
         for name in ("h0", "h1", "h2"):
             rig.listed(name, "terminating")
         rig.loop.sleep(0.4)
-        taped.offer(rig, 1)
+        taped_rig.offer(rig, 1)
 
     rig.run(day)
-    assert {b.rule for b in taped.breaches(rig)} == {3}
+    assert {b.rule for b in taped_rig.breaches(rig)} == {3}
 
 
-def test_without_the_pace_of_cold_hosts_rule_4_breaks(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_rule_4_breaks_without_pacing_of_cold_hosts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Gateway, "_cold_budget_spent", lambda *args: False)
-    taped = Taped(tmp_path)
+    taped_rig = TapedRig(tmp_path)
     rig = Rig(
-        {"*": taped.host(Host.plays)},
+        {"*": taped_rig.host(Host.plays)},
         hosts=1,
         terms={"warm_up": 60.0, "cold_share": 0.1},
         fleet={"slots": {"std": 10}},
     )
 
     def day(rig: Rig) -> None:
-        taped.tape.write("started", host="h0", slots=10)
+        taped_rig.tape.write("started", host="h0", slots=10)
         for n in range(8):
-            taped.offer(rig, n)
+            taped_rig.offer(rig, n)
 
     rig.run(day)
-    assert {b.rule for b in taped.breaches(rig)} == {4}
+    assert {b.rule for b in taped_rig.breaches(rig)} == {4}
 
 
-def test_without_floors_and_seats_rule_5_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    taped = Taped(tmp_path)
+def test_rule_5_breaks_without_floors_and_seats(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    taped_rig = TapedRig(tmp_path)
     monkeypatch.setattr(Gateway, "_has_seat_and_budget", lambda *args: True)
     monkeypatch.setattr(Gateway, "_highest_fitting_rung", lambda *args: 0)
     package = {"name": "recorded", "join_target": 0.8, "patience": 3, "floor": 1, "seats": 2}
-    rig = Rig({"*": taped.host(Host.plays)}, packages=[package])
+    rig = Rig({"*": taped_rig.host(Host.plays)}, packages=[package])
 
     def day(rig: Rig) -> None:
         for n in range(3):
-            taped.offer(rig, n)
+            taped_rig.offer(rig, n)
 
     rig.run(day)
-    found = taped.breaches(rig)
+    found = taped_rig.breaches(rig)
     assert {b.rule for b in found} == {5}
     assert any("floor" in b.message for b in found) and any("seats" in b.message for b in found)
 
 
-def test_without_the_budget_rule_6_breaks(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rule_6_breaks_without_the_budget_of_extra_tune_ins(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(Gateway, "_has_seat_and_budget", lambda *args: True)
-    taped = Taped(tmp_path)
+    taped_rig = TapedRig(tmp_path)
     rig = Rig(
-        {"*": taped.host(lambda host, request: Response(500))},
+        {"*": taped_rig.host(lambda host, request: Response(500))},
         terms={"extra_free": 1.0, "extra_ratio": 0.0, "extra_window": 30.0},
     )
 
     def day(rig: Rig) -> None:
         for n in range(2):
-            taped.offer(rig, n)
+            taped_rig.offer(rig, n)
 
     rig.run(day)
-    assert {b.rule for b in taped.breaches(rig)} == {6}
+    assert {b.rule for b in taped_rig.breaches(rig)} == {6}
 
 
-def test_with_all_gates_in_the_same_days_break_nothing(tmp_path: Path) -> None:
-    taped = Taped(tmp_path)
+def test_the_same_days_break_no_rule_with_all_safeguards(tmp_path: Path) -> None:
+    taped_rig = TapedRig(tmp_path)
     rig = Rig(
-        {"*": taped.host(lambda host, request: Response(500))},
+        {"*": taped_rig.host(lambda host, request: Response(500))},
         packages=[{"name": "recorded", "join_target": 0.8, "patience": 3, "floor": 1, "seats": 2}],
         terms={"extra_free": 1.0, "extra_ratio": 0.0, "extra_window": 30.0, "drain_grace": 0.1},
     )
 
     def day(rig: Rig) -> None:
-        rig.lists.tape = taped.tape
-        taped.offer(rig, 1)
-        taped.offer(rig, 2)
+        rig.lists.tape = taped_rig.tape
+        taped_rig.offer(rig, 1)
+        taped_rig.offer(rig, 2)
         rig.listed("h0", "terminating")
         rig.loop.sleep(0.4)
-        taped.offer(rig, 3)
+        taped_rig.offer(rig, 3)
         assert len(rig.set_ups) >= 3
 
     rig.run(day)
-    assert taped.breaches(rig) == []
+    assert taped_rig.breaches(rig) == []
