--- a/ledgehitch/daemon/life.py
+++ b/ledgehitch/daemon/life.py
@@ -24,12 +24,12 @@
 
 
 @dataclass(frozen=True)
-class EndAll:
+class EndAllViewings:
     """Tell all that plays here its end."""
 
 
 @dataclass(frozen=True)
-class Leave:
+class AnnounceLeave:
     """Tell the other gateways that this one leaves: for good, or to be back soon."""
 
     back_soon: bool
@@ -40,22 +40,22 @@
     """The process is over: end with this code, or run anew in its place."""
 
     code: int
-    again: bool = False
+    restart: bool = False
 
 
 @dataclass(frozen=True)
-class Prove:
-    """Find out whether the program that is to run in this one's place starts at all; tell `proven`."""
+class CheckStart:
+    """Check that the program to be executed next starts; answer with `on_start_check`."""
 
 
 @dataclass(frozen=True)
-class Say:
+class NotifySupervisor:
     """Tell the supervisor (`sd_notify`)."""
 
     text: str
 
 
-Decision = Admit | EndAll | Leave | Exit | Prove | Say
+Decision = Admit | EndAllViewings | AnnounceLeave | Exit | CheckStart | NotifySupervisor
 
 
 class Life:
@@ -64,7 +64,7 @@
         self.since = now
         self.then: Then = "stay"
         self.why = ""  # who asked for the drain, in words: a ticket of the fleet tool or a signal
-        self.limit = math.inf  # when what still plays is told its end
+        self.drain_deadline = math.inf  # when what still plays is told its end
         self._patience = longest_patience
         self._over_by = math.inf
         self._held = 0
@@ -73,13 +73,13 @@
 
     # ---- what happens --------------------------------------------------------------------------------------
 
-    def serves(self, now: float) -> None:
+    def on_serving(self, now: float) -> None:
         """The socket listens and the list has been read, or its last copy."""
         if self.phase == "starting":
             self._enter(now, "ready")
-            self._due += [Admit(True), Say("READY=1\nSTATUS=serves")]
+            self._due += [Admit(True), NotifySupervisor("READY=1\nSTATUS=serves")]
 
-    def held(self, now: float, viewings: int) -> None:
+    def on_viewing_count(self, now: float, viewings: int) -> None:
         """How many viewings are here: playing, or owed an answer."""
         self._held = viewings
 
@@ -95,19 +95,19 @@
             return False
         if self.phase in ("draining", "drained"):
             stronger = RANK[then] > RANK[self.then]
-            if not stronger and now + within >= self.limit:
+            if not stronger and now + within >= self.drain_deadline:
                 return False
             self.then = then if stronger else self.then
             self.why = why if stronger else self.why
-            self.limit = min(self.limit, now + within)
+            self.drain_deadline = min(self.drain_deadline, now + within)
             if self.phase == "drained":
                 self._enter(now, "draining")
         else:
-            self.then, self.why, self.limit = then, why, now + within
+            self.then, self.why, self.drain_deadline = then, why, now + within
             self._enter(now, "draining")
-            self._due += [Admit(False), Say(f"STATUS=drains: {why}")]
+            self._due += [Admit(False), NotifySupervisor(f"STATUS=drains: {why}")]
         if self.then != "stay":
-            self._due.append(Say("STOPPING=1"))
+            self._due.append(NotifySupervisor("STOPPING=1"))
         self._look_at = now
         return True
 
@@ -115,13 +115,13 @@
         """Takes viewings again, unless it is ending what plays or is to stop."""
         if self.phase not in ("draining", "drained") or self.then != "stay":
             return False
-        self.limit, self.why = math.inf, ""
+        self.drain_deadline, self.why = math.inf, ""
         self._enter(now, "ready")
         self._look_at = math.inf
-        self._due += [Admit(True), Say("STATUS=serves")]
+        self._due += [Admit(True), NotifySupervisor("STATUS=serves")]
         return True
 
-    def proven(self, now: float, good: bool, why: str = "") -> None:
+    def on_start_check(self, now: float, good: bool, why: str = "") -> None:
         """Whether the new program starts. Guards against a restart into a broken release: the old one carries
         on, and says why."""
         if self.phase != "drained" or self.then != "restart":
@@ -129,9 +129,9 @@
         if good:
             self._end(now, proven=True)
             return
-        self.then, self.limit, self.why = "stay", math.inf, why
+        self.then, self.drain_deadline, self.why = "stay", math.inf, why
         self._enter(now, "ready")
-        self._due += [Admit(True), Say(f"READY=1\nSTATUS=serves, {why}")]
+        self._due += [Admit(True), NotifySupervisor(f"READY=1\nSTATUS=serves, {why}")]
 
     # ---- what is decided -----------------------------------------------------------------------------------
 
@@ -145,13 +145,13 @@
 
     def _look(self, now: float) -> None:
         self._look_at = now + AGAIN
-        if self.phase == "draining" and (self._held == 0 or now >= self.limit):
+        if self.phase == "draining" and (self._held == 0 or now >= self.drain_deadline):
             if self._held:
                 self._enter(now, "ending")
                 self._over_by = now + self._patience + ENDING
             elif self.then == "stay":
                 self._enter(now, "drained")
-                self._due.append(Say("STATUS=drained"))
+                self._due.append(NotifySupervisor("STATUS=drained"))
             else:
                 self._end(now)
                 return
@@ -159,10 +159,10 @@
             # Guards against a viewing that was owed its answer when the limit passed: it may have begun to
             # play since, so all are told again until none is left.
             if self._held and now < self._over_by:
-                self._due.append(EndAll())
+                self._due.append(EndAllViewings())
             elif self.then == "stay":
                 self._enter(now, "drained")
-                self._due.append(Say("STATUS=drained"))
+                self._due.append(NotifySupervisor("STATUS=drained"))
             else:
                 self._end(now)
         if self.phase == "drained":
@@ -173,11 +173,11 @@
         if again and not proven:
             self._enter(now, "drained")
             self._look_at = math.inf
-            self._due.append(Prove())
+            self._due.append(CheckStart())
             return
         self._enter(now, "over")
         self._look_at = math.inf
-        self._due += [Leave(back_soon=self.then != "leave"), Exit(0, again)]
+        self._due += [AnnounceLeave(back_soon=self.then != "leave"), Exit(0, again)]
 
     def wake_at(self) -> float | None:
         if self._due:
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -16,7 +16,15 @@
 from ledgehitch.config.site import lends
 from ledgehitch.daemon.admin import Admin
 from ledgehitch.daemon.budgeting import Budgeting
-from ledgehitch.daemon.life import Admit, EndAll, Exit, Leave, Life, Prove, Say
+from ledgehitch.daemon.life import (
+    Admit,
+    AnnounceLeave,
+    CheckStart,
+    EndAllViewings,
+    Exit,
+    Life,
+    NotifySupervisor,
+)
 from ledgehitch.daemon.logfile import LogFile
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.daemon.owning import Owning, Work
@@ -96,7 +104,7 @@
             log.warning("the last life was not ended in order", pid=self.place.stale)
         self.loop.spawn(self._signs, watchdog, name="signs of life")
         self._wait_for_list()
-        self.life.serves(time.monotonic())
+        self.life.on_serving(time.monotonic())
         self.stir()
         print_ready(str(self.running.server.at))
         log.info(
@@ -118,13 +126,13 @@
             self.budgeting.close()
         if self.owning is not None:
             self.owning.close()
-        if exit_as.again:
+        if exit_as.restart:
             self._note_carried()
         if self.membership is not None:
             self.membership.close()
         self.place.let_go()
         restore()
-        log.info("is over", again=exit_as.again, why=self.life.why)
+        log.info("is over", again=exit_as.restart, why=self.life.why)
         return exit_as
 
     def _note_carried(self) -> None:
@@ -235,28 +243,28 @@
         why = "" if code == 0 else f"the program that is installed does not start (exit code {code})"
         if why:
             log.error("not restarted, this life goes on", why=why)
-        self.life.proven(time.monotonic(), code == 0, why)
+        self.life.on_start_check(time.monotonic(), code == 0, why)
         self.stir()
 
     # ---- the life ------------------------------------------------------------------------------------------
 
     def _pull(self) -> float | None:
         now = time.monotonic()
-        self.life.held(now, len(self.running.executor.viewings))
+        self.life.on_viewing_count(now, len(self.running.executor.viewings))
         while (decision := self.life.decide(now)) is not None:
             match decision:
                 case Admit(open):
                     self.running.set_draining(not open)
                     if not open and self.owning is not None:
                         self.owning.resign()  # before it is gone: a successor is named
-                case EndAll():
+                case EndAllViewings():
                     log.info("ends what still plays", viewings=len(self.running.executor.viewings))
                     self.running.executor.end_all()
-                case Leave(back_soon):
+                case AnnounceLeave(back_soon):
                     self.on_leave(back_soon)
-                case Prove():
+                case CheckStart():
                     self.loop.spawn(self._prove, name="prove", owner=self.home)
-                case Say(text):
+                case NotifySupervisor(text):
                     self.supervisor.say(text)
                 case Exit() as exit_as:
                     self.over.set(exit_as)
@@ -301,7 +309,7 @@
     except OSError as problem:
         print(f"ledgehitch: {name}: {problem}", file=sys.stderr)
         return 2
-    if exit_as.again:
+    if exit_as.restart:
         os.environ[TICKET] = ticket
         sys.stdout.flush()
         os.execv(sys.executable, [sys.executable, *_own_words()])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,7 +24,16 @@
 from ledgehitch.config import BadInput
 from ledgehitch.daemon.admin import Admin
 from ledgehitch.daemon.facts import VERSION, Counts, HostSeen, PlanCall, PlanWords, Role, State
-from ledgehitch.daemon.life import Admit, EndAll, Exit, Leave, Life, Prove, Say, Then
+from ledgehitch.daemon.life import (
+    Admit,
+    AnnounceLeave,
+    CheckStart,
+    EndAllViewings,
+    Exit,
+    Life,
+    NotifySupervisor,
+    Then,
+)
 from ledgehitch.daemon.logfile import LogFile
 from ledgehitch.daemon.place import Place, holder
 from ledgehitch.daemon.plans import Plans
@@ -66,52 +75,52 @@
 
 def test_a_drain_waits_for_what_plays_and_ends_the_rest_at_its_limit() -> None:
     life = Life(T, 3.0)
-    life.serves(T)
-    assert pulled(life, T) == [Admit(True), Say("READY=1\nSTATUS=serves")]
-    life.held(T, 5)
+    life.on_serving(T)
+    assert pulled(life, T) == [Admit(True), NotifySupervisor("READY=1\nSTATUS=serves")]
+    life.on_viewing_count(T, 5)
     assert life.drain(T, 10.0, "restart", "plan-1/g0") and life.phase == "draining"
     assert pulled(life, T)[:1] == [Admit(False)] and pulled(life, T + 9.9) == []
-    assert pulled(life, T + 10.0) == [EndAll()] and str(life.phase) == "ending"
-    life.held(T + 10.05, 1)  # it was owed its answer when the limit passed
-    assert pulled(life, T + 10.2) == [EndAll()]
-    life.held(T + 10.3, 0)
-    assert pulled(life, T + 10.4) == [Prove()] and str(life.phase) == "drained"
-    life.proven(T + 11, True)
-    assert pulled(life, T + 11) == [Leave(True), Exit(0, True)] and str(life.phase) == "over"
+    assert pulled(life, T + 10.0) == [EndAllViewings()] and str(life.phase) == "ending"
+    life.on_viewing_count(T + 10.05, 1)  # it was owed its answer when the limit passed
+    assert pulled(life, T + 10.2) == [EndAllViewings()]
+    life.on_viewing_count(T + 10.3, 0)
+    assert pulled(life, T + 10.4) == [CheckStart()] and str(life.phase) == "drained"
+    life.on_start_check(T + 11, True)
+    assert pulled(life, T + 11) == [AnnounceLeave(True), Exit(0, True)] and str(life.phase) == "over"
     assert not life.drain(T + 11, 0.0, "stop", "late") and pulled(life, T + 20) == []
 
 
 def test_a_drain_is_never_weakened_and_only_one_that_stays_is_taken_back() -> None:
     life = Life(T, 3.0)
-    life.serves(T)
-    life.held(T, 1)
+    life.on_serving(T)
+    life.on_viewing_count(T, 1)
     assert life.drain(T, 100.0, "stay", "an operator")
     assert not life.drain(T, 200.0, "stay", "another"), "longer changes nothing"
-    assert life.drain(T, 50.0, "stay", "shorter") and life.limit == T + 50.0
+    assert life.drain(T, 50.0, "stay", "shorter") and life.drain_deadline == T + 50.0
     assert life.undrain(T + 1) and life.phase == "ready" and pulled(life, T + 1)[-2:][0] == Admit(True)
     assert life.drain(T + 2, 9.0, "stop", "SIGTERM") and not life.undrain(T + 3)
     assert not life.drain(T + 3, 90.0, "restart", "weaker") and life.then == "stop"
     assert life.drain(T + 4, 0.0, "stop", "SIGTERM again"), "a second one hurries"
-    assert EndAll() in pulled(life, T + 4)
+    assert EndAllViewings() in pulled(life, T + 4)
     assert Exit(0, False) in pulled(life, T + 4 + 3.0 + 1.1), "one that never ends does not hold it for good"
 
 
 def test_a_life_whose_successor_does_not_start_goes_on() -> None:
     life = Life(T, 3.0)
-    life.serves(T)
+    life.on_serving(T)
     life.drain(T, 0.0, "restart", "p/g0")
-    assert Prove() in pulled(life, T)
-    life.proven(T + 1, False, "it does not start")
+    assert CheckStart() in pulled(life, T)
+    life.on_start_check(T + 1, False, "it does not start")
     assert Admit(True) in pulled(life, T + 1) and life.phase == "ready" and life.why == "it does not start"
-    assert life.drain(T + 2, 0.0, "restart", "again") and Prove() in pulled(life, T + 2)
+    assert life.drain(T + 2, 0.0, "restart", "again") and CheckStart() in pulled(life, T + 2)
     assert life.drain(T + 3, 0.0, "stop", "SIGTERM") and Exit(0, False) in pulled(life, T + 3)
-    life.proven(T + 4, True)
+    life.on_start_check(T + 4, True)
     assert pulled(life, T + 4) == [], "it was told to stop meanwhile"
 
 
 def test_a_drained_gateway_stays_and_takes_viewings_again() -> None:
     life = Life(T, 3.0)
-    life.serves(T)
+    life.on_serving(T)
     life.drain(T, 5.0, "stay", "x")
     pulled(life, T)
     assert life.phase == "drained" and life.wake_at() is None
@@ -127,7 +136,7 @@
         now += chance.choice([0.0, 0.05, 1.0, 4.0])
         match chance.randrange(7):
             case 0:
-                life.serves(now)
+                life.on_serving(now)
             case 1:
                 then = chance.choice(THENS)
                 life.drain(now, chance.choice([0.0, 2.0, 60.0]), then, "w")
@@ -135,7 +144,7 @@
                 life.undrain(now)
             case _:
                 held = max(0, held + chance.choice([-2, -1, 1]) if admits else held - chance.randrange(2))
-                life.held(now, held)
+                life.on_viewing_count(now, held)
         while (decision := life.decide(now)) is not None:
             assert over == 0, "nothing after the end"
             match decision:
@@ -144,10 +153,10 @@
                 case Exit():
                     over += 1
                     assert not admits
-                case EndAll():
+                case EndAllViewings():
                     assert life.phase == "ending" and held
-                case Prove() if chance.random() < 0.8:
-                    life.proven(now, chance.random() < 0.5, "x")
+                case CheckStart() if chance.random() < 0.8:
+                    life.on_start_check(now, chance.random() < 0.5, "x")
         assert admits == (life.phase == "ready")
 
 
@@ -1064,7 +1073,7 @@
                 return why.status, why.detail
             return answer.status, answer.body.decode()
 
-        life.serves(time.monotonic())
+        life.on_serving(time.monotonic())
         assert call("GET", "/v1/state")[0] == 200 and call("GET", "/v1/hosts", role="look")[0] == 200
         limits = json.loads(call("GET", "/v1/limits")[1])
         assert limits["door"] is None and limits["terms"]["tune_ins"] == 3
