--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -18,13 +18,22 @@
 from ledgehitch.gateway.reports import KeyFileVerifier, ReportService, TokenIssuer
 from ledgehitch.http import Response
 from ledgehitch.loop import Loop, connect, endpoint
-from ledgehitch.quality.facts import Report, Seen, reports_in
-from ledgehitch.quality.judge import CLEARED, Judge, look
-from ledgehitch.quality.keep import Keep
-from ledgehitch.quality.limits import BURST, Limits
-from ledgehitch.quality.page import page
-from ledgehitch.quality.passes import OVERLAP, VALID, BadPass, Passes
-from ledgehitch.quality.tally import ALLOWANCE, MOST_VIEWINGS, OTHERS, WINDOW, Cell, Side, Tally, Window
+from ledgehitch.quality.facts import Report, ViewingRecord, parse_reports
+from ledgehitch.quality.judge import CLEARED, VerdictTracker, evaluate
+from ledgehitch.quality.keep import SnapshotStore
+from ledgehitch.quality.limits import BURST, ReportRateLimit
+from ledgehitch.quality.page import render_page
+from ledgehitch.quality.passes import KEY_OVERLAP_S, TOKEN_LIFETIME_S, InvalidToken, ReportTokens
+from ledgehitch.quality.tally import (
+    MAX_DELAY_S,
+    MAX_VIEWINGS,
+    OTHERS,
+    WINDOW_S,
+    Cell,
+    GroupCounts,
+    Tally,
+    Window,
+)
 from ledgehitch.rehearsal.play import rehearse
 from tests.rig import Rig, answer, request
 
@@ -34,7 +43,7 @@
 def tally(source: str = "g0", life: int = 1) -> Tally:
     t = Tally(source, life)
     for n in range(4):
-        t.admitted(f"v{n}", Seen(f"r{n % 2}", f"t{n}", T - 0.1, T, package=f"p{n % 3}"))
+        t.on_viewing_admitted(f"v{n}", ViewingRecord(f"r{n % 2}", f"t{n}", T - 0.1, T, package=f"p{n % 3}"))
     return t
 
 
@@ -43,11 +52,11 @@
 
 
 def plain(t: Tally) -> Any:
-    return msgspec.to_builtins([t.total(0, 10**9), t.groups(0, 10**9)])
+    return msgspec.to_builtins([t.totals(0, 10**9), t.groups(0, 10**9)])
 
 
 def test_a_batch_counts_its_good_reports_and_names_the_bad_ones() -> None:
-    good, bad = reports_in(
+    good, bad = parse_reports(
         b'[{"sn":0,"ts":1,"msd":300},{"sn":-1,"ts":1},{"sn":2,"ts":1,"bsd":[-4]},{"ts":1},7]'
     )
     assert good == [Report(sn=0, ts=1, msd=300)]
@@ -59,20 +68,20 @@
     ]
     for body in (b"{}", b"nonsense", b"[" + b'{"sn":0,"ts":1},' * 300 + b'{"sn":0,"ts":1}]'):
         with pytest.raises(ValueError, match="batch"):
-            reports_in(body)
+            parse_reports(body)
 
 
 def test_double_and_delayed_reports_change_no_count() -> None:
     once, often = tally(), tally()
     sent = [(f"v{n % 4}", report(n // 4, T + 2 * n, bsd=[500] if n % 4 == 1 else [])) for n in range(40)]
     for n, (viewing, one) in enumerate(sent):
-        once.reported(T + 2 * n + 0.05, viewing, one)
+        once.on_report(T + 2 * n + 0.05, viewing, one)
     chance = random.Random(1)
     for n, (viewing, one) in enumerate(sent):
-        often.reported(T + 2 * n + 0.05, viewing, one)
+        often.on_report(T + 2 * n + 0.05, viewing, one)
         for _ in range(10):
             again = chance.randrange(max(0, n - 12), n + 1)
-            often.reported(T + 2 * n + 0.06, *sent[again])
+            often.on_report(T + 2 * n + 0.06, *sent[again])
     assert plain(often) == plain(once) and often.counts.doubles == 400
     assert once.counts.taken == 40 and once.counts.marked == {}
 
@@ -81,11 +90,11 @@
     None
 ):
     t = tally()
-    t.reported(T + 1.0, "v0", report(0, T + 1.0))
-    assert t.reported(T + 1.0 + ALLOWANCE, "v0", report(1, T + 2.0, bsd=[900])) == "taken"
-    assert t.windows[int(T // WINDOW)].cells["r0\tt0"].stalled == 1, "in the window in which it was made"
-    assert t.reported(T + 50, "v0", report(2, T + 3.0, bsd=[900])) == "late"
-    assert t.counts.late == 1 and t.reported(T, "nobody", report(0, T)) == "unknown"
+    t.on_report(T + 1.0, "v0", report(0, T + 1.0))
+    assert t.on_report(T + 1.0 + MAX_DELAY_S, "v0", report(1, T + 2.0, bsd=[900])) == "taken"
+    assert t.windows[int(T // WINDOW_S)].cells["r0\tt0"].stalled == 1, "in the window in which it was made"
+    assert t.on_report(T + 50, "v0", report(2, T + 3.0, bsd=[900])) == "late"
+    assert t.counts.late == 1 and t.on_report(T, "nobody", report(0, T)) == "unknown"
 
 
 @pytest.mark.parametrize(
@@ -102,7 +111,7 @@
 def test_players_that_lie_about_their_clocks_are_marked_and_move_nothing(clock: Any, marked: str) -> None:
     t = tally()
     words = [
-        t.reported(
+        t.on_report(
             T + 2 * n, "v0", report(n, 1000 + clock(2.0 * n), bsd=[10_000] if marked and n > 25 else [])
         )
         for n in range(30)
@@ -117,36 +126,36 @@
         for n in range(20):
             sn = 20 * batch + n
             now = T + 20 * (batch + 1)
-            assert t.reported(now, "v0", report(sn, 500 + sn, bsd=[200])) in ("taken", "late")
+            assert t.on_report(now, "v0", report(sn, 500 + sn, bsd=[200])) in ("taken", "late")
     assert t.counts.marked == {} and t.counts.taken > 60
 
 
 def test_what_cannot_have_happened_is_marked_and_a_flood_of_stalls_is_one_bad_viewing() -> None:
     t = tally()
-    assert t.reported(T + 1, "v0", report(0, 5, bsd=[60_000])) == "it stalls longer than it plays"
-    assert t.reported(T + 1, "v1", report(0, 5, msd=9_000)) == "it started before it asked"
+    assert t.on_report(T + 1, "v0", report(0, 5, bsd=[60_000])) == "it stalls longer than it plays"
+    assert t.on_report(T + 1, "v1", report(0, 5, msd=9_000)) == "it started before it asked"
     for n in range(100):
-        t.reported(T + 1 + n / 50, "v2", report(n, 5 + n / 50, bsd=[900]))
-    cell = t.windows[int(T // WINDOW)].cells["r0\tt2"]
+        t.on_report(T + 1 + n / 50, "v2", report(n, 5 + n / 50, bsd=[900]))
+    cell = t.windows[int(T // WINDOW_S)].cells["r0\tt2"]
     assert (cell.viewings, cell.bad, cell.stalled) == (1, 1, 1)
 
 
 def test_memory_is_bounded_by_viewings_and_titles(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ledgehitch.quality.tally.MOST_VIEWINGS", 500)
-    monkeypatch.setattr("ledgehitch.quality.tally.MOST_CELLS", 200)
-    monkeypatch.setattr("ledgehitch.quality.tally.MOST_SIDES", 100)
+    monkeypatch.setattr("ledgehitch.quality.tally.MAX_VIEWINGS", 500)
+    monkeypatch.setattr("ledgehitch.quality.tally.MAX_CELLS", 200)
+    monkeypatch.setattr("ledgehitch.quality.tally.MAX_GROUPS", 100)
     t = Tally("g0", 1)
     for n in range(3000):
-        t.admitted(f"v{n}", Seen("r0", f"t{n}", T, T))
-        t.reported(T + 1, f"v{n}", report(0, 1))
-    assert len(t.clocks) == 500 and MOST_VIEWINGS > 500
-    table = t.windows[int((T + 1) // WINDOW)].cells
+        t.on_viewing_admitted(f"v{n}", ViewingRecord("r0", f"t{n}", T, T))
+        t.on_report(T + 1, f"v{n}", report(0, 1))
+    assert len(t.clocks) == 500 and MAX_VIEWINGS > 500
+    table = t.windows[int((T + 1) // WINDOW_S)].cells
     assert len(table) == 201 and table[f"r0\t{OTHERS}"].viewings == 2800
-    sides = t.windows[int((T + 1) // WINDOW)].sides
+    sides = t.windows[int((T + 1) // WINDOW_S)].sides
     assert len(sides) <= 104 and sum(s.viewings for k, s in sides.items() if k.startswith("title")) == 3000
     for n in range(200):
-        t.admitted("x", Seen("r0", "t", T + 10 * n, T + 10 * n))
-        t.reported(T + 10 * n + 1, "x", report(n, n * 10))
+        t.on_viewing_admitted("x", ViewingRecord("r0", "t", T + 10 * n, T + 10 * n))
+        t.on_report(T + 10 * n + 1, "x", report(n, n * 10))
     assert len(t.windows) <= 60 and set(t.versions) == set(t.windows)
 
 
@@ -167,7 +176,7 @@
             msd=chance.randrange(50, 500) if n == 0 else None,
         )
         raw.append((name, viewing, one, at))
-        sources[name].reported(at, viewing, one)
+        sources[name].on_report(at, viewing, one)
         if chance.random() < 0.4:
             told += msgspec.json.decode(msgspec.json.encode(list(sources[name].summaries())))
     for t in sources.values():
@@ -183,7 +192,7 @@
     counted: dict[str, set[tuple[str, str, int]]] = {}
     for name, viewing, _, at in raw:
         key = f"r{int(viewing[1]) % 2}\tt{viewing[1]}"
-        counted.setdefault(key, set()).add((name, viewing, int(at // WINDOW)))
+        counted.setdefault(key, set()).add((name, viewing, int(at // WINDOW_S)))
     assert whole is not None
     assert {k: c["viewings"] for k, c in whole[0].items()} == {k: len(v) for k, v in counted.items()}
     by_kind = {kind: sum(s["viewings"] for s in sides.values()) for kind, sides in whole[1].items()}
@@ -196,17 +205,17 @@
 def test_a_restart_in_mid_window_counts_nothing_twice_and_replaces_what_others_hold() -> None:
     t = tally()
     for n in range(5):
-        t.reported(T + n, "v0", report(n, T + n))
-    kept = msgspec.msgpack.decode(msgspec.msgpack.encode(t.frozen()))
-    t.reported(T + 5, "v1", report(0, T + 5))
+        t.on_report(T + n, "v0", report(n, T + n))
+    kept = msgspec.msgpack.decode(msgspec.msgpack.encode(t.snapshot()))
+    t.on_report(T + 5, "v1", report(0, T + 5))
     other = Tally("g1", 1)
     for one in t.summaries():
         other.merge(*one)
-    again = Tally.thawed(kept, 1)
+    again = Tally.restore(kept, 1)
     assert again.life > t.life
     for n in range(5):
-        assert again.reported(T + 6, "v0", report(n, T + n)) == "double"
-    assert again.reported(T + 6, "v1", report(0, T + 5)) == "taken", "what was lost may be sent again"
+        assert again.on_report(T + 6, "v0", report(n, T + n)) == "double"
+    assert again.on_report(T + 6, "v1", report(0, T + 5)) == "taken", "what was lost may be sent again"
     for one in again.summaries():
         assert other.merge(*one)
     for one in t.summaries():
@@ -219,41 +228,41 @@
     times = [int(40 * 1.5**n) for n in range(20)]
     for n, ms in enumerate(times):
         t = (here, there)[n % 2]
-        t.admitted(f"x{n}", Seen("r1", "clip", T - 200_000, T, package="live"))
-        t.reported(T + 1, f"x{n}", report(0, T, msd=ms, rung=2))
+        t.on_viewing_admitted(f"x{n}", ViewingRecord("r1", "clip", T - 200_000, T, package="live"))
+        t.on_report(T + 1, f"x{n}", report(0, T, msd=ms, rung=2))
     for one in there.summaries():
         here.merge(*one)
     for kind, name in (("rack", "r1"), ("title", "clip"), ("package", "live"), ("rung", "2")):
         side = here.groups(0, 10**9)[kind][name]
         for share, due in ((0.0, times[0]), (0.5, times[9]), (1.0, times[-1])):
             assert side.start_at(share) == pytest.approx(due, rel=0.06)
-    assert Side().start_at(0.5) is None
+    assert GroupCounts().start_at(0.5) is None
 
 
 def test_others_are_told_what_changed_since_their_mark_and_everything_after_a_restart() -> None:
     t = tally()
-    t.reported(T, "v0", report(0, T))
-    t.reported(T + 20, "v1", report(0, T + 20))
+    t.on_report(T, "v0", report(0, T))
+    t.on_report(T + 20, "v1", report(0, T + 20))
     assert len(list(t.summaries())) == 2 and len(list(t.summaries(t.life, 2))) == 0
     (changed,) = t.summaries(t.life, 1)
-    assert changed[1] == int((T + 20) // WINDOW)
-    again = Tally.thawed(msgspec.msgpack.decode(msgspec.msgpack.encode(t.frozen())), 1)
+    assert changed[1] == int((T + 20) // WINDOW_S)
+    again = Tally.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(t.snapshot())), 1)
     assert len(list(again.summaries(t.life, 2))) == 2, "a mark of the life before says nothing now"
 
 
 def test_a_gateway_that_left_is_let_go_when_its_windows_are_too_old() -> None:
     left, reader = tally("gone"), Tally("reader", 1)
-    left.reported(T, "v0", report(0, T))
+    left.on_report(T, "v0", report(0, T))
     for one in left.summaries():
         reader.merge(*one)
-    reader.forget(int(T // WINDOW))
-    assert set(reader.others) == {"gone"}
-    reader.forget(int(T // WINDOW) + 1)
-    assert reader.others == {}
+    reader.remove_before(int(T // WINDOW_S))
+    assert set(reader.peers) == {"gone"}
+    reader.remove_before(int(T // WINDOW_S) + 1)
+    assert reader.peers == {}
 
 
 def test_a_kill_at_any_byte_leaves_the_snapshot_before(tmp_path: Path) -> None:
-    keep = Keep(tmp_path / "q")
+    keep = SnapshotStore(tmp_path / "q")
     keep.write({"n": 1})
     keep.write({"n": 2})
     whole = (tmp_path / "q.0").read_bytes()
@@ -264,42 +273,42 @@
         if len(spoilt) == len(whole):
             spoilt[cut] ^= 1 + chance.randrange(255)
         (tmp_path / "q.0").write_bytes(spoilt)
-        assert Keep(tmp_path / "q").read() == {"n": 1}
+        assert SnapshotStore(tmp_path / "q").read() == {"n": 1}
     (tmp_path / "q.0").write_bytes(whole)
-    later = Keep(tmp_path / "q")
+    later = SnapshotStore(tmp_path / "q")
     assert later.read() == {"n": 2}
     later.write({"n": 3})
-    assert Keep(tmp_path / "q").read() == {"n": 3} and not os.path.exists(tmp_path / "q.1.new")
-    assert Keep(tmp_path / "none").read() is None
+    assert SnapshotStore(tmp_path / "q").read() == {"n": 3} and not os.path.exists(tmp_path / "q.1.new")
+    assert SnapshotStore(tmp_path / "none").read() is None
 
 
 def test_what_another_version_kept_starts_the_count_anew(tmp_path: Path) -> None:
-    Keep(tmp_path / "g0.quality").write({"of": "another version"})
+    SnapshotStore(tmp_path / "g0.quality").write({"of": "another version"})
     reports = ReportService(Loop(), "g0", {}, tmp_path, TokenIssuer("g0", tmp_path).passes.check)
     assert reports.tally.source == "g0" and reports.tally.counts.taken == 0
 
 
 def test_tokens_are_for_one_viewing_expire_and_outlive_a_key() -> None:
-    passes = Passes(bytes(32), T)
+    passes = ReportTokens(bytes(32), T)
     token = passes.issue(T, "v1")
     passes.check(T + 1, token, "v1")
-    after_restart = Passes(bytes(range(1, 33)), T + 2)
-    after_restart.thawed(msgspec.msgpack.decode(msgspec.msgpack.encode(passes.frozen())), T + 2)
+    after_restart = ReportTokens(bytes(range(1, 33)), T + 2)
+    after_restart.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(passes.snapshot())), T + 2)
     after_restart.check(T + 2, token, "v1")
     passes.rotate(bytes(range(32)), T + 10)
     passes.check(T + 11, token, "v1")
     passes.check(T + 11, passes.issue(T + 11, "v2"), "v2")
 
     def refused(now: float, some: str, viewing: str) -> str:
-        with pytest.raises(BadPass) as why:
+        with pytest.raises(InvalidToken) as why:
             passes.check(now, some, viewing)
         return str(why.value)
 
-    assert refused(T + 1, token, "v2") == "it is for another viewing"
-    assert refused(T + VALID, token, "v1") == "it has expired"
-    assert refused(T + 10 + OVERLAP, token, "v1") == "its key is not used any more"
-    assert refused(T, "nonsense", "v1") == "it is no token of ours"
-    assert refused(T, token[:-6] + "AAAAAA", "v1") == "it was not issued here"
+    assert refused(T + 1, token, "v2") == "token of another viewing"
+    assert refused(T + TOKEN_LIFETIME_S, token, "v1") == "token expired"
+    assert refused(T + 10 + KEY_OVERLAP_S, token, "v1") == "unknown or expired key"
+    assert refused(T, "nonsense", "v1") == "malformed token"
+    assert refused(T, token[:-6] + "AAAAAA", "v1") == "invalid signature"
 
 
 def test_a_token_carries_what_the_gateway_saw_and_its_keys_are_read_by_the_process_beside(
@@ -311,23 +320,23 @@
     assert seen is not None and (seen.rack, seen.title, seen.package) == ("2", "clip", "live")
     assert seen.answered_at - seen.asked_at == pytest.approx(0.25)
     t = Tally("beside", 1)
-    word = t.reported(seen.answered_at + 1, "v1", report(0, 7, msd=200), seen)
-    assert word == "taken" and "2\tclip" in t.total(0, 10**9)
+    word = t.on_report(seen.answered_at + 1, "v1", report(0, 7, msd=200), seen)
+    assert word == "taken" and "2\tclip" in t.totals(0, 10**9)
     assert TokenIssuer("g0", tmp_path).passes.check(time.time(), token, "v1") == seen, (
         "keys outlive a restart"
     )
     spoilt = token[:-30] + ("A" if token[-30] != "A" else "B") + token[-29:]
-    for wrong in (spoilt, Passes(bytes(32), 0.0).issue(time.time(), "v1")):
-        with pytest.raises(BadPass):
+    for wrong in (spoilt, ReportTokens(bytes(32), 0.0).issue(time.time(), "v1")):
+        with pytest.raises(InvalidToken):
             beside.check(time.time(), wrong, "v1")
 
 
 def test_limits_are_per_client_and_tell_when_to_return() -> None:
-    limits = Limits(bytes(32))
-    assert limits.asks(T, "a", int(BURST)) == 0.0
-    wait = limits.asks(T, "a", 10)
-    assert wait > 0 and limits.asks(T, "b", 10) == 0.0
-    assert limits.asks(T + wait, "a", 10) == 0.0, "the time told is right"
+    limits = ReportRateLimit(bytes(32))
+    assert limits.acquire(T, "a", int(BURST)) == 0.0
+    wait = limits.acquire(T, "a", 10)
+    assert wait > 0 and limits.acquire(T, "b", 10) == 0.0
+    assert limits.acquire(T + wait, "a", 10) == 0.0, "the time told is right"
 
 
 # ---- verdicts ----------------------------------------------------------------------------------------------
@@ -354,28 +363,28 @@
         r2__a=(900, 18),
         r2__bad=(60, 15),
     )
-    assert [(c.kind, c.name) for c in look(table).culprits] == [("title", "bad")]
+    assert [(c.kind, c.name) for c in evaluate(table).culprits] == [("title", "bad")]
     # A bad rack that plays mostly one title: the rack.
     table = cells(r0__a=(900, 200), r0__b=(80, 18), r1__a=(400, 8), r1__b=(500, 10), r2__b=(800, 16))
-    assert [(c.kind, c.name) for c in look(table).culprits] == [("rack", "r0")]
+    assert [(c.kind, c.name) for c in evaluate(table).culprits] == [("rack", "r0")]
     # Everything slow: nobody. Too few: said so. A rack without reports: named.
-    everywhere = look(cells(r0__a=(500, 250), r1__a=(500, 250), r0__b=(500, 250), r1__b=(500, 250)))
+    everywhere = evaluate(cells(r0__a=(500, 250), r1__a=(500, 250), r0__b=(500, 250), r1__b=(500, 250)))
     assert everywhere.culprits == () and "everywhere alike" in everywhere.word
-    assert look(cells(r0__a=(5, 5))).word.startswith("too few")
-    assert look(cells(r0__a=(500, 1)), {"r0": 1, "r9": 1}).unclear == ("rack r9 sent no report",)
-    assert look(cells(r0__a=(500, 10), r1__a=(500, 10), r1__one=(1, 1))).culprits == ()
+    assert evaluate(cells(r0__a=(5, 5))).word.startswith("too few")
+    assert evaluate(cells(r0__a=(500, 1)), {"r0": 1, "r9": 1}).unclear == ("rack r9 sent no report",)
+    assert evaluate(cells(r0__a=(500, 10), r1__a=(500, 10), r1__one=(1, 1))).culprits == ()
 
 
 def test_a_verdict_does_not_flap() -> None:
-    judge = Judge()
+    judge = VerdictTracker()
     bad = cells(r0__a=(500, 100), r1__a=(500, 10), r2__a=(500, 10))
     fine = cells(r0__a=(500, 10), r1__a=(500, 10), r2__a=(500, 10))
-    assert judge.looked(bad).culprits == (), "one look is not enough"
-    assert [c.name for c in judge.looked(bad).culprits] == ["r0"]
+    assert judge.evaluate(bad).culprits == (), "one look is not enough"
+    assert [c.name for c in judge.evaluate(bad).culprits] == ["r0"]
     for _ in range(CLEARED - 1):
-        assert [c.name for c in judge.looked(fine).culprits] == ["r0"]
-    assert judge.looked(fine).culprits == ()
-    assert judge.looked(bad).culprits == ()
+        assert [c.name for c in judge.evaluate(fine).culprits] == ["r0"]
+    assert judge.evaluate(fine).culprits == ()
+    assert judge.evaluate(bad).culprits == ()
 
 
 # ---- the whole path ----------------------------------------------------------------------------------------
@@ -412,7 +421,7 @@
         assert tokens is not None
         issue = tokens.passes.issue
 
-        def issued_earlier(now: float, viewing: str, seen: Seen | None = None) -> str:
+        def issued_earlier(now: float, viewing: str, seen: ViewingRecord | None = None) -> str:
             """The time that a stall takes has passed for the gateway too."""
             assert seen is not None
             return issue(now, viewing, msgspec.structs.replace(seen, answered_at=seen.answered_at - 5.0))
@@ -438,9 +447,9 @@
         named = {(c["kind"], c["name"]) for c in report["verdict"]["culprits"]}
         assert named == {("rack", "rack-1"), ("title", titles[1])}, report["verdict"]["word"]
         assert report["counts"]["doubles"] >= 2 and report["groups"]["rack"]["rack-0"]["viewings"] > 30
-        shown = page(report)
+        shown = render_page(report)
         assert shown.count("<svg") == 8 and "(to blame)" in shown and 'class="blamed"' in shown
-        assert "<script" not in shown and "&lt;b&gt;" in page({**report, "gateway": "<b>"})
+        assert "<script" not in shown and "&lt;b&gt;" in render_page({**report, "gateway": "<b>"})
         tables = json.loads(rig.client.request(rig.at, "GET", "/quality/tables").body)
         assert tables and tables[0]["source"] == "g0"
         # A reload calls the rack otherwise: what was counted is still its own, under the new name.
