--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -423,7 +423,11 @@
         assert any(r.header("return-ticket") for r in turned)
         told = rig.gateway.state()["door"]
         assert told["let_in"] == statuses["flood"].count(201) + 8 and told["out"] == told["waiting"] == 0
-        assert rig.most_out <= 2 and len(rig.set_ups) == told["let_in"]
+        # A tune-in that times out is followed by further ones of the same viewing: only the first ones count.
+        tune_ins = [key.rpartition(".") for _, key in rig.set_ups]
+        first = [viewing for viewing, _, attempt in tune_ins if attempt == "0"]
+        assert rig.most_out <= 2 and len(first) == told["let_in"]
+        assert len({viewing for viewing, _, _ in tune_ins}) == told["let_in"]
 
     Rig({"*": slowly}, door={"on": True}).run(day)
 
