--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -109,7 +109,9 @@
     def call(loop: Loop, client: Client, at: str, server: Server) -> None:
         stream = connect(loop, endpoint(at))
         stream.send(GET)
-        loop.sleep(0.6)
+        with loop.deadline(4.0):  # less than the default of `send_timeout_s`, which must not apply
+            while not server.timeouts:
+                loop.sleep(0.01)
         assert server.timeouts == 1 and not server.open
 
     served(big, call, Limits(send_timeout_s=0.2))
