--- a/ledgehitch/door/baselines.py
+++ b/ledgehitch/door/baselines.py
@@ -78,7 +78,7 @@
             if conn in self.disconnected:
                 self.disconnected.discard(conn)
             else:
-                return Reject(conn, "not admitted in time")
+                return Reject(conn, "no turn in time")
         if self.queue and self.limit.free_slots(len(self.in_progress)) > 0:
             conn, _ = self.queue.popleft()
             self.in_progress.add(conn)
@@ -112,5 +112,5 @@
             tokens -= 1.0
             self._due.append(Admit(conn))
         else:
-            self._due.append(Reject(conn, "client rate limit exceeded"))
+            self._due.append(Reject(conn, "over its rate"))
         self.buckets[name] = tokens, now
--- a/ledgehitch/door/decide.py
+++ b/ledgehitch/door/decide.py
@@ -189,12 +189,12 @@
         request = QueuedRequest(conn, name, package, self.levels[0] / value, now, until)
         self.counts["returned"] += returns
         if self.client_rates.per_second and (wait := self.client_rates.acquire(now, name)) > 0:
-            self._reject_over_rate(request, "client rate limit exceeded", wait)
+            self._reject_over_rate(request, "over its rate", wait)
             return
         if self.package_rates.per_second and not returns:
             wait = self.package_rates.acquire(now, package, self.share)
             if wait > 0:
-                self._reject_over_rate(request, f"fleet budget {offers_budget(package)} exceeded", wait)
+                self._reject_over_rate(request, f"over the fleet's budget {offers_budget(package)}", wait)
                 return
         if value < self.levels[self.level] and not returns:
             self._reject(now, request, "brown-out")
@@ -202,7 +202,7 @@
         dropped = self.queue.put(now, request, first=returns)
         self._peak_load = max(self._peak_load, len(self.in_progress) + len(self.queue))
         if dropped is not None:
-            self._reject(now, dropped, "the admission queue is full")
+            self._reject(now, dropped, "the queue is full")
 
     def on_disconnect(self, now: float, conn: int) -> None:
         """The client disconnected while it was queued or after it was admitted."""
@@ -240,7 +240,7 @@
         expiry = self.queue.wake_at()
         if expiry is not None and expiry <= now:
             for request in self.queue.pop_expired(now):
-                self._reject(now, request, "not admitted in time")
+                self._reject(now, request, "no turn in time")
         if not 0 <= now - self._period_start < BROWNOUT_PERIOD_S:
             self._update_brownout(now)
         if self._due:
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -260,10 +260,8 @@
             return evaluate(table, expected)
         read_end, write_end = os.pipe()
         try:
-            send = (
-                lambda: discard(  # noqa: E731
-                    os.write(write_end, msgspec.json.encode(evaluate(table, expected))[:65536])
-                )
+            send = (  # noqa: E731
+                lambda: discard(os.write(write_end, msgspec.json.encode(evaluate(table, expected))[:65536]))
             )
             code = run_forked(self.loop, send)
             return (
--- a/ledgehitch/http/client.py
+++ b/ledgehitch/http/client.py
@@ -75,7 +75,7 @@
                     if not data:
                         response = reader.at_end()
                         if response is None:
-                            raise Interrupted("connection closed before the response was complete")
+                            raise Interrupted("it hung up before its answer was whole")
                         break
                     response = reader.feed(data)
             except OSError as problem:
@@ -113,7 +113,7 @@
                     while response is None:
                         data = stream.receive()
                         if not data:
-                            raise Interrupted("connection closed before the response")
+                            raise Interrupted("it hung up before its answer")
                         response = reader.feed(data)
             except OSError as problem:
                 raise Interrupted(str(problem)) from None
@@ -163,7 +163,7 @@
     def _wrapped(self, address: str, stream: Stream) -> "TlsStream":
         if self.tls is None:
             stream.close()
-            raise ConnectFailed(f"no TLS certificate configured for {address}")
+            raise ConnectFailed(f"{address} asks for a certificate, and none is given")
         from ledgehitch.loop import TlsStream  # imported here: gateways on small machines rarely use TLS
 
         wrapped = TlsStream(stream, self.tls, False)
@@ -174,7 +174,7 @@
             accepted = True
             return wrapped
         except OSError as problem:
-            raise ConnectFailed(f"TLS handshake with {address} failed: {problem}") from None
+            raise ConnectFailed(f"no TLS with {address}: {problem}") from None
         finally:
             if not accepted:
                 stream.close()
--- a/ledgehitch/http/events.py
+++ b/ledgehitch/http/events.py
@@ -27,7 +27,7 @@
     def feed(self, data: bytes) -> Iterator[tuple[str, str, str]]:
         *lines, self._rest = (self._rest + data).replace(b"\r\n", b"\n").split(b"\n")
         if len(self._rest) > MAX_LINE_BYTES:
-            raise ValueError("line of the event stream is too long")
+            raise ValueError("a line of the event stream is too long")
         for raw in lines:
             line = raw.decode("utf-8", "replace")
             if not line:
--- a/ledgehitch/http/parse.py
+++ b/ledgehitch/http/parse.py
@@ -37,14 +37,14 @@
     def _add_to_head(self, more: int) -> None:
         self.head_size += more
         if self.head_size > self.max_head or len(self.headers) > MAX_FIELDS:
-            raise Refused(431, f"head exceeds {self.max_head} bytes or {MAX_FIELDS} fields")
+            raise Refused(431, f"the head is larger than {self.max_head} bytes or {MAX_FIELDS} fields")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._add_to_head(len(name) + len(value) + 4)
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
         previous = self.headers.get(key)
         if previous is not None and key in ("content-length", "host", "authorization") and previous != text:
-            raise Refused(400, f"header field {key} is repeated with different values")
+            raise Refused(400, f"the field {key} came twice with different values")
         self.headers[key] = text if previous is None else f"{previous}, {text}"
 
     def on_headers_complete(self) -> None:
@@ -53,7 +53,7 @@
     def on_body(self, part: bytes) -> None:
         self.body_size += len(part)
         if self.body_size > self.max_body:
-            raise Refused(413, f"body exceeds {self.max_body} bytes")
+            raise Refused(413, f"the body is larger than {self.max_body} bytes")
         self.body.append(part)
 
     def on_message_complete(self) -> None:
@@ -98,7 +98,7 @@
         except Refused:
             raise
         except httptools.HttpParserUpgrade:
-            raise Refused(501, "protocol upgrade is not supported") from None
+            raise Refused(501, "this server changes to no other protocol") from None
         except httptools.HttpParserError as error:
             raise _cause(error) or Refused(400, f"not an HTTP request: {error}") from None
         requests = self._requests[:]
--- a/ledgehitch/http/server.py
+++ b/ledgehitch/http/server.py
@@ -139,7 +139,9 @@
                         requests = reader.feed(data) if data else []
             except TimedOut:
                 self.timeouts += 1
-                raise Refused(408, f"request incomplete after {self.limits.request_timeout_s:g} s") from None
+                raise Refused(
+                    408, f"the request was not whole in {self.limits.request_timeout_s:g} s"
+                ) from None
         for request in requests:
             request.arrived = since if sent_continue is False and len(requests) else stream.earliest_arrival
         return requests
@@ -153,7 +155,7 @@
             return False
         except Exception as error:
             self.report(f"{request.method} {request.path}", error)
-            response = problem(500, "internal error; see the server's log")
+            response = problem(500, "a fault of this server; it is in its log")
         finally:
             self._on_hang_up(stream, None)
         self.served[response.status] = self.served.get(response.status, 0) + 1
--- a/ledgehitch/loop/sockets.py
+++ b/ledgehitch/loop/sockets.py
@@ -35,7 +35,7 @@
         return Endpoint(socket.AF_UNIX, text[5:])
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdigit() or int(port) > 65535:
-        raise ValueError(f"invalid address {text!r}: expected 127.0.0.1:80, [::1]:80 or unix:/path")
+        raise ValueError(f"{text!r} is no address: 127.0.0.1:80, [::1]:80 or unix:/path is meant")
     if host.startswith("[") and host.endswith("]"):
         return Endpoint(socket.AF_INET6, (host[1:-1], int(port)))
     return Endpoint(socket.AF_INET, (host, int(port)))
--- a/ledgehitch/loop/tls.py
+++ b/ledgehitch/loop/tls.py
@@ -51,7 +51,7 @@
             except ssl.SSLWantReadError:
                 self._flush()
                 if not self._fed():
-                    raise ConnectionResetError("peer closed the connection during the handshake") from None
+                    raise ConnectionResetError("it hung up in the handshake") from None
             except ssl.SSLError:
                 self._flush()  # sends the alert with the reason
                 raise
--- a/ledgehitch/quality/facts.py
+++ b/ledgehitch/quality/facts.py
@@ -33,9 +33,9 @@
     try:
         raw = msgspec.json.decode(body, type=list[msgspec.Raw])
     except msgspec.MsgspecError as error:
-        raise ValueError(f"a batch must be a list of reports: {error}") from None
+        raise ValueError(f"a batch is a list of reports: {error}") from None
     if len(raw) > MAX_REPORTS:
-        raise ValueError(f"{len(raw)} reports in a batch, the limit is {MAX_REPORTS}")
+        raise ValueError(f"{len(raw)} reports in a batch, {MAX_REPORTS} are allowed")
     good, bad = [], []
     for i, item in enumerate(raw):
         try:
--- a/ledgehitch/quality/judge.py
+++ b/ledgehitch/quality/judge.py
@@ -180,7 +180,7 @@
         if counts[top] > 0.9 * counts.sum() and counts[top] > 0.9 * of_other:
             kind = "title" if culprit.kind == "rack" else "rack"
             described.append(
-                f"{culprit.kind} {culprit.name} and {kind} {other.names[top]} cannot be distinguished"
+                f"{culprit.kind} {culprit.name} and {kind} {other.names[top]} cannot be told apart"
             )
     return described
 
--- a/ledgehitch/quality/passes.py
+++ b/ledgehitch/quality/passes.py
@@ -65,17 +65,17 @@
             raw = base64.urlsafe_b64decode(token + "=" * (-len(token) % 4))
             number, size, until = HEAD.unpack_from(raw)
         except (ValueError, struct.error):
-            raise InvalidToken("malformed token") from None
+            raise InvalidToken("it is no token of ours") from None
         body, mac = raw[:-MAC_BYTES], raw[-MAC_BYTES:]
         key = next((k for k in self.keys if k.number == number and k.until > now), None)
         if key is None:
-            raise InvalidToken("unknown or expired key")
+            raise InvalidToken("its key is not used any more")
         if self._mac(key, body) != mac:
-            raise InvalidToken("invalid signature")
+            raise InvalidToken("it was not issued here")
         if body[HEAD.size : HEAD.size + size] != viewing.encode():
-            raise InvalidToken("token of another viewing")
+            raise InvalidToken("it is for another viewing")
         if now >= until:
-            raise InvalidToken("token expired")
+            raise InvalidToken("it has expired")
         return msgspec.msgpack.decode(body[HEAD.size + size :], type=ViewingRecord | None)
 
     @staticmethod
--- a/ledgehitch/signalling/sdp.py
+++ b/ledgehitch/signalling/sdp.py
@@ -75,8 +75,8 @@
 
 def _malformed(number: int, line: str) -> BadSdp:
     if not line:
-        return BadSdp(number, "empty line inside the description")
-    return BadSdp(number, f"expected a line of the form x=value, got {line[:40]!r}")
+        return BadSdp(number, "an empty line inside the description")
+    return BadSdp(number, f"{line[:40]!r} is no line of the form x=value")
 
 
 def _kb(number: int, value: str) -> float | None:
@@ -84,7 +84,7 @@
     if kind not in ("AS", "TIAS"):
         return None
     if not amount.strip().isdigit():
-        raise BadSdp(number, f"expected a whole number as bandwidth, got {amount[:20]!r}")
+        raise BadSdp(number, f"a bandwidth is a whole number, not {amount[:20]!r}")
     return int(amount) / 8 if kind == "AS" else int(amount) / 8000
 
 
@@ -92,7 +92,7 @@
     """Parses an offer or an answer; raises `BadSdp` with the number of the line at fault."""
     lines = _lines(text)
     if not lines or lines[0].rstrip("\r") != "v=0":
-        raise BadSdp(1, "expected v=0 as the first line")
+        raise BadSdp(1, "a description starts with v=0")
     if WELL_FORMED.fullmatch(text) is None:
         for number, line in enumerate(lines, 1):
             if line[1:2] != "=" or not line[0].isalpha():
@@ -113,7 +113,7 @@
             parts = match["m"].split()
             if len(parts) < 4 or not parts[1].partition("/")[0].isdigit():
                 media_line = match["m"][:40]
-                raise BadSdp(number, f"expected 'm=kind port protocol formats', got 'm={media_line}'")
+                raise BadSdp(number, f"a media line is 'm=kind port protocol formats', not 'm={media_line}'")
             media = Media(parts[0])
             parsed.media.append(media)
         elif name in DIRECTIONS:
@@ -138,7 +138,7 @@
     if not parsed.ufrag or not parsed.password:
         raise BadSdp(last, "ICE credentials (a=ice-ufrag, a=ice-pwd) are missing")
     if not parsed.fingerprint:
-        raise BadSdp(last, "the certificate fingerprint (a=fingerprint) is missing")
+        raise BadSdp(last, "a certificate's fingerprint (a=fingerprint) is missing")
     return parsed
 
 
@@ -158,7 +158,7 @@
             elif name == "candidate":
                 parsed.candidates += 1
         elif line[0] != "m":
-            raise BadSdp(number, f"expected an a= or m= line in a fragment, got {line[0]}=")
+            raise BadSdp(number, f"a fragment holds a= and m= lines, not {line[0]}=")
     if not parsed.ufrag or not parsed.password:
         raise BadSdp(1, "ICE credentials (a=ice-ufrag, a=ice-pwd) are missing")
     return parsed
@@ -173,5 +173,5 @@
             return str(problem)
     kinds = MEDIA_KINDS.findall(text)
     if kinds != [m.kind for m in offer.media]:
-        return f"the answer has {len(kinds)} media lines for {len(offer.media)} of the offer, or other kinds"
+        return f"{len(kinds)} media lines answer {len(offer.media)}, or of other kinds"
     return ""
