--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from ledgehitch.config import BadInput
-from ledgehitch.daemon.facts import Drain, Fence, PlanCall, PlanWords, Reload, State
+from ledgehitch.daemon.facts import Drain, Fence, PlanCall, PlanMessage, Reload, State
 from ledgehitch.fleet.journal import _read, _sum
 from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.http import Refused
@@ -72,7 +72,7 @@
         names = tuple(f"g{n}" for n in range(8))
         memory = DurableState(0.0, "g1", names, DUTIES, 10.0, None, 7)
         self.owners = Owners(0.0, 1, names, memory, random.Random(1))
-        self.left = msgspec.json.encode(PlanWords(duty="restarts", term=1, version=1, word="go", plan={}))
+        self.left = msgspec.json.encode(PlanMessage(duty="restarts", term=1, version=1, word="go", plan={}))
         self.request = b"POST /v1/drain HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
 
     def datagram(self) -> None:
@@ -103,7 +103,7 @@
             self.owners.on_message(self.now, 0, duty_read(data))
         while self.owners.decide(self.now) is not None:
             self.owners.on_stored(self.owners.durable.record())
-        for kind in (Fence, PlanWords, PlanCall):
+        for kind in (Fence, PlanMessage, PlanCall):
             with contextlib.suppress(msgspec.MsgspecError, UnicodeDecodeError):
                 msgspec.json.decode(spoilt(self.left, self.chance), type=kind)
 
--- a/ledgehitch/cli/daemon.py
+++ b/ledgehitch/cli/daemon.py
@@ -8,7 +8,7 @@
 from ledgehitch.config import BadInput
 from ledgehitch.daemon.logfile import LogFile
 from ledgehitch.daemon.run import run_daemon
-from ledgehitch.daemon.why import words_on
+from ledgehitch.daemon.why import explain_viewing
 from ledgehitch.fleet.onduty import restarts_of
 from ledgehitch.gateway.versions import load_start_version
 from ledgehitch.keys.store import Keys
@@ -57,7 +57,7 @@
 @click.argument("viewing", type=int)
 def why_command(record: Path, viewing: int) -> None:
     """What was decided on VIEWING (its number) and on what, from a flight record."""
-    lines = words_on(record, viewing)
+    lines = explain_viewing(record, viewing)
     if not lines:
         raise BadInput(f"{record}: nothing on viewing {viewing}")
     for line in lines:
--- a/ledgehitch/cli/fleet.py
+++ b/ledgehitch/cli/fleet.py
@@ -14,7 +14,7 @@
 
 from ledgehitch.config import BadInput, Site, read_site
 from ledgehitch.config.site import stated
-from ledgehitch.daemon.facts import PlanCall, PlanWords
+from ledgehitch.daemon.facts import PlanCall, PlanMessage
 from ledgehitch.fleet.carry import WITHIN, Caller, Work, trusted
 from ledgehitch.fleet.found import Found, Target, counted
 from ledgehitch.fleet.held import id_of, latest
@@ -384,7 +384,7 @@
             if status != 200:
                 silent.append(name)
             elif words is not None:
-                held.append(msgspec.convert(words, PlanWords))
+                held.append(msgspec.convert(words, PlanMessage))
         except (msgspec.MsgspecError, KeyError):
             silent.append(name)
     last = latest(held)
--- a/ledgehitch/daemon/admin.py
+++ b/ledgehitch/daemon/admin.py
@@ -24,7 +24,7 @@
     Fenced,
     HostSeen,
     PlanCall,
-    PlanWords,
+    PlanMessage,
     Reload,
     Role,
     State,
@@ -33,7 +33,7 @@
 from ledgehitch.daemon.owning import Owning
 from ledgehitch.daemon.plans import MOST as MOST_PLAN
 from ledgehitch.daemon.plans import Plans
-from ledgehitch.daemon.why import words_on
+from ledgehitch.daemon.why import explain_viewing
 from ledgehitch.gateway.serve import RunningGateway
 from ledgehitch.http import Refused, Request, Response
 from ledgehitch.loop import run_forked
@@ -57,7 +57,7 @@
         self.plans: Plans | None = None
         self.budgeting: Budgeting | None = None
         # What becomes of an operator's word on the fleet's plan, at the owner: raises `Refused`.
-        self.planned: Callable[[PlanCall], dict[str, Any]] | None = None
+        self.on_plan_call: Callable[[PlanCall], dict[str, Any]] | None = None
 
     def handle(self, request: Request, role: Role) -> Response:
         match request.method, request.path.strip("/").split("/"):
@@ -82,11 +82,13 @@
             case "GET", ["v1", "budgets"]:
                 return self._told(self._budgeting().state())
             case "GET", ["v1", "plans"]:
-                return self._told(self._plans().told())
+                return self._told(self._plans().state())
             case "POST", ["v1", "fence"]:
                 return self._fenced(role, self._read(request, Fence), self.state)
             case "POST", ["v1", "plans"]:
-                return self._fenced(role, words := self._read(request, PlanWords), lambda: self._left(words))
+                return self._fenced(
+                    role, words := self._read(request, PlanMessage), lambda: self._left(words)
+                )
             case "POST", ["v1", "plan"]:
                 if role != "operate":
                     raise Refused(403, "this certificate may look, not operate")
@@ -128,7 +130,7 @@
         the one that is known, before anything is done."""
         if not what.duty:
             return
-        known = self._owning().takes(what.duty, what.term, what.owner)
+        known = self._owning().accept_effect(what.duty, what.term, what.owner)
         if known:
             word = f"term {what.term} of {what.duty} is over, {known} is known here"
             if self._owning().disk:
@@ -143,21 +145,21 @@
         self._pass(what)
         return self._told(call())
 
-    def _left(self, words: PlanWords) -> dict[str, Any]:
+    def _left(self, words: PlanMessage) -> dict[str, Any]:
         if len(msgspec.json.encode(words.plan)) > MOST_PLAN:
             raise Refused(413, f"a plan has {MOST_PLAN} bytes at most")
         try:
-            return {"taken": self._plans().taken(words)}
+            return {"taken": self._plans().accept(words)}
         except OSError as problem:
             raise Refused(503, f"the disk does not take the plan: {problem.strerror}") from None
 
     def _plan(self, call: PlanCall) -> dict[str, Any]:
         """At the owner of `restarts`; elsewhere it says who that is."""
         owning = self._owning()
-        if not owning.owns(RESTARTS) or self.planned is None:
+        if not owning.owned_term(RESTARTS) or self.on_plan_call is None:
             owner = owning.owners.duty_status(owning.now())[RESTARTS]["owner"]
             raise Refused(409, f"{owner or 'nobody that is known'} owns restarts", [("Owner", owner)])
-        return self.planned(call)
+        return self.on_plan_call(call)
 
     def _operates(self, role: Role, call: Callable[[Any], bool], what: Any) -> Response:
         if role == "look" or (role == "gateway" and not getattr(what, "duty", "")):
@@ -260,7 +262,7 @@
 
         def tell() -> None:
             lines, size = [], 0
-            for line in reversed(words_on(recorder.path, viewing_id)):
+            for line in reversed(explain_viewing(recorder.path, viewing_id)):
                 size += len(line) + 8
                 if size > MOST_WORDS:
                     break
--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -182,7 +182,7 @@
 
     def _answer(self, member: int, words: LoanMessage) -> LoanMessage | None:
         """Only under a lease that runs."""
-        term = self.owning.owns(BUDGETS)
+        term = self.owning.owned_term(BUDGETS)
         if not term or self.lender is None or self.lender.term != term:
             return None
         return self.lender.on_request(self.owning.now(), member, words)
@@ -225,7 +225,7 @@
     def state(self) -> dict[str, Any]:
         """For people: this gateway's part, and as lender what it lends."""
         now, b = self.owning.now(), self.borrower
-        lends = self.lender is not None and self.owning.owns(BUDGETS) == self.lender.term
+        lends = self.lender is not None and self.owning.owned_term(BUDGETS) == self.lender.term
         used = self.doorman.usage()
         held = b.loan_valid(now)
         mine = {
--- a/ledgehitch/daemon/facts.py
+++ b/ledgehitch/daemon/facts.py
@@ -63,7 +63,7 @@
     """POST /v1/fence: an owner says its term before its first step, and asks for the state."""
 
 
-class PlanWords(Fenced, forbid_unknown_fields=True, frozen=True):
+class PlanMessage(Fenced, forbid_unknown_fields=True, frozen=True):
     """POST /v1/plans: what the owner of `restarts` leaves with each gateway. The higher (term, version)
     counts. `word`: go, stopped, given up, ended."""
 
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -29,10 +29,10 @@
         self.loop, self.site = loop, site
         self.names = [g.name for g in site.gateways]
         me = self.names.index(name)
-        self.keep = SnapshotStore(directory / f"{name}.members")
-        held: dict[str, Any] = self.keep.read() or {}
+        self.store = SnapshotStore(directory / f"{name}.members")
+        held: dict[str, Any] = self.store.read() or {}
         self.life = max(int(held.get("life", 0)) + 1, 1)
-        self.keep.write({"life": self.life})
+        self.store.write({"life": self.life})
         secrets = [blake3(key, derive_key_context=CONTEXT).digest() for key in ring]
         self.frames = PeerCodec(secrets, me, time.time_ns())
         now = time.monotonic()
@@ -98,9 +98,9 @@
         if self._timer is not None:
             self.loop.timers.cancel(self._timer)
 
-    def told(self) -> dict[str, str]:
+    def statuses(self) -> dict[str, str]:
         return {self.names[n]: status for n, status in self.members.statuses().items()}
 
-    def there(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         """Whether a gateway may be sent viewers."""
         return self.members.roster.status(self.names.index(name)) == "alive"
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -166,7 +166,7 @@
         self.at_work: dict[str, Task] = {}
         self.bad: dict[str, int] = {}
         self.home = loop.current
-        self.serves: Callable[[], bool] = lambda: False  # whether this gateway takes viewings now
+        self.is_serving: Callable[[], bool] = lambda: False  # whether this gateway takes viewings now
         self.more: Callable[[int, bytes], None] | None = None  # words of borrowers and lenders
         membership.more = self._heard
         self.pull()
@@ -281,7 +281,7 @@
     def look(self, scope: Scope) -> None:
         """What a scope goes by that others know: whether this one should own anything now."""
         members = self.membership.members
-        why = "drains" if not self.serves() else "slow itself" if members.is_slow() else ""
+        why = "drains" if not self.is_serving() else "slow itself" if members.is_slow() else ""
         scope.owners.on_membership(members.alive(), not why, why)
         unused = {} if self.share() else {duty: NO_SHARE for duty in REGIONAL_DUTIES}
         scope.owners.withheld = {d: why for d, why in unused.items() if d in scope.owners.duties}
@@ -303,7 +303,7 @@
         if task is not None:
             task.cancel()
 
-    def owns(self, duty: str) -> int:
+    def owned_term(self, duty: str) -> int:
         """The term under which an effect may be sent now, 0 for none; looked at before each."""
         scope = self.of(duty)
         term = scope.owners.owned_term(self.now(), duty)
@@ -311,14 +311,14 @@
             self.loop.call_soon(scope.pull)
         return term
 
-    def refused(self, duty: str, term: int, known: int, where: str) -> None:
+    def on_effect_refused(self, duty: str, term: int, known: int, where: str) -> None:
         """A receiver refused an effect of ours."""
         log.warning("refused", duty=duty, term=term, known=known, where=where)
         scope = self.of(duty)
         scope.owners.on_effect_refused(self.now(), duty, term, known, where)
         scope.pull()
 
-    def takes(self, duty: str, term: int, owner: str) -> int:
+    def accept_effect(self, duty: str, term: int, owner: str) -> int:
         """0 where an effect that came here may be carried out: it is on disk then. Else the term known."""
         scope = self.of(duty)
         taken = scope.owners.accepts_effect(duty, term)
--- a/ledgehitch/daemon/place.py
+++ b/ledgehitch/daemon/place.py
@@ -40,7 +40,7 @@
     def admin(self) -> Path:
         return self.directory / f"{self.name}.admin"
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """At an orderly end: the next one finds nothing stale."""
         if self._fd >= 0:
             self._write("")
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -98,7 +98,7 @@
         restore = self.loop.on_signals(
             [signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGUSR2, signal.SIGHUP], self._on
         )
-        watchdog = Watchdog(STILL, lambda text: void_write(self.logfile, text))
+        watchdog = Watchdog(STILL, lambda text: write_line(self.logfile, text))
         admins = self._serve_admin()
         if self.place.stale:
             log.warning("the last life was not ended in order", pid=self.place.stale)
@@ -130,7 +130,7 @@
             self._note_carried()
         if self.membership is not None:
             self.membership.close()
-        self.place.let_go()
+        self.place.release()
         restore()
         log.info("is over", again=exit_as.restart, why=self.life.why)
         return exit_as
@@ -150,7 +150,7 @@
         if not here.members_at or not ring:
             return None
         some = Membership(self.loop, self.site, self.name, ring, self.place.directory, seed + 4)
-        self.admin.members, self.on_leave = some.told, some.leave
+        self.admin.members, self.on_leave = some.statuses, some.leave
         return some
 
     def _owns(self, seed: int, restarts: "Callable[[Daemon], Work] | None") -> Owning | None:
@@ -159,7 +159,7 @@
             return None
         self.admin.plans = Plans(self.place.directory / f"{self.name}.plan")
         own = Owning(self.loop, self.site, self.name, self.membership, self.place.directory, seed + 5)
-        own.serves = lambda: self.life.phase == "ready"
+        own.is_serving = lambda: self.life.phase == "ready"
         self.admin.owning = own
         if restarts is not None:
             own.work[RESTARTS] = restarts(self)
@@ -173,7 +173,7 @@
         return own
 
     def _elsewhere(self) -> str:
-        there = self.membership.there if self.membership is not None else lambda name: True
+        there = self.membership.is_alive if self.membership is not None else lambda name: True
         return pick_gateway(self.name, self.site.gateways, there, self.chance)
 
     def _serve_admin(self) -> list[Server]:
@@ -213,7 +213,7 @@
         while True:
             watchdog.sign()
             if self.supervisor.every:
-                self.supervisor.say("WATCHDOG=1")
+                self.supervisor.notify("WATCHDOG=1")
             self.loop.sleep(every)
 
     def _on(self, number: int) -> None:
@@ -227,9 +227,9 @@
             self.logfile.reopen()
             log.info("the log file is opened anew")
         elif self.running.reloader is not None:
-            self.supervisor.say(f"RELOADING=1\nMONOTONIC_USEC={int(now * 1e6)}")
+            self.supervisor.notify(f"RELOADING=1\nMONOTONIC_USEC={int(now * 1e6)}")
             self.running.reloader.reload()
-            self.supervisor.say("READY=1")
+            self.supervisor.notify("READY=1")
         self.stir()
 
     def _prove(self) -> None:
@@ -265,14 +265,14 @@
                 case CheckStart():
                     self.loop.spawn(self._prove, name="prove", owner=self.home)
                 case NotifySupervisor(text):
-                    self.supervisor.say(text)
+                    self.supervisor.notify(text)
                 case Exit() as exit_as:
                     self.over.set(exit_as)
         wake = self.life.wake_at()
         return None if wake is None else max(wake, now + 0.005)
 
 
-def void_write(file: LogFile, text: str) -> None:
+def write_line(file: LogFile, text: str) -> None:
     file.write(text + "\n")
 
 
--- a/ledgehitch/daemon/supervisor.py
+++ b/ledgehitch/daemon/supervisor.py
@@ -6,7 +6,7 @@
 
 
 class Supervisor:
-    """`say("READY=1")` and the like; without a supervisor nothing happens."""
+    """`notify("READY=1")` and the like; without a supervisor nothing happens."""
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         at = environment.get("NOTIFY_SOCKET", "")
@@ -16,7 +16,7 @@
         self.every = int(usec) / 2e6 if mine and usec.isdigit() and int(usec) > 0 else 0.0
         self.refused = 0
 
-    def say(self, text: str) -> None:
+    def notify(self, text: str) -> None:
         if not self.address:
             return
         with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM | socket.SOCK_CLOEXEC) as sock:
--- a/ledgehitch/daemon/verdicts.py
+++ b/ledgehitch/daemon/verdicts.py
@@ -55,7 +55,7 @@
 
     def _told(self, term: int, words: dict[str, Any]) -> None:
         """One try. Whoever is not owner any more is ended at the wait that follows."""
-        if self.owning.owns(VERDICTS) != term:
+        if self.owning.owned_term(VERDICTS) != term:
             self.loop.sleep(AGAIN)
             return
         body = msgspec.json.encode({"duty": VERDICTS, "term": term, "owner": self.name, **words})
@@ -68,7 +68,7 @@
             return
         known = answer.header("known-term") or ""
         if answer.status == 409 and known.isdigit() and int(known) > term:
-            self.owning.refused(VERDICTS, term, int(known), "receiver")
+            self.owning.on_effect_refused(VERDICTS, term, int(known), "receiver")
             self.loop.sleep(AGAIN)
             return
         last = self._last_in(answer.body) if answer.status == 200 else None
--- a/ledgehitch/daemon/why.py
+++ b/ledgehitch/daemon/why.py
@@ -10,15 +10,15 @@
 KINDS = {1: "share delivered", 2: "rung in force", 3: "use of the link", 4: "use of the uplink"}
 
 
-def words_on(path: Path, viewing_id: int) -> list[str]:
+def explain_viewing(path: Path, viewing_id: int) -> list[str]:
     """Lines of a record on one viewing, oldest first; the first line says when it asked."""
     found: list[str] = []
     for segment in segment_paths(path):
-        found += told(read_entries(segment), viewing_id)
+        found += explain_entries(read_entries(segment), viewing_id)
     return found
 
 
-def told(some: Iterable[list[Any]], viewing_id: int) -> list[str]:
+def explain_entries(some: Iterable[list[Any]], viewing_id: int) -> list[str]:
     out = []
     for name, *args in some:
         if name == "pulled":
--- a/ledgehitch/fleet/held.py
+++ b/ledgehitch/fleet/held.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ledgehitch.daemon.facts import PlanCall, PlanWords
+from ledgehitch.daemon.facts import PlanCall, PlanMessage
 from ledgehitch.fleet.found import Target
 from ledgehitch.fleet.plan import Plan
 
@@ -19,16 +19,16 @@
         self.status, self.why = status, why
 
 
-def latest(words: Iterable[PlanWords | None]) -> PlanWords | None:
+def latest(words: Iterable[PlanMessage | None]) -> PlanMessage | None:
     """Of what several gateways hold."""
-    return max((w for w in words if w is not None), key=PlanWords.order, default=None)
+    return max((w for w in words if w is not None), key=PlanMessage.order, default=None)
 
 
-def id_of(words: PlanWords) -> str:
+def id_of(words: PlanMessage) -> str:
     return str(words.plan.get("id", "?")) if isinstance(words.plan, dict) else "?"
 
 
-def after(held: PlanWords | None, call: PlanCall, known: Mapping[str, Target]) -> PlanWords:
+def after(held: PlanMessage | None, call: PlanCall, known: Mapping[str, Target]) -> PlanMessage:
     """The words that are to lie with a majority now; the same that are held where nothing changes. `known`:
     gateways of the site that the owner runs. Raises `NotNow`."""
     if call.do == "begin":
@@ -41,7 +41,7 @@
     return msgspec.structs.replace(held, word=word, why="an operator" if word == "stopped" else "")
 
 
-def _begun(held: PlanWords | None, raw: Any, known: Mapping[str, Target]) -> PlanWords:
+def _begun(held: PlanMessage | None, raw: Any, known: Mapping[str, Target]) -> PlanMessage:
     try:
         plan = msgspec.convert(raw, Plan)
     except msgspec.ValidationError as wrong:
@@ -57,4 +57,4 @@
         raise NotNow(409, f"{id_of(held)} is not at its end: resume it or give it up first")
     # Where others call a gateway is the owner's to know, not the tool's machine's.
     plan = msgspec.structs.replace(plan, targets=[known[t.name] for t in plan.targets])
-    return PlanWords(held.version if held is not None else 0, "go", msgspec.to_builtins(plan))
+    return PlanMessage(held.version if held is not None else 0, "go", msgspec.to_builtins(plan))
--- a/ledgehitch/fleet/onduty.py
+++ b/ledgehitch/fleet/onduty.py
@@ -12,7 +12,7 @@
 import msgspec
 import structlog
 
-from ledgehitch.daemon.facts import Fence, Fenced, PlanCall, PlanWords, Reload
+from ledgehitch.daemon.facts import Fence, Fenced, PlanCall, PlanMessage, Reload
 from ledgehitch.daemon.owning import Owning
 from ledgehitch.daemon.run import Daemon
 from ledgehitch.fleet.carry import Caller, Work, trusted
@@ -43,14 +43,14 @@
         self.owning, self.term = owning, term
 
     def post(self, target: Target, path: str, what: Reload | Fenced | None) -> Response:
-        if self.owning.owns(RESTARTS) != self.term:
+        if self.owning.owned_term(RESTARTS) != self.term:
             raise NotOwner
         assert isinstance(what, Fenced)  # all that the fleet itself does is
         what = msgspec.structs.replace(what, duty=RESTARTS, term=self.term, owner=self.owning.name)
         answer = super().post(target, path, what)
         known = answer.header("known-term") or ""
         if answer.status == 409 and known.isdigit() and int(known) > self.term:
-            self.owning.refused(RESTARTS, self.term, int(known), target.name)
+            self.owning.on_effect_refused(RESTARTS, self.term, int(known), target.name)
             raise NotOwner
         return answer
 
@@ -77,7 +77,7 @@
         self.loop, self.name, self.owning, self.client = loop, name, owning, client
         self.targets = targets
         self.term = 0
-        self.words: PlanWords | None = None  # as it lies with a majority
+        self.words: PlanMessage | None = None  # as it lies with a majority
         self.known = False  # whether a majority has told what it knows
         self.rolling: Rolling | None = None
         self.news = Event(loop)
@@ -115,7 +115,7 @@
     def _learn(self, caller: UnderTerm) -> None:
         """The latest plan that a majority knows of, left there again under this term: a former owner's word
         that comes later is refused by each of them."""
-        heard: dict[str, PlanWords | None] = {}
+        heard: dict[str, PlanMessage | None] = {}
         while len(heard) < majority(len(self.targets)):
             for target in self.targets:
                 if target.name not in heard:
@@ -127,18 +127,18 @@
             self._leave(caller, lambda _: last)
         self.known = True
 
-    def _hear(self, caller: UnderTerm, target: Target, heard: dict[str, PlanWords | None]) -> None:
+    def _hear(self, caller: UnderTerm, target: Target, heard: dict[str, PlanMessage | None]) -> None:
         try:
             if caller.state(target).status != 200:
                 return
             with self.loop.deadline(caller.within):
                 answer = self.client.request(target.at, "GET", f"/v1/plans?owner={self.name}")
             held = msgspec.json.decode(answer.body, type=dict[str, Any]).get("held")
-            heard[target.name] = msgspec.convert(held, PlanWords) if held is not None else None
+            heard[target.name] = msgspec.convert(held, PlanMessage) if held is not None else None
         except (TimedOut, ConnectFailed, Interrupted, ValueError) as why:
             log.debug("not heard", gateway=target.name, why=str(why))
 
-    def _leave(self, caller: UnderTerm, change: Callable[[PlanWords | None], PlanWords]) -> None:
+    def _leave(self, caller: UnderTerm, change: Callable[[PlanMessage | None], PlanMessage]) -> None:
         """With a majority, on their disks, before anything is done on it; tried until it is. One change at a
         time, each with a version of its own: one that was cut off may lie with some."""
         while self._changing is not None:
@@ -150,7 +150,7 @@
             self._changing = None
             done.set()
 
-    def _spread(self, caller: UnderTerm, words: PlanWords) -> None:
+    def _spread(self, caller: UnderTerm, words: PlanMessage) -> None:
         self._version = max(self._version, words.version) + 1
         new = msgspec.structs.replace(words, version=self._version)
         left: set[str] = set()
@@ -172,7 +172,7 @@
                 task.wait()
             if len(left) >= majority(len(self.targets)):
                 break
-            if self.owning.owns(RESTARTS) != self.term:
+            if self.owning.owned_term(RESTARTS) != self.term:
                 raise NotOwner
             self.loop.sleep(AGAIN)
         self.words = new
@@ -205,7 +205,7 @@
             task.cancel()  # an operator's word: what is under way comes back by itself
             return
         result = ends[0]
-        if self.owning.owns(RESTARTS) != self.term:
+        if self.owning.owned_term(RESTARTS) != self.term:
             raise NotOwner
         word: Any = "ended" if result.ended else "stopped"
         self._leave(caller, lambda now: msgspec.structs.replace(now or words, word=word, why=result.why))
@@ -269,5 +269,5 @@
         client = trusted(daemon.loop, keys, keys.directory / f"{daemon.name}.pem", names)
     assert daemon.admin.owning is not None
     work = Restarts(daemon.loop, daemon.name, targets, daemon.admin.owning, client)
-    daemon.admin.planned = work.planned
+    daemon.admin.on_plan_call = work.planned
     return work
--- a/ledgehitch/scale/hollow.py
+++ b/ledgehitch/scale/hollow.py
@@ -137,7 +137,7 @@
         try:
             membership = Membership(self.loop, self.site, name, self.ring, self.state, seed + 4)
             owning = Owning(self.loop, self.site, name, membership, self.state, seed + 5)
-            owning.serves = lambda: True
+            owning.is_serving = lambda: True
             budgeting: Budgeting | None = None
             if lends(self.site):
                 needs = StatedNeeds(self.site, self.share)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
 from benchmarks.fuzz import Fed
 from ledgehitch.config import BadInput
 from ledgehitch.daemon.admin import Admin
-from ledgehitch.daemon.facts import VERSION, Counts, HostSeen, PlanCall, PlanWords, Role, State
+from ledgehitch.daemon.facts import VERSION, Counts, HostSeen, PlanCall, PlanMessage, Role, State
 from ledgehitch.daemon.life import (
     Admit,
     AnnounceLeave,
@@ -38,7 +38,7 @@
 from ledgehitch.daemon.place import Place, holder
 from ledgehitch.daemon.plans import Plans
 from ledgehitch.daemon.supervisor import Supervisor
-from ledgehitch.daemon.why import told
+from ledgehitch.daemon.why import explain_entries
 from ledgehitch.fleet.carry import Caller
 from ledgehitch.fleet.found import Found, Target, judged
 from ledgehitch.fleet.held import NotNow, after, id_of, latest
@@ -166,12 +166,12 @@
     words = [sys.executable, "-c", TAKES_IT, str(tmp_path / "state")]
     second = subprocess.run(words, capture_output=True, text=True, cwd=ROOT)
     assert second.returncode == 1 and f"runs already, as process {os.getpid()}" in second.stderr
-    place.let_go()
+    place.release()
     killed = subprocess.run(words, capture_output=True, text=True, cwd=ROOT)
     assert killed.returncode == 0 and holder(tmp_path / "state", "g0") == 0
     after = Place(tmp_path / "state", "g0")
     assert after.stale > 0 and (tmp_path / "state").stat().st_mode & 0o077 == 0
-    after.let_go()
+    after.release()
     assert Place(tmp_path / "state", "g0").stale == 0
 
 
@@ -179,11 +179,11 @@
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock:
         sock.bind(str(tmp_path / "notify"))
         there = Supervisor({"NOTIFY_SOCKET": str(tmp_path / "notify"), "WATCHDOG_USEC": "4000000"})
-        there.say("READY=1")
+        there.notify("READY=1")
         assert sock.recv(100) == b"READY=1" and there.every == 2.0
-    there.say("STOPPING=1")
+    there.notify("STOPPING=1")
     assert there.refused == 1
-    Supervisor({}).say("READY=1")
+    Supervisor({}).notify("READY=1")
     assert Supervisor({"WATCHDOG_USEC": "4000000", "WATCHDOG_PID": "1"}).every == 0.0
 
 
@@ -226,7 +226,7 @@
         ["told", 5.0, 7, "h2", 1, 0.8],
         ["pulled", 5.0, [["SetRung", 7, 1]]],
     ]
-    lines = [line.split("  ", 1)[1] for line in told(entries, 7)]
+    lines = [line.split("  ", 1)[1] for line in explain_entries(entries, 7)]
     assert lines == [
         "asked for clip-1 as recorded, held by cells 2 to 4, rungs up to 3, patience up to 4.000",
         "-> tune in at h1, answer wanted within 0.500 s",
@@ -236,7 +236,7 @@
         "h2 says: share delivered 0.8",
         "-> rung 1",
     ]
-    assert told(entries, 8)[-1].endswith("-> blocked, come again in 2.0 s")
+    assert explain_entries(entries, 8)[-1].endswith("-> blocked, come again in 2.0 s")
 
 
 # ---- what a gateway turned out to be -----------------------------------------------------------------------
@@ -603,7 +603,7 @@
     known = {t.name: msgspec.structs.replace(t, at=f"unix:via/{t.name}") for t in TARGETS}
     raw = msgspec.to_builtins(Plan("p", "restart", TARGETS[:2]))
 
-    def said(held: PlanWords | None, do: Any, plan: Any = None) -> Any:
+    def said(held: PlanMessage | None, do: Any, plan: Any = None) -> Any:
         try:
             return after(held, PlanCall(do, plan), known)
         except NotNow as why:
@@ -635,9 +635,9 @@
 
 def test_a_plan_that_was_left_is_kept_and_an_older_or_strange_one_is_not(tmp_path: Path) -> None:
     plans = Plans(tmp_path / "g0.plan")
-    words = PlanWords(duty="restarts", term=4, owner="g1", version=2, word="go", plan={"id": "p"})
-    assert plans.taken(words) and not plans.taken(msgspec.structs.replace(words, term=3, version=9))
-    assert plans.taken(msgspec.structs.replace(words, term=4, version=3, word="stopped"))
+    words = PlanMessage(duty="restarts", term=4, owner="g1", version=2, word="go", plan={"id": "p"})
+    assert plans.accept(words) and not plans.accept(msgspec.structs.replace(words, term=3, version=9))
+    assert plans.accept(msgspec.structs.replace(words, term=4, version=3, word="stopped"))
     again = Plans(tmp_path / "g0.plan")
     assert again.held == msgspec.structs.replace(words, version=3, word="stopped")
     whole = (tmp_path / "g0.plan.0").read_bytes()
@@ -645,7 +645,7 @@
         (tmp_path / "g0.plan.0").write_bytes(whole[:cut])
         assert Plans(tmp_path / "g0.plan").held is None
     other = Plans(tmp_path / "g0.plan")
-    other.keep.write({"version": 2, "plan": {}})
+    other.store.write({"version": 2, "plan": {}})
     strange = Plans(tmp_path / "g0.plan")
     assert strange.held is None and "it is of version 2" in strange.why
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -160,23 +160,23 @@
             loop.sleep(0.02)
             if first.members.counts["answered"] and second.members.counts["answered"]:
                 break
-        assert first.told()["g1"] == second.told()["g0"] == "alive"
+        assert first.statuses()["g1"] == second.statuses()["g0"] == "alive"
         assert first.frames.rejected.get("mac", 0) + second.frames.rejected.get("mac", 0) > 0
         assert stranger.members.counts["answered"] == 0
         first.leave(back_soon=False)
         for _ in range(200):
             loop.sleep(0.02)
-            if second.told()["g0"] == "left":
+            if second.statuses()["g0"] == "left":
                 break
-        assert second.told()["g0"] == "left" and not second.there("g0")
+        assert second.statuses()["g0"] == "left" and not second.is_alive("g0")
         first.close()
         again = Membership(loop, updates, "g0", [key], tmp_path / "0", 1)
         assert again.life == 2
         for _ in range(200):
             loop.sleep(0.02)
-            if second.told()["g0"] == "alive":
+            if second.statuses()["g0"] == "alive":
                 break
-        assert second.told()["g0"] == "alive"
+        assert second.statuses()["g0"] == "alive"
 
     loop.run(main)
 
