--- a/ledgehitch/fleet/carry.py
+++ b/ledgehitch/fleet/carry.py
@@ -18,8 +18,8 @@
     RollingChange,
 )
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Response
-from ledgehitch.keys.contexts import context
-from ledgehitch.keys.judge import Refused, shown, taken
+from ledgehitch.keys.contexts import tls_context
+from ledgehitch.keys.judge import CertificateRejected, authorize, parse_certificate
 from ledgehitch.keys.store import Keys
 from ledgehitch.loop import Event, Loop, TimedOut
 
@@ -100,11 +100,17 @@
     def judge(address: str, shown_der: bytes) -> None:
         """Guards against an impostor at a gateway's address: it must show that gateway's certificate."""
         try:
-            taken(shown(shown_der), time.time(), ("gateway",), keys.revoked(), names.get(address, ""))
-        except Refused as why:
+            authorize(
+                parse_certificate(shown_der),
+                time.time(),
+                ("gateway",),
+                keys.revoked(),
+                names.get(address, ""),
+            )
+        except CertificateRejected as why:
             raise ConnectFailed(str(why)) from None
 
-    return Client(loop, context(keys.ca, certificate, False), judge)
+    return Client(loop, tls_context(keys.ca, certificate, False), judge)
 
 
 class Lines(Protocol):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,13 +23,22 @@
 from benchmarks.fuzz import Fed
 from ledgehitch.config import BadInput
 from ledgehitch.daemon.admin import Admin
-from ledgehitch.daemon.facts import VERSION, Counts, HostSeen, PlanCall, PlanWords, Role, State
-from ledgehitch.daemon.life import Admit, EndAll, Exit, Leave, Life, Prove, Say, Then
+from ledgehitch.daemon.facts import VERSION, Counts, HostSeen, PlanCall, PlanMessage, Role, State
+from ledgehitch.daemon.life import (
+    Admit,
+    AnnounceLeave,
+    CheckStart,
+    EndAllViewings,
+    Exit,
+    Life,
+    NotifySupervisor,
+    Then,
+)
 from ledgehitch.daemon.logfile import LogFile
 from ledgehitch.daemon.place import Place, holder
 from ledgehitch.daemon.plans import Plans
 from ledgehitch.daemon.supervisor import Supervisor
-from ledgehitch.daemon.why import told
+from ledgehitch.daemon.why import explain_entries
 from ledgehitch.fleet.carry import Caller
 from ledgehitch.fleet.found import QueryResult, Target, classify_answer
 from ledgehitch.fleet.held import NotNow, after, id_of, latest
@@ -76,52 +85,52 @@
 
 def test_a_drain_waits_for_what_plays_and_ends_the_rest_at_its_limit() -> None:
     life = Life(T, 3.0)
-    life.serves(T)
-    assert pulled(life, T) == [Admit(True), Say("READY=1\nSTATUS=serves")]
-    life.held(T, 5)
+    life.on_serving(T)
+    assert pulled(life, T) == [Admit(True), NotifySupervisor("READY=1\nSTATUS=serves")]
+    life.on_viewing_count(T, 5)
     assert life.drain(T, 10.0, "restart", "plan-1/g0") and life.phase == "draining"
     assert pulled(life, T)[:1] == [Admit(False)] and pulled(life, T + 9.9) == []
-    assert pulled(life, T + 10.0) == [EndAll()] and str(life.phase) == "ending"
-    life.held(T + 10.05, 1)  # it was owed its answer when the limit passed
-    assert pulled(life, T + 10.2) == [EndAll()]
-    life.held(T + 10.3, 0)
-    assert pulled(life, T + 10.4) == [Prove()] and str(life.phase) == "drained"
-    life.proven(T + 11, True)
-    assert pulled(life, T + 11) == [Leave(True), Exit(0, True)] and str(life.phase) == "over"
+    assert pulled(life, T + 10.0) == [EndAllViewings()] and str(life.phase) == "ending"
+    life.on_viewing_count(T + 10.05, 1)  # it was owed its answer when the limit passed
+    assert pulled(life, T + 10.2) == [EndAllViewings()]
+    life.on_viewing_count(T + 10.3, 0)
+    assert pulled(life, T + 10.4) == [CheckStart()] and str(life.phase) == "drained"
+    life.on_start_check(T + 11, True)
+    assert pulled(life, T + 11) == [AnnounceLeave(True), Exit(0, True)] and str(life.phase) == "over"
     assert not life.drain(T + 11, 0.0, "stop", "late") and pulled(life, T + 20) == []
 
 
 def test_a_drain_is_never_weakened_and_only_one_that_stays_is_taken_back() -> None:
     life = Life(T, 3.0)
-    life.serves(T)
-    life.held(T, 1)
+    life.on_serving(T)
+    life.on_viewing_count(T, 1)
     assert life.drain(T, 100.0, "stay", "an operator")
     assert not life.drain(T, 200.0, "stay", "another"), "longer changes nothing"
-    assert life.drain(T, 50.0, "stay", "shorter") and life.limit == T + 50.0
+    assert life.drain(T, 50.0, "stay", "shorter") and life.drain_deadline == T + 50.0
     assert life.undrain(T + 1) and life.phase == "ready" and pulled(life, T + 1)[-2:][0] == Admit(True)
     assert life.drain(T + 2, 9.0, "stop", "SIGTERM") and not life.undrain(T + 3)
     assert not life.drain(T + 3, 90.0, "restart", "weaker") and life.then == "stop"
     assert life.drain(T + 4, 0.0, "stop", "SIGTERM again"), "a second one hurries"
-    assert EndAll() in pulled(life, T + 4)
+    assert EndAllViewings() in pulled(life, T + 4)
     assert Exit(0, False) in pulled(life, T + 4 + 3.0 + 1.1), "one that never ends does not hold it for good"
 
 
 def test_a_life_whose_successor_does_not_start_goes_on() -> None:
     life = Life(T, 3.0)
-    life.serves(T)
+    life.on_serving(T)
     life.drain(T, 0.0, "restart", "p/g0")
-    assert Prove() in pulled(life, T)
-    life.proven(T + 1, False, "it does not start")
+    assert CheckStart() in pulled(life, T)
+    life.on_start_check(T + 1, False, "it does not start")
     assert Admit(True) in pulled(life, T + 1) and life.phase == "ready" and life.why == "it does not start"
-    assert life.drain(T + 2, 0.0, "restart", "again") and Prove() in pulled(life, T + 2)
+    assert life.drain(T + 2, 0.0, "restart", "again") and CheckStart() in pulled(life, T + 2)
     assert life.drain(T + 3, 0.0, "stop", "SIGTERM") and Exit(0, False) in pulled(life, T + 3)
-    life.proven(T + 4, True)
+    life.on_start_check(T + 4, True)
     assert pulled(life, T + 4) == [], "it was told to stop meanwhile"
 
 
 def test_a_drained_gateway_stays_and_takes_viewings_again() -> None:
     life = Life(T, 3.0)
-    life.serves(T)
+    life.on_serving(T)
     life.drain(T, 5.0, "stay", "x")
     pulled(life, T)
     assert life.phase == "drained" and life.wake_at() is None
@@ -137,7 +146,7 @@
         now += chance.choice([0.0, 0.05, 1.0, 4.0])
         match chance.randrange(7):
             case 0:
-                life.serves(now)
+                life.on_serving(now)
             case 1:
                 then = chance.choice(THENS)
                 life.drain(now, chance.choice([0.0, 2.0, 60.0]), then, "w")
@@ -145,7 +154,7 @@
                 life.undrain(now)
             case _:
                 held = max(0, held + chance.choice([-2, -1, 1]) if admits else held - chance.randrange(2))
-                life.held(now, held)
+                life.on_viewing_count(now, held)
         while (decision := life.decide(now)) is not None:
             assert over == 0, "nothing after the end"
             match decision:
@@ -154,10 +163,10 @@
                 case Exit():
                     over += 1
                     assert not admits
-                case EndAll():
+                case EndAllViewings():
                     assert life.phase == "ending" and held
-                case Prove() if chance.random() < 0.8:
-                    life.proven(now, chance.random() < 0.5, "x")
+                case CheckStart() if chance.random() < 0.8:
+                    life.on_start_check(now, chance.random() < 0.5, "x")
         assert admits == (life.phase == "ready")
 
 
@@ -167,12 +176,12 @@
     words = [sys.executable, "-c", TAKES_IT, str(tmp_path / "state")]
     second = subprocess.run(words, capture_output=True, text=True, cwd=ROOT)
     assert second.returncode == 1 and f"runs already, as process {os.getpid()}" in second.stderr
-    place.let_go()
+    place.release()
     killed = subprocess.run(words, capture_output=True, text=True, cwd=ROOT)
     assert killed.returncode == 0 and holder(tmp_path / "state", "g0") == 0
     after = Place(tmp_path / "state", "g0")
     assert after.stale > 0 and (tmp_path / "state").stat().st_mode & 0o077 == 0
-    after.let_go()
+    after.release()
     assert Place(tmp_path / "state", "g0").stale == 0
 
 
@@ -180,11 +189,11 @@
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock:
         sock.bind(str(tmp_path / "notify"))
         there = Supervisor({"NOTIFY_SOCKET": str(tmp_path / "notify"), "WATCHDOG_USEC": "4000000"})
-        there.say("READY=1")
+        there.notify("READY=1")
         assert sock.recv(100) == b"READY=1" and there.every == 2.0
-    there.say("STOPPING=1")
+    there.notify("STOPPING=1")
     assert there.refused == 1
-    Supervisor({}).say("READY=1")
+    Supervisor({}).notify("READY=1")
     assert Supervisor({"WATCHDOG_USEC": "4000000", "WATCHDOG_PID": "1"}).every == 0.0
 
 
@@ -227,7 +236,7 @@
         ["told", 5.0, 7, "h2", 1, 0.8],
         ["pulled", 5.0, [["SetRung", 7, 1]]],
     ]
-    lines = [line.split("  ", 1)[1] for line in told(entries, 7)]
+    lines = [line.split("  ", 1)[1] for line in explain_entries(entries, 7)]
     assert lines == [
         "asked for clip-1 as recorded, held by cells 2 to 4, rungs up to 3, patience up to 4.000",
         "-> tune in at h1, answer wanted within 0.500 s",
@@ -237,7 +246,7 @@
         "h2 says: share delivered 0.8",
         "-> rung 1",
     ]
-    assert told(entries, 8)[-1].endswith("-> blocked, come again in 2.0 s")
+    assert explain_entries(entries, 8)[-1].endswith("-> blocked, come again in 2.0 s")
 
 
 # ---- what a gateway turned out to be -----------------------------------------------------------------------
@@ -604,7 +613,7 @@
     known = {t.name: msgspec.structs.replace(t, at=f"unix:via/{t.name}") for t in TARGETS}
     raw = msgspec.to_builtins(Plan("p", "restart", TARGETS[:2]))
 
-    def said(held: PlanWords | None, do: Any, plan: Any = None) -> Any:
+    def said(held: PlanMessage | None, do: Any, plan: Any = None) -> Any:
         try:
             return after(held, PlanCall(do, plan), known)
         except NotNow as why:
@@ -636,9 +645,9 @@
 
 def test_a_plan_that_was_left_is_kept_and_an_older_or_strange_one_is_not(tmp_path: Path) -> None:
     plans = Plans(tmp_path / "g0.plan")
-    words = PlanWords(duty="restarts", term=4, owner="g1", version=2, word="go", plan={"id": "p"})
-    assert plans.taken(words) and not plans.taken(msgspec.structs.replace(words, term=3, version=9))
-    assert plans.taken(msgspec.structs.replace(words, term=4, version=3, word="stopped"))
+    words = PlanMessage(duty="restarts", term=4, owner="g1", version=2, word="go", plan={"id": "p"})
+    assert plans.accept(words) and not plans.accept(msgspec.structs.replace(words, term=3, version=9))
+    assert plans.accept(msgspec.structs.replace(words, term=4, version=3, word="stopped"))
     again = Plans(tmp_path / "g0.plan")
     assert again.held == msgspec.structs.replace(words, version=3, word="stopped")
     whole = (tmp_path / "g0.plan.0").read_bytes()
@@ -646,7 +655,7 @@
         (tmp_path / "g0.plan.0").write_bytes(whole[:cut])
         assert Plans(tmp_path / "g0.plan").held is None
     other = Plans(tmp_path / "g0.plan")
-    other.keep.write({"version": 2, "plan": {}})
+    other.store.write({"version": 2, "plan": {}})
     strange = Plans(tmp_path / "g0.plan")
     assert strange.held is None and "it is of version 2" in strange.why
 
@@ -1078,7 +1087,7 @@
                 return why.status, why.detail
             return answer.status, answer.body.decode()
 
-        life.serves(time.monotonic())
+        life.on_serving(time.monotonic())
         assert call("GET", "/v1/state")[0] == 200 and call("GET", "/v1/hosts", role="look")[0] == 200
         limits = json.loads(call("GET", "/v1/limits")[1])
         assert limits["door"] is None and limits["terms"]["tune_ins"] == 3
