--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -18,7 +18,7 @@
 
 from ledgehitch.config import BadInput
 from ledgehitch.daemon.facts import Drain, Fence, PlanCall, PlanMessage, Reload, State
-from ledgehitch.fleet.journal import _read, _sum
+from ledgehitch.fleet.journal import _checksum, _decode
 from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.http import Refused
 from ledgehitch.http.parse import RequestReader
@@ -65,7 +65,7 @@
         news = tuple(MemberStatus(n, 1 << 16, "alive") for n in range(8))
         self.words = encode(MembershipMessage("ask", 1, 0, news))
         line = json.dumps({"ev": "done", "gateway": "g0"})
-        self.journal = f"{_sum('', line)} {line}\n".encode() * 1
+        self.journal = f"{_checksum('', line)} {line}\n".encode() * 1
         self.drain = msgspec.json.encode(Drain(3.0, "restart", "t", "b"))
         duty = Duty("ask", 0, 1, 1, name_digest("g0"), b"abcd", b"\0" * 4)
         self.duty_words = [duty_written(duty._replace(kind=kind, terms=(1, 2))) for kind in DUTY_KINDS]
@@ -109,7 +109,7 @@
 
     def plan(self) -> None:
         with contextlib.suppress(BadInput):
-            _read(spoilt(self.journal, self.chance), Path("journal"))
+            _decode(spoilt(self.journal, self.chance), Path("journal"))
 
     def http(self) -> None:
         reader = RequestReader(16384, 65536)
--- a/ledgehitch/cli/daemon.py
+++ b/ledgehitch/cli/daemon.py
@@ -9,7 +9,7 @@
 from ledgehitch.daemon.logfile import LogFile
 from ledgehitch.daemon.run import run_daemon
 from ledgehitch.daemon.why import explain_viewing
-from ledgehitch.fleet.onduty import restarts_of
+from ledgehitch.fleet.onduty import create_restarts_duty
 from ledgehitch.gateway.versions import load_start_version
 from ledgehitch.keys.store import Keys
 
@@ -49,7 +49,7 @@
     """
     site, name, source = load_start_version(site_file, name, state)
     bearer = Keys(keys) if keys is not None else None
-    sys.exit(run_daemon(site, name, seed, state, record, source, logfile, bearer, restarts_of))
+    sys.exit(run_daemon(site, name, seed, state, record, source, logfile, bearer, create_restarts_duty))
 
 
 @click.command("why")
--- a/ledgehitch/cli/fleet.py
+++ b/ledgehitch/cli/fleet.py
@@ -15,16 +15,16 @@
 from ledgehitch.config import BadInput, Site, read_site
 from ledgehitch.config.site import stated
 from ledgehitch.daemon.facts import PlanCall, PlanMessage
-from ledgehitch.fleet.carry import WITHIN, Caller, Work, trusted
+from ledgehitch.fleet.carry import ANSWER_TIMEOUT_S, Caller, PlanRunner, verifying_client
 from ledgehitch.fleet.found import QueryResult, Target, count_by_kind
-from ledgehitch.fleet.held import id_of, latest
-from ledgehitch.fleet.journal import Journal, head_of, lines_of, plan_of, unfinished
-from ledgehitch.fleet.owned import Said, cannot_vote, owned
-from ledgehitch.fleet.owned import read as read_owners
+from ledgehitch.fleet.held import latest_plan, plan_id_of
+from ledgehitch.fleet.journal import Journal, head_line, plan_at_head, read_lines, unfinished_journals
+from ledgehitch.fleet.owned import OwnersAnswer, summarize_duties, voting_problems
+from ledgehitch.fleet.owned import decode_answer as read_owners
 from ledgehitch.fleet.plan import Action, Finished, Plan, RollingChange, Terms, preview_groups
-from ledgehitch.fleet.shared import Told, divided, remarks
-from ledgehitch.fleet.shared import read as read_budgets
-from ledgehitch.fleet.show import COLOURS, line_words
+from ledgehitch.fleet.shared import BudgetReport, remarks, summarize_budgets
+from ledgehitch.fleet.shared import decode_report as read_budgets
+from ledgehitch.fleet.show import KIND_COLOURS, format_line
 from ledgehitch.gateway.versions import compile_site
 from ledgehitch.http import ConnectFailed, Interrupted
 from ledgehitch.http.client import TLS
@@ -73,7 +73,7 @@
         if self.cert is None:
             return Caller(loop, self.within)
         names = {t.at: t.name for t in self.targets()}
-        client = trusted(loop, Keys(self.cert.parent), self.cert, names)
+        client = verifying_client(loop, Keys(self.cert.parent), self.cert, names)
         return Caller(loop, self.within, client)
 
     def found(self, only: tuple[str, ...] = ()) -> list[QueryResult]:
@@ -104,9 +104,9 @@
         loop.run(main)
         return [found[t.name] for t in self.targets(only)]
 
-    def said(self) -> list[Said]:
+    def said(self) -> list[OwnersAnswer]:
         return [
-            read_owners(name, status, body) if status else Said(name, None, body.decode())
+            read_owners(name, status, body) if status else OwnersAnswer(name, None, body.decode())
             for name, status, body, _ in self.asked("GET", "/v1/owners")
         ]
 
@@ -153,7 +153,7 @@
 @click.option(
     "--within",
     type=click.FloatRange(0.01, 600),
-    default=WITHIN,
+    default=ANSWER_TIMEOUT_S,
     show_default=True,
     help="Seconds for one gateway's answer.",
 )
@@ -198,7 +198,7 @@
     )
     for f in found:
         t, s = targets[f.name], f.state
-        row = [f.name, t.zone, t.rack, f"[{COLOURS.get(f.kind, 'bold red')}]{f.kind}[/]"]
+        row = [f.name, t.zone, t.rack, f"[{KIND_COLOURS.get(f.kind, 'bold red')}]{f.kind}[/]"]
         if s is None:
             row += ["-"] * 6
         else:
@@ -285,11 +285,11 @@
             said = work.planned(PlanCall("begin", msgspec.to_builtins(plan)))
             click.echo(f"{said['id']} lies with a majority, the fleet carries it out: `fleet plan status`")
             return
-        older = unfinished(work.plans) if work.plans.is_dir() else []
+        older = unfinished_journals(work.plans) if work.plans.is_dir() else []
         if older:
             raise BadInput(f"{older[-1]} is not at its end: `fleet resume` or `fleet give-up` first")
         journal = Journal(work.plans / f"{plan.id}.journal", work.lock())
-        journal.append(head_of(plan))
+        journal.append(head_line(plan))
         _work(work, journal, plan)
 
     return command
@@ -316,7 +316,7 @@
     """Who does the work that one gateway at a time does for all. Exit code 1 where a duty has no owner that
     is known."""
     said = work.said()
-    found = owned(said, work.regions())
+    found = summarize_duties(said, work.regions())
     if as_json:
         answers = {s.name: s.state if s.state is not None else {"silent": s.why} for s in said}
         click.echo(msgspec.json.encode({"duties": found, "gateways": answers}).decode())
@@ -327,7 +327,7 @@
             why = f.why or f.standstill
             table.add_row(f.duty, f.kind, f.owner or "-", str(f.term), left, f.doing, str(f.refused), why)
         Console(highlight=False, width=None if sys.stdout.isatty() else 160).print(table)
-        for line in cannot_vote(said):
+        for line in voting_problems(said):
             click.echo(line)
     sys.exit(0 if found and all(f.kind == "owned" for f in found) else 1)
 
@@ -339,14 +339,14 @@
 def budgets(work: Fleet, as_json: bool, by_gateway: bool) -> None:
     """How the limits of the whole fleet are divided: own parts, loans, what is used and what is wanted. Exit
     code 1 where a gateway has its own part alone, is silent, or sums do not add up."""
-    told, silent = dict[str, Told](), list[tuple[str, str]]()
+    told, silent = dict[str, BudgetReport](), list[tuple[str, str]]()
     for name, status, body, _ in work.asked("GET", "/v1/budgets"):
         one = read_budgets(body) if status == 200 else _detail(body) or f"it answers {status}"
         if isinstance(one, str):
             silent.append((name, one))
         else:
             told[name] = one
-    found, lines = divided(told), remarks(told, silent)
+    found, lines = summarize_budgets(told), remarks(told, silent)
     if as_json:
         click.echo(msgspec.json.encode({"budgets": found, "gateways": told, "silent": silent}).decode())
     else:
@@ -387,8 +387,8 @@
                 held.append(msgspec.convert(words, PlanMessage))
         except (msgspec.MsgspecError, KeyError):
             silent.append(name)
-    last = latest(held)
-    doing = next((f.doing for f in owned(work.said()) if f.duty == "restarts"), "")
+    last = latest_plan(held)
+    doing = next((f.doing for f in summarize_duties(work.said()) if f.duty == "restarts"), "")
     with_it = [w for w in held if last is not None and w.order() == last.order()]
     out = {
         "plan": msgspec.to_builtins(last) if last else None,
@@ -404,7 +404,7 @@
     else:
         why = f", {last.why}" if last.why else ""
         there = f"with {len(with_it)} of {len(answers)} gateways"
-        click.echo(f"{id_of(last)}: {last.word}{why}; {there}")
+        click.echo(f"{plan_id_of(last)}: {last.word}{why}; {there}")
         click.echo(doing or "no owner is known now: it stands still")
     sys.exit(0 if len(silent) * 2 < len(answers) else 1)
 
@@ -427,10 +427,10 @@
     rolling = RollingChange(time.monotonic(), plan, journal.lines[1:])
 
     def tell(line: dict[str, Any]) -> None:
-        click.echo(line_words(line))
+        click.echo(format_line(line))
 
     try:
-        over: Finished = loop.run(lambda: Work(loop, work.caller(loop), journal, rolling, tell).run())
+        over: Finished = loop.run(lambda: PlanRunner(loop, work.caller(loop), journal, rolling, tell).run())
     finally:
         journal.close()
     click.echo(", ".join(f"{n} {step}" for step, n in sorted(rolling.count_by_step().items())))
@@ -447,7 +447,7 @@
     """Go on with a plan that was cut off or stopped, the newest one if none is named."""
     path = _newest(work, journal_file)
     journal = Journal(path, work.lock())
-    plan = plan_of(journal.lines, path)
+    plan = plan_at_head(journal.lines, path)
     if again:
         journal.append({"ev": "again"})
     _work(work, journal, plan)
@@ -466,7 +466,7 @@
 def _newest(work: Fleet, named: Path | None) -> Path:
     if named is not None:
         return named
-    older = unfinished(work.plans) if work.plans.is_dir() else []
+    older = unfinished_journals(work.plans) if work.plans.is_dir() else []
     if not older:
         raise BadInput(f"{work.plans}: no plan is under way")
     return older[-1]
@@ -482,15 +482,15 @@
     path = journal_file or (found[-1] if found else None)
     if path is None:
         raise BadInput(f"{work.plans}: no journals")
-    for line in lines_of(path):
+    for line in read_lines(path):
         if as_json:
             click.echo(json.dumps(line))
         elif line["ev"] == "plan":
-            plan = plan_of([line], path)
+            plan = plan_at_head([line], path)
             click.echo(f"{plan.id}: {plan.action} of {len(plan.targets)} gateways")
         else:
             at = time.strftime("%H:%M:%S", time.gmtime(line.get("t", 0)))
-            click.echo(f"{at}  {line_words(line)}")
+            click.echo(f"{at}  {format_line(line)}")
 
 
 @fleet.command()
@@ -522,6 +522,6 @@
         if child.returncode not in (0, 1):
             raise ValueError(err.decode("utf-8", "replace").strip()[-200:])
         newest = sorted(work.plans.glob("*.journal"))
-        return msgspec.json.decode(out, type=list[QueryResult]), lines_of(newest[-1]) if newest else []
+        return msgspec.json.decode(out, type=list[QueryResult]), read_lines(newest[-1]) if newest else []
 
     FleetScreen(feed, {t.name: t.zone for t in work.targets()}, every).run()
--- a/ledgehitch/fleet/carry.py
+++ b/ledgehitch/fleet/carry.py
@@ -23,15 +23,15 @@
 from ledgehitch.keys.store import Keys
 from ledgehitch.loop import Event, Loop, TimedOut
 
-WITHIN = 1.5  # seconds for one gateway's answer
-AT_ONCE = 256  # questions on their way
-LOOKED_OVER = 2.0  # seconds between two looks at all gateways, for the joins
+ANSWER_TIMEOUT_S = 1.5  # seconds for one gateway's answer
+MAX_CONCURRENT_QUERIES = 256  # questions on their way
+JOIN_SAMPLE_INTERVAL_S = 2.0  # seconds between two looks at all gateways, for the joins
 
 
 class Caller:
     """Calls gateways by the admin call."""
 
-    def __init__(self, loop: Loop, within: float = WITHIN, client: Client | None = None) -> None:
+    def __init__(self, loop: Loop, within: float = ANSWER_TIMEOUT_S, client: Client | None = None) -> None:
         self.loop, self.within, self.client = loop, within, client or Client(loop)
 
     def ask(self, target: Target) -> QueryResult:
@@ -65,7 +65,7 @@
                 target = left.pop()
                 found[target.name] = self.ask(target)
 
-        tasks = [self.loop.spawn(some, name="ask") for _ in range(min(AT_ONCE, len(targets)))]
+        tasks = [self.loop.spawn(some, name="ask") for _ in range(min(MAX_CONCURRENT_QUERIES, len(targets)))]
         for task in tasks:
             task.wait()
         return [found[t.name] for t in targets]
@@ -93,7 +93,7 @@
             return self.client.request(target.at, "POST", f"/v1/{path}", None, body)
 
 
-def trusted(loop: Loop, keys: Keys, certificate: Path, names: Mapping[str, str]) -> Client:
+def verifying_client(loop: Loop, keys: Keys, certificate: Path, names: Mapping[str, str]) -> Client:
     """A client that shows this certificate and takes gateways' own alone. `names`: by address, who must
     answer there."""
 
@@ -113,20 +113,20 @@
     return Client(loop, tls_context(keys.ca, certificate, False), judge)
 
 
-class Lines(Protocol):
+class LineSink(Protocol):
     """A journal, or what stands in its place."""
 
     def append(self, line: Mapping[str, Any]) -> None: ...
 
 
-class Work:
+class PlanRunner:
     """One plan at work. `tell` gets each line of the journal, for people."""
 
     def __init__(
         self,
         loop: Loop,
         caller: Caller,
-        journal: Lines,
+        journal: LineSink,
         rolling: RollingChange,
         tell: Callable[[dict[str, Any]], None],
     ) -> None:
@@ -172,12 +172,12 @@
                 joins.add(found)
                 self.rolling.joins.add(found)
             if look == 0:
-                self.loop.sleep(min(LOOKED_OVER, self.rolling.plan.terms.settle))
+                self.loop.sleep(min(JOIN_SAMPLE_INTERVAL_S, self.rolling.plan.terms.settle))
         self.rolling.on_baseline_measured(joins)
 
     def _watch(self) -> None:
         while True:
-            self.loop.sleep(LOOKED_OVER)
+            self.loop.sleep(JOIN_SAMPLE_INTERVAL_S)
             for found in self.caller.ask_all(list(self.targets.values())):
                 self.rolling.joins.add(found)
 
--- a/ledgehitch/fleet/journal.py
+++ b/ledgehitch/fleet/journal.py
@@ -17,7 +17,7 @@
 from ledgehitch.config import BadInput
 from ledgehitch.fleet.plan import Plan
 
-SUM = 16  # hexadecimal digits
+CHECKSUM_DIGITS = 16  # hexadecimal digits
 
 
 class Journal:
@@ -36,14 +36,14 @@
         os.ftruncate(self._lock, 0)
         os.pwrite(self._lock, f"process {os.getpid()}, journal {path}".encode(), 0)
         self._fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        self.lines, self._sum, whole = _read(os.pread(self._fd, os.fstat(self._fd).st_size, 0), path)
+        self.lines, self._sum, whole = _decode(os.pread(self._fd, os.fstat(self._fd).st_size, 0), path)
         os.ftruncate(self._fd, whole)  # a line that was cut off
         self._size = whole
 
     def append(self, line: Mapping[str, Any]) -> None:
         """The line is on disk when this returns; else it is not there, and nothing may be done on it."""
         text = json.dumps(line, sort_keys=True, separators=(",", ":"))
-        new = _sum(self._sum, text)
+        new = _checksum(self._sum, text)
         data = f"{new} {text}\n".encode()
         try:
             written = os.pwrite(self._fd, data, self._size)
@@ -64,18 +64,18 @@
         os.close(self._lock)
 
 
-def _sum(before: str, text: str) -> str:
-    return blake3(f"{before} {text}".encode()).hexdigest()[:SUM]
+def _checksum(before: str, text: str) -> str:
+    return blake3(f"{before} {text}".encode()).hexdigest()[:CHECKSUM_DIGITS]
 
 
-def _read(data: bytes, path: Path) -> tuple[list[dict[str, Any]], str, int]:
+def _decode(data: bytes, path: Path) -> tuple[list[dict[str, Any]], str, int]:
     """Lines, the sum of the last and where it ends."""
     lines: list[dict[str, Any]] = []
     last, at = "", 0
     for raw in data.splitlines(keepends=True):
         text = raw.decode("utf-8", "replace")
         found, _, rest = text.rstrip("\n").partition(" ")
-        if not text.endswith("\n") or found != _sum(last, rest):
+        if not text.endswith("\n") or found != _checksum(last, rest):
             if at + len(raw) >= len(data):
                 break  # cut off as it was written
             raise BadInput(f"{path}:{len(lines) + 1}: the line does not fit its checksum, it is damaged")
@@ -84,15 +84,15 @@
     return lines, last, at
 
 
-def lines_of(path: Path) -> list[dict[str, Any]]:
+def read_lines(path: Path) -> list[dict[str, Any]]:
     """The whole lines of a journal, for reading alone."""
     try:
-        return _read(path.read_bytes(), path)[0]
+        return _decode(path.read_bytes(), path)[0]
     except OSError as problem:
         raise BadInput(f"{path}: no journal: {problem.strerror}") from None
 
 
-def plan_of(lines: list[dict[str, Any]], path: Path) -> Plan:
+def plan_at_head(lines: list[dict[str, Any]], path: Path) -> Plan:
     """The plan at its head."""
     try:
         return msgspec.convert(lines[0]["plan"], Plan)
@@ -100,15 +100,15 @@
         raise BadInput(f"{path}: no plan at its head: {wrong}") from None
 
 
-def head_of(plan: Plan) -> dict[str, Any]:
+def head_line(plan: Plan) -> dict[str, Any]:
     return {"ev": "plan", "plan": msgspec.to_builtins(plan)}
 
 
-def unfinished(directory: Path) -> list[Path]:
+def unfinished_journals(directory: Path) -> list[Path]:
     """Journals of plans that are not at their end, newest last."""
     found = []
     for path in sorted(directory.glob("*.journal")):
-        lines = lines_of(path)
+        lines = read_lines(path)
         if lines and not any(line.get("ev") in ("ended", "given up") for line in lines):
             found.append(path)
     return found
--- a/ledgehitch/fleet/onduty.py
+++ b/ledgehitch/fleet/onduty.py
@@ -15,18 +15,18 @@
 from ledgehitch.daemon.facts import Fence, Fenced, PlanCall, PlanMessage, Reload
 from ledgehitch.daemon.owning import Owning
 from ledgehitch.daemon.run import Daemon
-from ledgehitch.fleet.carry import Caller, Work, trusted
+from ledgehitch.fleet.carry import Caller, PlanRunner, verifying_client
 from ledgehitch.fleet.found import QueryResult, Target, no_answer
-from ledgehitch.fleet.held import NotNow, after, id_of, latest
+from ledgehitch.fleet.held import CommandRefused, apply_command, latest_plan, plan_id_of
 from ledgehitch.fleet.plan import CallGateway, Finished, Plan, RollingChange
-from ledgehitch.fleet.show import line_words
+from ledgehitch.fleet.show import format_line
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Refused, Response
 from ledgehitch.http.client import TLS
 from ledgehitch.loop import Event, Loop, TimedOut
 from ledgehitch.owners.facts import RESTARTS, majority
 
-AGAIN = 0.5  # seconds until those who did not answer are asked again
-FOR_OTHERS = 3.0  # seconds that an operator's word may take to be with a majority
+RETRY_INTERVAL_S = 0.5  # seconds until those who did not answer are asked again
+MAJORITY_TIMEOUT_S = 3.0  # seconds that an operator's word may take to be with a majority
 log = structlog.get_logger("restarts")
 
 
@@ -34,7 +34,7 @@
     """The term is over; the task that hears it ends."""
 
 
-class UnderTerm(Caller):
+class TermCaller(Caller):
     """Asks and calls under a term: nothing goes out once the lease is over, and a gateway that knows a higher
     term ends it."""
 
@@ -72,7 +72,7 @@
             return 0, "no owner any more"
 
 
-class Restarts:
+class RestartsDuty:
     def __init__(self, loop: Loop, name: str, targets: list[Target], owning: Owning, client: Client) -> None:
         self.loop, self.name, self.owning, self.client = loop, name, owning, client
         self.targets = targets
@@ -91,16 +91,16 @@
         if words is None:
             return "no plan"
         if self.rolling is None or words.word != "go":
-            return f"{id_of(words)}: {words.word}" + (f", {words.why}" if words.why else "")
+            return f"{plan_id_of(words)}: {words.word}" + (f", {words.why}" if words.why else "")
         told = ", ".join(f"{n} {step}" for step, n in sorted(self.rolling.count_by_step().items()))
-        return f"{id_of(words)}: {told}"
+        return f"{plan_id_of(words)}: {told}"
 
     # ---- a term --------------------------------------------------------------------------------------------
 
     def run(self, term: int) -> None:
         self.term, self.words, self.known, self.rolling = term, None, False, None
         self._changing, self._version = None, 0
-        caller = UnderTerm(self.loop, self.client, self.owning, term)
+        caller = TermCaller(self.loop, self.client, self.owning, term)
         try:
             self._learn(caller)
             while True:
@@ -112,7 +112,7 @@
         except NotOwner:
             log.info("gives up, another may own it", term=term)
 
-    def _learn(self, caller: UnderTerm) -> None:
+    def _learn(self, caller: TermCaller) -> None:
         """The latest plan that a majority knows of, left there again under this term: a former owner's word
         that comes later is refused by each of them."""
         heard: dict[str, PlanMessage | None] = {}
@@ -121,13 +121,13 @@
                 if target.name not in heard:
                     self._hear(caller, target, heard)
             if len(heard) < majority(len(self.targets)):
-                self.loop.sleep(AGAIN)
-        last = latest(heard.values())
+                self.loop.sleep(RETRY_INTERVAL_S)
+        last = latest_plan(heard.values())
         if last is not None:
             self._leave(caller, lambda _: last)
         self.known = True
 
-    def _hear(self, caller: UnderTerm, target: Target, heard: dict[str, PlanMessage | None]) -> None:
+    def _hear(self, caller: TermCaller, target: Target, heard: dict[str, PlanMessage | None]) -> None:
         try:
             if caller.state(target).status != 200:
                 return
@@ -138,7 +138,7 @@
         except (TimedOut, ConnectFailed, Interrupted, ValueError) as why:
             log.debug("not heard", gateway=target.name, why=str(why))
 
-    def _leave(self, caller: UnderTerm, change: Callable[[PlanMessage | None], PlanMessage]) -> None:
+    def _leave(self, caller: TermCaller, change: Callable[[PlanMessage | None], PlanMessage]) -> None:
         """With a majority, on their disks, before anything is done on it; tried until it is. One change at a
         time, each with a version of its own: one that was cut off may lie with some."""
         while self._changing is not None:
@@ -150,7 +150,7 @@
             self._changing = None
             done.set()
 
-    def _spread(self, caller: UnderTerm, words: PlanMessage) -> None:
+    def _spread(self, caller: TermCaller, words: PlanMessage) -> None:
         self._version = max(self._version, words.version) + 1
         new = msgspec.structs.replace(words, version=self._version)
         left: set[str] = set()
@@ -174,7 +174,7 @@
                 break
             if self.owning.owned_term(RESTARTS) != self.term:
                 raise NotOwner
-            self.loop.sleep(AGAIN)
+            self.loop.sleep(RETRY_INTERVAL_S)
         self.words = new
 
     def _unless_over(self, call: Callable[[Target], None], target: Target) -> None:
@@ -183,13 +183,13 @@
         except NotOwner:
             return  # who waits for it looks at the lease itself
 
-    def _carry(self, caller: UnderTerm) -> None:
+    def _carry(self, caller: TermCaller) -> None:
         words = self.words
         assert words is not None
         plan = msgspec.convert(words.plan, Plan)
         before = [] if words.share is None else [{"ev": "baseline", "share": words.share}]
         self.rolling = RollingChange(time.monotonic(), plan, before, learnt=True)
-        work = Work(self.loop, caller, _Lines(self, caller), self.rolling, self._tell)
+        work = PlanRunner(self.loop, caller, _BaselineSink(self, caller), self.rolling, self._tell)
         ends: list[Finished] = []
         news = self.news  # one that is cancelled later must not wake what comes after
 
@@ -212,7 +212,7 @@
         log.info("the plan", id=plan.id, word=word, why=result.why)
 
     def _tell(self, line: Mapping[str, Any]) -> None:
-        log.info("step", what=line_words(line), term=self.term)
+        log.info("step", what=format_line(line), term=self.term)
 
     # ---- an operator's word --------------------------------------------------------------------------------
 
@@ -222,14 +222,14 @@
             raise Refused(503, "the owner does not know the plan yet: come again", [("Retry-After", "1")])
         held = self.words
         try:
-            new = after(held, call, {t.name: t for t in self.targets})
-        except NotNow as why:
+            new = apply_command(held, call, {t.name: t for t in self.targets})
+        except CommandRefused as why:
             raise Refused(why.status, why.why) from None
         if held is not None and new is held:
-            return {"word": held.word, "id": id_of(held)}
-        caller = UnderTerm(self.loop, self.client, self.owning, self.term)
+            return {"word": held.word, "id": plan_id_of(held)}
+        caller = TermCaller(self.loop, self.client, self.owning, self.term)
         try:
-            with self.loop.deadline(FOR_OTHERS):
+            with self.loop.deadline(MAJORITY_TIMEOUT_S):
                 self._leave(caller, lambda _: new)
         except NotOwner:
             raise Refused(409, "this gateway owns restarts no longer", [("Owner", "")]) from None
@@ -241,13 +241,13 @@
             ) from None
         self.news.set()
         assert self.words is not None
-        return {"word": self.words.word, "id": id_of(self.words)}
+        return {"word": self.words.word, "id": plan_id_of(self.words)}
 
 
-class _Lines:
+class _BaselineSink:
     """In the journal's place: what must outlive the owner lies with the gateways, or can be learned there."""
 
-    def __init__(self, work: Restarts, caller: UnderTerm) -> None:
+    def __init__(self, work: RestartsDuty, caller: TermCaller) -> None:
         self.work, self.caller = work, caller
 
     def append(self, line: Mapping[str, Any]) -> None:
@@ -256,7 +256,7 @@
             self.work._leave(self.caller, lambda now: msgspec.structs.replace(now or words, share=share))
 
 
-def restarts_of(daemon: Daemon) -> Restarts:
+def create_restarts_duty(daemon: Daemon) -> RestartsDuty:
     """The work at one daemon; gateways are called where the site says, or in the same state directory."""
     site, directory = daemon.site, daemon.place.directory
     targets = []
@@ -266,8 +266,8 @@
     client = Client(daemon.loop)
     if (keys := daemon.keys) is not None:
         names = {t.at: t.name for t in targets}
-        client = trusted(daemon.loop, keys, keys.directory / f"{daemon.name}.pem", names)
+        client = verifying_client(daemon.loop, keys, keys.directory / f"{daemon.name}.pem", names)
     assert daemon.admin.owning is not None
-    work = Restarts(daemon.loop, daemon.name, targets, daemon.admin.owning, client)
+    work = RestartsDuty(daemon.loop, daemon.name, targets, daemon.admin.owning, client)
     daemon.admin.on_plan_call = work.planned
     return work
--- a/ledgehitch/fleet/owned.py
+++ b/ledgehitch/fleet/owned.py
@@ -11,7 +11,7 @@
 Kind = Literal["owned", "nobody", "unknown", "contradicting"]
 
 
-class Said(msgspec.Struct, frozen=True):
+class OwnersAnswer(msgspec.Struct, frozen=True):
     """One gateway's answer; `state` None where none came that reads."""
 
     name: str
@@ -19,7 +19,7 @@
     why: str = ""
 
 
-class Owned(msgspec.Struct, frozen=True):
+class DutyStatus(msgspec.Struct, frozen=True):
     """`duty`: with the region in brackets where each region has an owner of its own."""
 
     duty: str
@@ -33,20 +33,20 @@
     why: str = ""
 
 
-def read(name: str, status: int, body: bytes) -> Said:
+def decode_answer(name: str, status: int, body: bytes) -> OwnersAnswer:
     """What came of asking one gateway."""
     if status != 200:
-        return Said(name, None, f"it answers {status}")
+        return OwnersAnswer(name, None, f"it answers {status}")
     try:
         state = msgspec.json.decode(body, type=dict[str, Any])
         for told in state["duties"].values():
-            msgspec.convert(told, _Told)
-        return Said(name, state)
+            msgspec.convert(told, _DutyReport)
+        return OwnersAnswer(name, state)
     except (msgspec.MsgspecError, KeyError, AttributeError) as wrong:
-        return Said(name, None, f"what it says does not read: {wrong!r}"[:200])
+        return OwnersAnswer(name, None, f"what it says does not read: {wrong!r}"[:200])
 
 
-class _Told(msgspec.Struct):
+class _DutyReport(msgspec.Struct):
     owner: str
     term: int
     lease_left: float
@@ -57,7 +57,9 @@
     region: str = ""
 
 
-def owned(said: Sequence[Said], regions: Mapping[str, str] | None = None) -> list[Owned]:
+def summarize_duties(
+    said: Sequence[OwnersAnswer], regions: Mapping[str, str] | None = None
+) -> list[DutyStatus]:
     """By duty, and by region where a duty is a region's. Two that say they own one are told as contradicting,
     though one of them may stand still and not know better: its term tells which. `regions`: the region of
     each gateway by the site."""
@@ -84,34 +86,34 @@
     return out
 
 
-def _duties(said: Said) -> Mapping[str, Any]:
+def _duties(said: OwnersAnswer) -> Mapping[str, Any]:
     assert said.state is not None
     duties: Mapping[str, Any] = said.state["duties"]
     return duties
 
 
-def _one(duty: str, heard: Sequence[Said], asked: int) -> Owned:
-    some = [(s.name, msgspec.convert(_duties(s)[duty], _Told)) for s in heard if duty in _duties(s)]
+def _one(duty: str, heard: Sequence[OwnersAnswer], asked: int) -> DutyStatus:
+    some = [(s.name, msgspec.convert(_duties(s)[duty], _DutyReport)) for s in heard if duty in _duties(s)]
     refused, term = sum(t.refused for _, t in some), max((t.term for _, t in some), default=0)
     mine = sorted(((n, t) for n, t in some if t.mine), key=lambda pair: -pair[1].term)
     if len(mine) > 1:
         why = ", ".join(f"{n} says it owns it with term {t.term}" for n, t in mine)
-        return Owned(duty, "contradicting", mine[0][0], mine[0][1].term, refused=refused, why=why)
+        return DutyStatus(duty, "contradicting", mine[0][0], mine[0][1].term, refused=refused, why=why)
     if mine:
         name, told = mine[0]
-        return Owned(duty, "owned", name, told.term, told.lease_left, told.doing, refused)
+        return DutyStatus(duty, "owned", name, told.term, told.lease_left, told.doing, refused)
     named = sorted({t.owner for _, t in some if t.owner})
     if named:
         why = f"{', '.join(named)} is said to own it and does not say so itself"
-        return Owned(duty, "unknown", term=term, refused=refused, why=why)
+        return DutyStatus(duty, "unknown", term=term, refused=refused, why=why)
     stand = next((t.standstill for _, t in some if t.standstill), "")
     if len(some) <= asked // 2:
         why = f"{len(some)} of {asked} answered: others may know an owner"
-        return Owned(duty, "unknown", term=term, refused=refused, standstill=stand, why=why)
-    return Owned(duty, "nobody", term=term, refused=refused, standstill=stand)
+        return DutyStatus(duty, "unknown", term=term, refused=refused, standstill=stand, why=why)
+    return DutyStatus(duty, "nobody", term=term, refused=refused, standstill=stand)
 
 
-def cannot_vote(said: Sequence[Said]) -> list[str]:
+def voting_problems(said: Sequence[OwnersAnswer]) -> list[str]:
     """Lines on gateways that give no vote now, or did not answer."""
     out = [f"{s.name}: silent, {s.why}" for s in said if s.state is None]
     for s in said:
--- a/ledgehitch/fleet/screen.py
+++ b/ledgehitch/fleet/screen.py
@@ -17,9 +17,9 @@
 from textual.widgets import DataTable, Footer, Header, Static
 
 from ledgehitch.fleet.found import QueryResult, count_by_kind
-from ledgehitch.fleet.show import COLOURS, halls_of, hosts_of, plan_words
+from ledgehitch.fleet.show import KIND_COLOURS, host_lines, plan_summary, zone_rows
 
-OLD = 3.0  # times the period after which what is shown is called old
+STALE_AFTER_PERIODS = 3.0  # times the period after which what is shown is called old
 Feed = Callable[[], Awaitable[tuple[list[QueryResult], list[dict[str, Any]]]]]
 
 
@@ -93,7 +93,7 @@
 
     def _say_age(self) -> None:
         age = time.monotonic() - self.asked_at if self.asked_at else 0.0
-        old = age > OLD * self.every
+        old = age > STALE_AFTER_PERIODS * self.every
         word = ", ".join(f"{n} {kind}" for kind, n in count_by_kind(self.found).items()) or "asking ..."
         if self.problem:
             word = f"{word}; not asked: {self.problem}"
@@ -104,7 +104,7 @@
     def _show(self) -> None:
         halls = self.query_one("#halls", DataTable)
         halls.clear()
-        for row in halls_of(self.found, self.zones):
+        for row in zone_rows(self.found, self.zones):
             halls.add_row(*row)
         table = self.query_one("#gateways", DataTable)
         at = self._chosen()
@@ -114,12 +114,12 @@
             table.add_row(*self._row(f), key=f.name)
         if at in [f.name for f in shown]:
             table.move_cursor(row=[f.name for f in shown].index(at))
-        self.query_one("#plan", Static).update("\n".join(plan_words(self.lines)))
+        self.query_one("#plan", Static).update("\n".join(plan_summary(self.lines)))
         self._show_one()
         self._say_age()
 
     def _row(self, f: QueryResult) -> Sequence[Any]:
-        kind = Text(f.kind, style=COLOURS.get(f.kind, "bold red"))
+        kind = Text(f.kind, style=KIND_COLOURS.get(f.kind, "bold red"))
         if f.state is None:
             return f.name, self.zones.get(f.name, ""), kind, "-", "-", "-", "-", "-", "-", f.why
         s, c = f.state, f.state.counts
@@ -152,5 +152,5 @@
             lines += [f"started by {s.started_by}"] if s.started_by else []
             gone = [f"{n} {status}" for n, status in s.members.items() if status != "alive"]
             lines += ["", f"sees {len(s.members)} others" + (f": {', '.join(gone[:6])}" if gone else "")]
-            lines += ["", "[b]media hosts[/b]", *hosts_of(s)]
+            lines += ["", "[b]media hosts[/b]", *host_lines(s)]
         side.update("\n".join(lines))
--- a/ledgehitch/fleet/shared.py
+++ b/ledgehitch/fleet/shared.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-ENOUGH = 1e-6  # of the whole: rounding of parts
+ROUNDING_TOLERANCE = 1e-6  # of the whole: rounding of parts
 
 
-class Mine(msgspec.Struct):
+class GatewayBudget(msgspec.Struct):
     """One budget at one gateway, in parts of the whole."""
 
     own: int
@@ -20,7 +20,7 @@
     unit: str
 
 
-class Lends(msgspec.Struct):
+class LenderAccount(msgspec.Struct):
     """One budget at the lender. `lent`: what counts as lent, by gateway's number."""
 
     budget: str
@@ -29,18 +29,18 @@
     waits: float
 
 
-class Told(msgspec.Struct):
+class BudgetReport(msgspec.Struct):
     whole: int
-    budgets: dict[str, Mine]
+    budgets: dict[str, GatewayBudget]
     loan_left: float
     alone: str
     term: int
-    lends: list[Lends] | None = None
+    lends: list[LenderAccount] | None = None
     region: str = ""
     share: int | None = None  # parts of the whole that its region has; None: all
 
 
-class Divided(msgspec.Struct):
+class BudgetSummary(msgspec.Struct):
     """Shares of the whole, 0 to 1; `wrong`: what does not add up."""
 
     budget: str
@@ -58,27 +58,27 @@
     regions: dict[str, tuple[float, float, float, float]] = {}
 
 
-def read(body: bytes) -> Told | str:
+def decode_report(body: bytes) -> BudgetReport | str:
     """What one gateway says, or why it does not read."""
     try:
-        return msgspec.json.decode(body, type=Told)
+        return msgspec.json.decode(body, type=BudgetReport)
     except msgspec.MsgspecError as wrong:
         return f"what it says does not read: {wrong}"[:200]
 
 
-def divided(told: Mapping[str, Told]) -> list[Divided]:
+def summarize_budgets(told: Mapping[str, BudgetReport]) -> list[BudgetSummary]:
     names = sorted({budget for t in told.values() for budget in t.budgets})
     return [_one(budget, told) for budget in names]
 
 
-def _one(budget: str, told: Mapping[str, Told]) -> Divided:
+def _one(budget: str, told: Mapping[str, BudgetReport]) -> BudgetSummary:
     some = {name: (t.budgets[budget], t.whole) for name, t in told.items() if budget in t.budgets}
     by = {n: (m.own / w, m.loan / w, m.wanted / w) for n, (m, w) in some.items()}
     own, lent = sum(o for o, _, _ in by.values()), sum(loan for _, loan, _ in by.values())
     unmet = sum(max(0.0, wanted - o - loan) for o, loan, wanted in by.values())
     books = [(n, x, t.whole) for n, t in told.items() for x in t.lends or () if x.budget == budget]
     wrong = []
-    if own + lent > 1 + ENOUGH:
+    if own + lent > 1 + ROUNDING_TOLERANCE:
         wrong.append(
             f"gateways say {own + lent:.4f} of the whole together; a loan that moved while they "
             "were asked counts twice: ask again"
@@ -92,17 +92,17 @@
     if len({region for region, _ in lenders}) < len(lenders):
         wrong.append(f"{', '.join(n for n, _, _ in books)} say that they lend: see `fleet owners`")
     for region, (share, mine, loans, _) in regions.items():
-        if mine + loans > share + ENOUGH:
+        if mine + loans > share + ROUNDING_TOLERANCE:
             wrong.append(
                 f"gateways of {region} say {mine + loans:.4f} of the whole together, its share is "
                 f"{share:.4f}; what moved meanwhile counts twice: ask again"
             )
-    if sum(share for share, _, _, _ in regions.values()) > 1 + ENOUGH:
+    if sum(share for share, _, _, _ in regions.values()) > 1 + ROUNDING_TOLERANCE:
         wrong.append("regions say that they use more than the whole together")
     units = sorted({m.unit for m, _ in some.values()})
     left = [(book.pool - sum(book.lent.values())) / whole for _, book, whole in books]
     free = sum(left) if len(left) == max(1, len(regions)) else None
-    return Divided(
+    return BudgetSummary(
         budget,
         ", ".join(units),
         own,
@@ -118,7 +118,9 @@
     )
 
 
-def _of_region(budget: str, region: str, told: Mapping[str, Told]) -> tuple[float, float, float, float]:
+def _of_region(
+    budget: str, region: str, told: Mapping[str, BudgetReport]
+) -> tuple[float, float, float, float]:
     some = [t for t in told.values() if t.region == region]
     mine = [(t.budgets[budget], t.whole) for t in some if budget in t.budgets]
     share = max((t.whole if t.share is None else t.share) / t.whole for t in some)
@@ -130,7 +132,7 @@
     )
 
 
-def remarks(told: Mapping[str, Told], silent: Sequence[tuple[str, str]]) -> list[str]:
+def remarks(told: Mapping[str, BudgetReport], silent: Sequence[tuple[str, str]]) -> list[str]:
     """Lines on who does not answer, who has its own part alone, and who lends."""
     out = [f"{name}: silent, {why}" for name, why in silent]
     out += [f"{name}: own parts alone: {t.alone}" for name, t in told.items() if t.alone]
--- a/ledgehitch/fleet/show.py
+++ b/ledgehitch/fleet/show.py
@@ -6,11 +6,11 @@
 from ledgehitch.daemon.facts import State
 from ledgehitch.fleet.found import QueryResult
 
-COLOURS = {"answered": "green", "draining": "yellow", "slow": "yellow"}
-MOST_HOSTS = 14
+KIND_COLOURS = {"answered": "green", "draining": "yellow", "slow": "yellow"}
+MAX_HOSTS_SHOWN = 14
 
 
-def halls_of(found: Sequence[QueryResult], zones: Mapping[str, str]) -> list[tuple[str, ...]]:
+def zone_rows(found: Sequence[QueryResult], zones: Mapping[str, str]) -> list[tuple[str, ...]]:
     """For each hall: gateways that serve and all, viewings, asked for, not let play, the worst p99."""
     rows: list[tuple[str, ...]] = []
     for hall in sorted(set(zones.values())):
@@ -27,17 +27,17 @@
     return rows
 
 
-def hosts_of(state: State) -> list[str]:
+def host_lines(state: State) -> list[str]:
     """Media hosts as one gateway sees them, the fullest first."""
     order = sorted(state.hosts, key=lambda h: (-state.hosts[h].viewings, h))
     words = [
         f"{h:12} {state.hosts[h].viewings:5}{'' if state.hosts[h].in_service else '  not in service'}"
-        for h in order[:MOST_HOSTS]
+        for h in order[:MAX_HOSTS_SHOWN]
     ]
-    return words + ([f"and {len(order) - MOST_HOSTS} more"] if len(order) > MOST_HOSTS else [])
+    return words + ([f"and {len(order) - MAX_HOSTS_SHOWN} more"] if len(order) > MAX_HOSTS_SHOWN else [])
 
 
-def plan_words(lines: Sequence[Mapping[str, Any]]) -> list[str]:
+def plan_summary(lines: Sequence[Mapping[str, Any]]) -> list[str]:
     """A plan from its journal: how far it is, and its last steps."""
     if not lines or lines[0].get("ev") != "plan":
         return []
@@ -58,8 +58,8 @@
     head = f"{plan['id']}: {plan['action']}, {over} of {total} done"
     head += f", {failed} failed" if failed else ""
     steps = [line for line in lines[-5:] if "gateway" in line]
-    return [head, word, *(line_words(line) for line in steps)]
+    return [head, word, *(format_line(line) for line in steps)]
 
 
-def line_words(line: Mapping[str, Any]) -> str:
+def format_line(line: Mapping[str, Any]) -> str:
     return "  ".join(str(line[k]) for k in ("ev", "gateway", "why") if k in line)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -21,9 +21,9 @@
 from ledgehitch.budgets.parts import UNNUMBERED, OwnPart, lending_terms
 from ledgehitch.budgets.units import lendable, own_parts
 from ledgehitch.budgets.words import InvalidMessage, LoanMessage, decode, encode
-from ledgehitch.fleet.shared import Told, remarks
-from ledgehitch.fleet.shared import divided as shares
-from ledgehitch.fleet.shared import read as decode_report
+from ledgehitch.fleet.shared import BudgetReport, remarks
+from ledgehitch.fleet.shared import decode_report as decode_report
+from ledgehitch.fleet.shared import summarize_budgets as shares
 from ledgehitch.owners.facts import MemberLists, vote_duration
 from tests.explore_budgets import INJECTED_FAULTS, SCENARIOS, explore, walk
 
@@ -410,7 +410,7 @@
     over = decode_report(
         encode_report(0.0, 0.0, 0.0, [{**book, "lent": {"0": WHOLE}}], "nobody is known to lend")
     )
-    assert isinstance(over, Told) and "has lent 1.0000 of 0.9000" in shares({"g0": over})[0].wrong
+    assert isinstance(over, BudgetReport) and "has lent 1.0000 of 0.9000" in shares({"g0": over})[0].wrong
     lines = remarks({"g0": over}, [("g9", "timed out")])
     assert lines == [
         "g9: silent, timed out",
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -41,10 +41,10 @@
 from ledgehitch.daemon.why import explain_entries
 from ledgehitch.fleet.carry import Caller
 from ledgehitch.fleet.found import QueryResult, Target, classify_answer
-from ledgehitch.fleet.held import NotNow, after, id_of, latest
-from ledgehitch.fleet.journal import Journal, head_of, lines_of, plan_of, unfinished
-from ledgehitch.fleet.owned import Said, cannot_vote, owned
-from ledgehitch.fleet.owned import read as read_owners
+from ledgehitch.fleet.held import CommandRefused, apply_command, latest_plan, plan_id_of
+from ledgehitch.fleet.journal import Journal, head_line, plan_at_head, read_lines, unfinished_journals
+from ledgehitch.fleet.owned import OwnersAnswer, summarize_duties, voting_problems
+from ledgehitch.fleet.owned import decode_answer as read_owners
 from ledgehitch.fleet.plan import (
     AppendLine,
     CallGateway,
@@ -57,7 +57,7 @@
     preview_groups,
 )
 from ledgehitch.fleet.screen import FleetScreen
-from ledgehitch.fleet.show import halls_of, hosts_of, plan_words
+from ledgehitch.fleet.show import host_lines, plan_summary, zone_rows
 from ledgehitch.http import Refused, Request, Response, Server
 from ledgehitch.keys.store import Keys
 from ledgehitch.loop import Loop, endpoint
@@ -331,7 +331,7 @@
     journal = Journal(path, lock)
     with pytest.raises(BadInput, match=f"another tool works on this fleet: process {os.getpid()}"):
         Journal(path, lock)
-    journal.append(head_of(plan))
+    journal.append(head_line(plan))
     for n in range(4):
         journal.append({"ev": "done", "gateway": f"g{n}"})
     journal.close()
@@ -343,25 +343,25 @@
         assert len(again.lines) == sum(end <= cut for end in ends)
         again.append({"ev": "resumed"})
         again.close()
-        assert lines_of(path)[-1] == {"ev": "resumed"}
-    assert plan_of(lines_of(path), path) == plan and unfinished(tmp_path) == [path]
+        assert read_lines(path)[-1] == {"ev": "resumed"}
+    assert plan_at_head(read_lines(path), path) == plan and unfinished_journals(tmp_path) == [path]
     for at in (5, ends[1] + 25):
         path.write_bytes(whole[:at] + b"?" + whole[at + 1 :])
         with pytest.raises(BadInput, match="does not fit its checksum"):
-            lines_of(path)
+            read_lines(path)
 
 
 def test_a_full_disk_stops_the_tool_before_it_touches_anything(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal = Journal(tmp_path / "p.journal", tmp_path / "lock")
-    journal.append(head_of(Plan("p", "restart", TARGETS)))
+    journal.append(head_line(Plan("p", "restart", TARGETS)))
     real = os.pwrite
     monkeypatch.setattr(os, "pwrite", lambda fd, data, at: real(fd, data[:9], at))
     with pytest.raises(BadInput, match="nothing more is done: No space left"):
         journal.append({"ev": "intended", "gateway": "g0", "boot": "b"})
     monkeypatch.undo()
-    assert [line["ev"] for line in lines_of(tmp_path / "p.journal")] == ["plan"]
+    assert [line["ev"] for line in read_lines(tmp_path / "p.journal")] == ["plan"]
 
 
 # ---- plans -------------------------------------------------------------------------------------------------
@@ -568,7 +568,7 @@
 
 
 def test_who_owns_a_duty_is_told_as_what_it_is() -> None:
-    def says(name: str, owner: str = "", mine: bool = False, term: int = 3, **more: Any) -> Said:
+    def says(name: str, owner: str = "", mine: bool = False, term: int = 3, **more: Any) -> OwnersAnswer:
         told = {
             "owner": owner,
             "term": term,
@@ -577,20 +577,20 @@
             "refused": 1,
             "standstill": "" if owner else "plans wait",
         }
-        return Said(name, {"duties": {"restarts": told}, **more})
+        return OwnersAnswer(name, {"duties": {"restarts": told}, **more})
 
-    def kind(*said: Said) -> tuple[str, str]:
-        (found,) = owned(said)
+    def kind(*said: OwnersAnswer) -> tuple[str, str]:
+        (found,) = summarize_duties(said)
         return found.kind, found.owner
 
-    silent = Said("g9", None, "no whole answer")
+    silent = OwnersAnswer("g9", None, "no whole answer")
     assert kind(says("g0", "g0", True), says("g1", "g0"), silent) == ("owned", "g0")
     assert kind(says("g0", "g0", True), says("g1", "g1", True, 4)) == ("contradicting", "g1")
     assert kind(says("g0", "g7"), says("g1")) == ("unknown", "")
     assert kind(says("g0"), says("g1"), silent) == ("nobody", "")
     assert kind(says("g0"), silent, silent) == ("unknown", "")
-    assert owned([says("g0"), says("g1")])[0].refused == 2 and owned([silent]) == []
-    lines = cannot_vote(
+    assert summarize_duties([says("g0"), says("g1")])[0].refused == 2 and summarize_duties([silent]) == []
+    lines = voting_problems(
         [
             silent,
             says(
@@ -615,14 +615,14 @@
 
     def said(held: PlanMessage | None, do: Any, plan: Any = None) -> Any:
         try:
-            return after(held, PlanCall(do, plan), known)
-        except NotNow as why:
+            return apply_command(held, PlanCall(do, plan), known)
+        except CommandRefused as why:
             return why.status, why.why
 
     for do in ("stop", "resume", "give up"):
         assert said(None, do) == (409, "no plan is under way")
     begun = said(None, "begin", raw)
-    assert (begun.version, begun.word, id_of(begun)) == (0, "go", "p")
+    assert (begun.version, begun.word, plan_id_of(begun)) == (0, "go", "p")
     assert [t["at"] for t in begun.plan["targets"]] == ["unix:via/g0", "unix:via/g1"], "the owner's ways"
     assert said(begun, "begin", raw) is begun and said(begun, "resume") is begun
     assert said(begun, "begin", {**raw, "id": "q"})[0] == 409
@@ -640,7 +640,7 @@
     ):
         assert said(None, "begin", wrong)[0] == 400
     later = [msgspec.structs.replace(begun, term=t, version=v) for t, v in ((2, 9), (3, 1), (3, 0))]
-    assert latest([None, *later]) == later[1] and latest([None]) is None
+    assert latest_plan([None, *later]) == later[1] and latest_plan([None]) is None
 
 
 def test_a_plan_that_was_left_is_kept_and_an_older_or_strange_one_is_not(tmp_path: Path) -> None:
@@ -996,7 +996,7 @@
     QueryResult("g2", "draining", "draining: p/g2", state=state("g2", phase="draining", zone="south")),
 ]
 LINES = [
-    head_of(Plan("p", "restart", [Target("g0", "x"), Target("g1", "x"), Target("g2", "x")])),
+    head_line(Plan("p", "restart", [Target("g0", "x"), Target("g1", "x"), Target("g2", "x")])),
     {"ev": "intended", "gateway": "g0", "boot": "b"},
     {"ev": "done", "gateway": "g0"},
     {"ev": "intended", "gateway": "g2", "boot": "b"},
@@ -1005,18 +1005,18 @@
 
 
 def test_what_is_shown_of_halls_hosts_and_plans() -> None:
-    assert halls_of(SEEN, {"g0": "north", "g1": "north", "g2": "south"}) == [
+    assert zone_rows(SEEN, {"g0": "north", "g1": "north", "g2": "south"}) == [
         ("north", "1 of 2", "0", "100", "6.0%", "-"),
         ("south", "0 of 1", "0", "0", "-", "-"),
     ]
     assert SEEN[0].state is not None
-    assert hosts_of(SEEN[0].state)[0].split() == ["h2", "9", "not", "in", "service"]
-    assert plan_words(LINES)[:2] == ["p: restart, 1 of 3 done", "under way; now g2"]
-    stopped = plan_words(
+    assert host_lines(SEEN[0].state)[0].split() == ["h2", "9", "not", "in", "service"]
+    assert plan_summary(LINES)[:2] == ["p: restart, 1 of 3 done", "under way; now g2"]
+    stopped = plan_summary(
         [*LINES, {"ev": "failed", "gateway": "g2", "why": "silent"}, {"ev": "stopped", "why": "1 failed"}]
     )
     assert stopped[:2] == ["p: restart, 1 of 3 done, 1 failed", "stopped: 1 failed"]
-    assert plan_words([]) == []
+    assert plan_summary([]) == []
 
 
 def test_the_screen_goes_on_while_a_question_hangs_and_says_what_is_old() -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -17,8 +17,8 @@
 from ledgehitch.config.change import changes
 from ledgehitch.config.load import load_text
 from ledgehitch.config.site import GatewayRecord, RegionRecord, Site, check, stated
-from ledgehitch.fleet.owned import Said, cannot_vote, owned
-from ledgehitch.fleet.shared import Lends, Mine, Told, divided
+from ledgehitch.fleet.owned import OwnersAnswer, summarize_duties, voting_problems
+from ledgehitch.fleet.shared import BudgetReport, GatewayBudget, LenderAccount, summarize_budgets
 from ledgehitch.owners.decide import Owners
 from ledgehitch.owners.facts import BUDGETS, DUTIES, MemberLists, rank_members
 from ledgehitch.owners.memory import DurableState
@@ -388,7 +388,7 @@
 # ---- reports for operators ---------------------------------------------------------------------------------
 
 
-def make_report(name: str, region: str, mine: tuple[str, ...] = (), stands: bool = True) -> Said:
+def make_report(name: str, region: str, mine: tuple[str, ...] = (), stands: bool = True) -> OwnersAnswer:
     def one(duty: str) -> dict[str, Any]:
         return {
             "owner": name if duty in mine else "",
@@ -402,7 +402,7 @@
     duties = {d: one(d) for d in DUTIES}
     duties[BUDGETS]["region"] = region
     share = {"in_force": 250, "stated": 500 if stands else 250, "whole": 1000}
-    return Said(name, {"duties": duties, "region": {"name": region, "why_not": ""}, "share": share})
+    return OwnersAnswer(name, {"duties": duties, "region": {"name": region, "why_not": ""}, "share": share})
 
 
 def test_owners_are_reported_with_region_and_missing_ones_with_reason() -> None:
@@ -411,38 +411,42 @@
         make_report("g0", "north", (BUDGETS,)),
         make_report("g2", "north"),
         make_report("g1", "south"),
-        *(Said(name, None, "timed out") for name in ("g3", "g4", "g5")),
+        *(OwnersAnswer(name, None, "timed out") for name in ("g3", "g4", "g5")),
     ]
-    found = {o.duty: o for o in owned(reports, regions)}
+    found = {o.duty: o for o in summarize_duties(reports, regions)}
     assert sorted(found) == ["budgets (north)", "budgets (south)", "restarts", "verdicts"]
     assert (found["budgets (north)"].kind, found["budgets (north)"].owner) == ("owned", "g0")
     assert found["budgets (south)"].kind == "unknown" and "1 of 3 answered" in found["budgets (south)"].why
     all_six = [make_report(n, regions[n]) for n in sorted(regions)]
-    found = {o.duty: o for o in owned(all_six, regions)}
+    found = {o.duty: o for o in summarize_duties(all_six, regions)}
     assert found["budgets (south)"].kind == "nobody" and found["budgets (south)"].standstill == "no budgets"
     assert found["restarts"].why == "it needs a majority of the gateways of all regions; no restarts"
     # A region without any answer is listed, too.
-    found = {o.duty: o for o in owned(reports[:2], regions)}
+    found = {o.duty: o for o in summarize_duties(reports[:2], regions)}
     assert found["budgets (south)"].kind == "unknown"
-    two = owned([make_report("g0", "north", (BUDGETS,)), make_report("g2", "north", (BUDGETS,))], regions)
+    two = summarize_duties(
+        [make_report("g0", "north", (BUDGETS,)), make_report("g2", "north", (BUDGETS,))], regions
+    )
     assert two[0].kind == "contradicting"
-    assert "g0: its region uses 0.250 of the whole, 0.500 is stated" in cannot_vote(all_six)[0]
-    assert cannot_vote([make_report("g0", "north", stands=False)]) == []
+    assert "g0: its region uses 0.250 of the whole, 0.500 is stated" in voting_problems(all_six)[0]
+    assert voting_problems([make_report("g0", "north", stands=False)]) == []
 
 
 def test_budgets_are_summed_over_regions_and_inconsistencies_reported() -> None:
-    def told(region: str, loan: int, lends: bool = False, share: int = 500) -> Told:
-        book = [Lends("b", 450, {0: loan}, 0.0)] if lends else None
-        return Told(1000, {"b": Mine(50, loan, 400, 100, "rate")}, 1.0, "", 3, book, region, share)
+    def told(region: str, loan: int, lends: bool = False, share: int = 500) -> BudgetReport:
+        book = [LenderAccount("b", 450, {0: loan}, 0.0)] if lends else None
+        return BudgetReport(
+            1000, {"b": GatewayBudget(50, loan, 400, 100, "rate")}, 1.0, "", 3, book, region, share
+        )
 
-    (good,) = divided({"g0": told("north", 400, True), "g1": told("south", 300, True)})
+    (good,) = summarize_budgets({"g0": told("north", 400, True), "g1": told("south", 300, True)})
     assert good.wrong == "" and good.free == pytest.approx(0.2)
     assert good.regions == {"north": (0.5, 0.05, 0.4, 0.1), "south": (0.5, 0.05, 0.3, 0.1)}
-    (over,) = divided({"g0": told("north", 470, True), "g1": told("south", 100, True)})
+    (over,) = summarize_budgets({"g0": told("north", 470, True), "g1": told("south", 100, True)})
     assert "gateways of north say 0.5200" in over.wrong
-    (twice,) = divided({"g0": told("north", 1, True), "g2": told("north", 1, True)})
+    (twice,) = summarize_budgets({"g0": told("north", 1, True), "g2": told("north", 1, True)})
     assert "say that they lend" in twice.wrong
-    (more,) = divided({"g0": told("north", 1, share=700), "g1": told("south", 1)})
+    (more,) = summarize_budgets({"g0": told("north", 1, share=700), "g1": told("south", 1)})
     assert "more than the whole together" in more.wrong
 
 
