--- a/ledgehitch/daemon/life.py
+++ b/ledgehitch/daemon/life.py
@@ -1,7 +1,8 @@
-"""The life of one gateway process: starting, ready, draining, ending, over. Free of I/O and clock.
+"""The life cycle of one gateway process as a state machine: starting, ready, draining, ending, over.
 
-Inputs say what happened, `decide` is pulled. A drain refuses new viewings and lets what plays end by itself
-up to a limit; then the rest are told their end. Who is owed an answer gets it first. A second stop hurries.
+Free of I/O and clock: callers report events and poll `decide`. A drain refuses new viewings and lets the
+current ones finish until a deadline; then the remaining viewers are notified that their viewing ends. Viewers
+whose request is pending are answered first. A second stop request brings the deadline forward.
 """
 
 import math
@@ -10,34 +11,34 @@
 from typing import Literal
 
 Phase = Literal["starting", "ready", "draining", "drained", "ending", "over"]
-Then = Literal["stay", "restart", "stop", "leave"]  # leave: stop, and not be counted on any more
-ENDING = 1.0  # seconds, beyond patience, that what is left may take to be told its end
-AGAIN = 0.1  # seconds between two looks at what is left
-RANK: dict[Then, int] = {"stay": 0, "restart": 1, "stop": 2, "leave": 3}
+Then = Literal["stay", "restart", "stop", "leave"]  # after the drain; leave: stop and leave the membership
+ENDING_GRACE_S = 1.0  # for ending the remaining viewings, on top of the longest patience
+CHECK_INTERVAL_S = 0.1  # between two checks for remaining viewings
+STRENGTH: dict[Then, int] = {"stay": 0, "restart": 1, "stop": 2, "leave": 3}
 
 
 @dataclass(frozen=True)
 class Admit:
-    """Take new viewings, or send those who ask elsewhere."""
+    """Accept new viewings, or send viewers to another gateway."""
 
     open: bool
 
 
 @dataclass(frozen=True)
 class EndAllViewings:
-    """Tell all that plays here its end."""
+    """End all viewings and notify their viewers."""
 
 
 @dataclass(frozen=True)
 class AnnounceLeave:
-    """Tell the other gateways that this one leaves: for good, or to be back soon."""
+    """Announce to the other gateways that this one leaves, for good or for a short time."""
 
     back_soon: bool
 
 
 @dataclass(frozen=True)
 class Exit:
-    """The process is over: end with this code, or run anew in its place."""
+    """Exit with this code, or execute the program anew in the same process."""
 
     code: int
     restart: bool = False
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True)
 class NotifySupervisor:
-    """Tell the supervisor (`sd_notify`)."""
+    """Send this text to the supervisor (`sd_notify`)."""
 
     text: str
 
@@ -59,127 +60,134 @@
 
 
 class Life:
-    def __init__(self, now: float, longest_patience: float) -> None:
+    """The state machine of one gateway process."""
+
+    def __init__(self, now: float, max_patience: float) -> None:
+        """`max_patience`: seconds that the most patient viewer waits for an answer."""
         self.phase: Phase = "starting"
         self.since = now
         self.then: Then = "stay"
-        self.why = ""  # who asked for the drain, in words: a ticket of the fleet tool or a signal
-        self.drain_deadline = math.inf  # when what still plays is told its end
-        self._patience = longest_patience
-        self._over_by = math.inf
-        self._held = 0
-        self._look_at = math.inf
-        self._due: deque[Decision] = deque()
+        self.why = ""  # origin of the drain: a ticket of the fleet tool or the name of a signal
+        self.drain_deadline = math.inf  # when the remaining viewings are ended
+        self._patience = max_patience
+        self._end_deadline = math.inf
+        self._viewing_count = 0
+        self._next_check_at = math.inf
+        self._pending: deque[Decision] = deque()
 
-    # ---- what happens --------------------------------------------------------------------------------------
+    # ---- inputs --------------------------------------------------------------------------------------------
 
     def on_serving(self, now: float) -> None:
-        """The socket listens and the list has been read, or its last copy."""
+        """Called when the socket listens and the host list, or its last stored copy, has been read."""
         if self.phase == "starting":
-            self._enter(now, "ready")
-            self._due += [Admit(True), NotifySupervisor("READY=1\nSTATUS=serves")]
+            self._enter_phase(now, "ready")
+            self._pending += [Admit(True), NotifySupervisor("READY=1\nSTATUS=serves")]
 
     def on_viewing_count(self, now: float, viewings: int) -> None:
-        """How many viewings are here: playing, or owed an answer."""
-        self._held = viewings
+        """Takes the number of viewings here, those whose request is pending included."""
+        self._viewing_count = viewings
 
     def drain(self, now: float, within: float, then: Then, why: str) -> bool:
-        """Takes no new viewings; what plays may end by itself for `within` seconds. Whether it changes what
-        goes on: a drain is never taken back by a longer or weaker one."""
+        """Stops accepting viewings and gives the current ones `within` seconds to finish.
+
+        Returns whether this changes anything: a drain in progress is never extended or weakened.
+        """
         if self.phase == "over":
             return False
         if self.phase == "ending":
-            if RANK[then] > RANK[self.then]:
+            if STRENGTH[then] > STRENGTH[self.then]:
                 self.then, self.why = then, why
                 return True
             return False
         if self.phase in ("draining", "drained"):
-            stronger = RANK[then] > RANK[self.then]
+            stronger = STRENGTH[then] > STRENGTH[self.then]
             if not stronger and now + within >= self.drain_deadline:
                 return False
             self.then = then if stronger else self.then
             self.why = why if stronger else self.why
             self.drain_deadline = min(self.drain_deadline, now + within)
             if self.phase == "drained":
-                self._enter(now, "draining")
+                self._enter_phase(now, "draining")
         else:
             self.then, self.why, self.drain_deadline = then, why, now + within
-            self._enter(now, "draining")
-            self._due += [Admit(False), NotifySupervisor(f"STATUS=drains: {why}")]
+            self._enter_phase(now, "draining")
+            self._pending += [Admit(False), NotifySupervisor(f"STATUS=drains: {why}")]
         if self.then != "stay":
-            self._due.append(NotifySupervisor("STOPPING=1"))
-        self._look_at = now
+            self._pending.append(NotifySupervisor("STOPPING=1"))
+        self._next_check_at = now
         return True
 
     def undrain(self, now: float) -> bool:
-        """Takes viewings again, unless it is ending what plays or is to stop."""
+        """Accepts viewings again, unless viewings are being ended or the process is to restart or stop."""
         if self.phase not in ("draining", "drained") or self.then != "stay":
             return False
         self.drain_deadline, self.why = math.inf, ""
-        self._enter(now, "ready")
-        self._look_at = math.inf
-        self._due += [Admit(True), NotifySupervisor("STATUS=serves")]
+        self._enter_phase(now, "ready")
+        self._next_check_at = math.inf
+        self._pending += [Admit(True), NotifySupervisor("STATUS=serves")]
         return True
 
-    def on_start_check(self, now: float, good: bool, why: str = "") -> None:
-        """Whether the new program starts. Guards against a restart into a broken release: the old one carries
-        on, and says why."""
+    def on_start_check(self, now: float, starts: bool, why: str = "") -> None:
+        """Takes the result of `CheckStart`. If the installed program does not start, as with a broken
+        release, this process continues to serve and reports why."""
         if self.phase != "drained" or self.then != "restart":
-            return  # it was told to stop meanwhile
-        if good:
-            self._end(now, proven=True)
+            return  # a stop was requested meanwhile
+        if starts:
+            self._finish(now, start_checked=True)
             return
         self.then, self.drain_deadline, self.why = "stay", math.inf, why
-        self._enter(now, "ready")
-        self._due += [Admit(True), NotifySupervisor(f"READY=1\nSTATUS=serves, {why}")]
+        self._enter_phase(now, "ready")
+        self._pending += [Admit(True), NotifySupervisor(f"READY=1\nSTATUS=serves, {why}")]
 
-    # ---- what is decided -----------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
-    def _enter(self, now: float, phase: Phase) -> None:
+    def _enter_phase(self, now: float, phase: Phase) -> None:
         self.phase, self.since = phase, now
 
     def decide(self, now: float) -> Decision | None:
-        if not self._due and now >= self._look_at:
-            self._look(now)
-        return self._due.popleft() if self._due else None
-
-    def _look(self, now: float) -> None:
-        self._look_at = now + AGAIN
-        if self.phase == "draining" and (self._held == 0 or now >= self.drain_deadline):
-            if self._held:
-                self._enter(now, "ending")
-                self._over_by = now + self._patience + ENDING
+        """Returns the next decision, or None when there is nothing to do."""
+        if not self._pending and now >= self._next_check_at:
+            self._check(now)
+        return self._pending.popleft() if self._pending else None
+
+    def _check(self, now: float) -> None:
+        self._next_check_at = now + CHECK_INTERVAL_S
+        if self.phase == "draining" and (self._viewing_count == 0 or now >= self.drain_deadline):
+            if self._viewing_count:
+                self._enter_phase(now, "ending")
+                self._end_deadline = now + self._patience + ENDING_GRACE_S
             elif self.then == "stay":
-                self._enter(now, "drained")
-                self._due.append(NotifySupervisor("STATUS=drained"))
+                self._enter_phase(now, "drained")
+                self._pending.append(NotifySupervisor("STATUS=drained"))
             else:
-                self._end(now)
+                self._finish(now)
                 return
         if self.phase == "ending":
-            # Guards against a viewing that was owed its answer when the limit passed: it may have begun to
-            # play since, so all are told again until none is left.
-            if self._held and now < self._over_by:
-                self._due.append(EndAllViewings())
+            # A viewing whose request was pending at the deadline may have started since, so the decision
+            # is repeated until none is left.
+            if self._viewing_count and now < self._end_deadline:
+                self._pending.append(EndAllViewings())
             elif self.then == "stay":
-                self._enter(now, "drained")
-                self._due.append(NotifySupervisor("STATUS=drained"))
+                self._enter_phase(now, "drained")
+                self._pending.append(NotifySupervisor("STATUS=drained"))
             else:
-                self._end(now)
+                self._finish(now)
         if self.phase == "drained":
-            self._look_at = math.inf
-
-    def _end(self, now: float, proven: bool = False) -> None:
-        again = self.then == "restart"
-        if again and not proven:
-            self._enter(now, "drained")
-            self._look_at = math.inf
-            self._due.append(CheckStart())
+            self._next_check_at = math.inf
+
+    def _finish(self, now: float, start_checked: bool = False) -> None:
+        restart = self.then == "restart"
+        if restart and not start_checked:
+            self._enter_phase(now, "drained")
+            self._next_check_at = math.inf
+            self._pending.append(CheckStart())
             return
-        self._enter(now, "over")
-        self._look_at = math.inf
-        self._due += [AnnounceLeave(back_soon=self.then != "leave"), Exit(0, again)]
+        self._enter_phase(now, "over")
+        self._next_check_at = math.inf
+        self._pending += [AnnounceLeave(back_soon=self.then != "leave"), Exit(0, restart)]
 
     def wake_at(self) -> float | None:
-        if self._due:
+        """Returns when to call `decide` again, or None to wait for the next input."""
+        if self._pending:
             return 0.0
-        return None if self._look_at == math.inf else self._look_at
+        return None if self._next_check_at == math.inf else self._next_check_at
--- a/ledgehitch/keys/__init__.py
+++ b/ledgehitch/keys/__init__.py
@@ -1,5 +1,5 @@
-"""Certificates and fleet keys: made, listed, rotated with overlap, revoked, and judged when they are shown.
+"""Certificates and fleet keys: issuing, listing, rotation with an overlap, revocation and authorization.
 
-No secret leaves a file that only its owner may read: none is in a log, an argument or a record. Start reading
+Secrets stay in files that only their owner can read: never in a log, an argument or a record. Start reading
 at `judge.py`, which is free of I/O.
 """
--- a/ledgehitch/keys/contexts.py
+++ b/ledgehitch/keys/contexts.py
@@ -1,4 +1,4 @@
-"""TLS contexts for the admin call: both sides show certificates of the fleet's authority, TLS 1.3 alone."""
+"""TLS contexts of the admin API: mutual TLS with certificates of the fleet's authority, TLS 1.3 only."""
 
 import ssl
 from pathlib import Path
@@ -7,16 +7,20 @@
 from ledgehitch.keys.store import read_secret
 
 
-def tls_context(ca: Path, bearer: Path, server: bool) -> ssl.SSLContext:
-    """`bearer`: a certificate with its key, in a file that only its owner may read."""
-    read_secret(bearer)
-    some = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
-    some.minimum_version = ssl.TLSVersion.TLSv1_3
-    some.check_hostname = False  # the name is a gateway's, not a host's: it is judged by `judge.taken`
-    some.verify_mode = ssl.CERT_REQUIRED
+def tls_context(ca: Path, certificate: Path, server: bool) -> ssl.SSLContext:
+    """Returns a context for one side of a connection.
+
+    `certificate`: a file with the certificate and its key, readable by its owner alone. Raises `BadInput` if
+    a file cannot be loaded.
+    """
+    read_secret(certificate)
+    tls = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
+    tls.minimum_version = ssl.TLSVersion.TLSv1_3
+    tls.check_hostname = False  # certificates name gateways, not hosts: `judge.authorize` checks the name
+    tls.verify_mode = ssl.CERT_REQUIRED
     try:
-        some.load_verify_locations(ca)
-        some.load_cert_chain(bearer)
+        tls.load_verify_locations(ca)
+        tls.load_cert_chain(certificate)
     except (OSError, ssl.SSLError) as problem:
-        raise BadInput(f"{bearer} with {ca}: {problem}") from None
-    return some
+        raise BadInput(f"{certificate} with {ca}: {problem}") from None
+    return tls
--- a/ledgehitch/keys/judge.py
+++ b/ledgehitch/keys/judge.py
@@ -1,7 +1,7 @@
-"""Whether a certificate that is shown is taken, and for what. Free of I/O and clock.
+"""Authorization of a peer by its certificate. Free of I/O and clock.
 
-TLS itself has checked that the authority signed it. Here: what it is for, whom it names, its time, and
-whether it was revoked; the reason is for the log and for who shows it.
+TLS has verified the authority's signature already. This module checks the roles, the name, the validity
+period and the revocation; the reason of a rejection goes to the log and to the peer.
 """
 
 from collections.abc import Collection
@@ -10,15 +10,15 @@
 from cryptography import x509
 from cryptography.x509.oid import ExtensionOID, NameOID
 
-SCHEME = "ledgehitch:"  # URIs in a certificate: ledgehitch:operate, ledgehitch:look, ledgehitch:gateway
+SCHEME = "ledgehitch:"  # of the role URIs in a certificate, for instance ledgehitch:operate
 ROLES = ("operate", "look", "gateway")
-SKEW = 60.0  # seconds by which clocks may differ
+MAX_CLOCK_SKEW_S = 60.0
 
 Role = Literal["operate", "look", "gateway"]
 
 
 class Certificate(NamedTuple):
-    """A certificate as far as it matters here. Times are seconds of the wall clock."""
+    """The fields of a certificate that authorization needs. Times are seconds of the wall clock."""
 
     serial: int
     name: str
@@ -29,15 +29,15 @@
 
 
 class CertificateRejected(Exception):
-    """Why it is not taken, in words."""
+    """Raised with the reason why a certificate is not accepted."""
 
 
 def parse_certificate(der: bytes) -> Certificate:
-    """Reads a certificate; raises `CertificateRejected` for what is none."""
+    """Parses a DER certificate; raises `CertificateRejected` if it is malformed."""
     try:
         cert = x509.load_der_x509_certificate(der)
     except ValueError:
-        raise CertificateRejected("what was shown is no certificate") from None
+        raise CertificateRejected("malformed certificate: not valid DER") from None
     names = cert.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
     issuers = cert.issuer.get_attributes_for_oid(NameOID.COMMON_NAME)
     try:
@@ -46,8 +46,8 @@
         uris = alternative.get_values_for_type(x509.UniformResourceIdentifier)
     except x509.ExtensionNotFound:
         uris = []
-    said = [uri.removeprefix(SCHEME) for uri in uris if uri.startswith(SCHEME)]
-    roles = tuple(role for role in ROLES if role in said)
+    role_names = [uri.removeprefix(SCHEME) for uri in uris if uri.startswith(SCHEME)]
+    roles = tuple(role for role in ROLES if role in role_names)
     return Certificate(
         cert.serial_number,
         str(names[0].value) if names else "",
@@ -59,22 +59,28 @@
 
 
 def authorize(
-    one: Certificate, now: float, wanted: Collection[str], revoked: Collection[int], name: str = ""
+    certificate: Certificate, now: float, allowed: Collection[str], revoked: Collection[int], name: str = ""
 ) -> Role:
-    """The role in which it is taken, one of `wanted`. `name`: whom it must name."""
-    if now < one.begins - SKEW:
+    """Returns the first role of the certificate that is in `allowed`.
+
+    `name`: the common name that the certificate must have, if not empty. Raises `CertificateRejected`.
+    """
+    if now < certificate.begins - MAX_CLOCK_SKEW_S:
+        raise CertificateRejected(
+            f"the certificate of {certificate.name!r} is not valid before "
+            f"{certificate.begins - now:.0f} s from now"
+        )
+    if now > certificate.ends:
         raise CertificateRejected(
-            f"the certificate of {one.name!r} is not valid before {one.begins - now:.0f} s from now"
+            f"the certificate of {certificate.name!r} expired {now - certificate.ends:.0f} s ago"
         )
-    if now > one.ends:
-        raise CertificateRejected(f"the certificate of {one.name!r} expired {now - one.ends:.0f} s ago")
-    if one.serial in revoked:
-        raise CertificateRejected(f"the certificate of {one.name!r} was revoked")
-    if name and one.name != name:
-        raise CertificateRejected(f"the certificate names {one.name!r}, not {name!r}")
-    for role in one.roles:
-        if role in wanted:
+    if certificate.serial in revoked:
+        raise CertificateRejected(f"the certificate of {certificate.name!r} was revoked")
+    if name and certificate.name != name:
+        raise CertificateRejected(f"the certificate names {certificate.name!r}, not {name!r}")
+    for role in certificate.roles:
+        if role in allowed:
             return role
     raise CertificateRejected(
-        f"the certificate of {one.name!r} is for {', '.join(one.roles) or 'nothing here'}"
+        f"the certificate of {certificate.name!r} is for {', '.join(certificate.roles) or 'nothing here'}"
     )
--- a/ledgehitch/keys/store.py
+++ b/ledgehitch/keys/store.py
@@ -1,9 +1,9 @@
-"""Keys on disk: an authority, certificates it signs, the list of those revoked, rings of fleet keys.
+"""Keys on disk: a certificate authority, its certificates, a revocation list, a ring of fleet keys.
 
-DIR/ca.pem, ca.key          the authority; the key is needed to sign and to revoke alone
-DIR/NAME.pem                a certificate with its key, for who bears it
-DIR/revoked                 serial numbers, one a line
-DIR/fleet.key               the ring of fleet keys, newest first
+DIR/ca.pem, ca.key          the authority; only issuing certificates needs the key
+DIR/NAME.pem                a certificate with its private key, for its holder
+DIR/revoked                 revoked serial numbers in hexadecimal, one a line
+DIR/fleet.key               the ring of fleet keys, the signing key first
 """
 
 import datetime
@@ -20,31 +20,31 @@
 from ledgehitch.keys.judge import SCHEME, Certificate, Role, parse_certificate
 
 DAYS = 90.0
-CA_DAYS = 3650.0
-PRIVATE = 0o077  # bits that no file with a secret may have
-KEY = 32  # bytes of a fleet key
-KEPT = 2  # fleet keys that are taken: one is signed with, the other is coming or going
+AUTHORITY_DAYS = 3650.0
+FORBIDDEN_MODE_BITS = 0o077  # of a file with a secret
+KEY_BYTES = 32  # length of a fleet key
+MAX_RING_KEYS = 2  # the signing key, and during a rotation the next or the previous one
 
 
 def read_secret(path: Path) -> bytes:
-    """A file with a secret; refused where others may read it."""
+    """Returns the content of a file with a secret; raises `BadInput` if its mode lets others read it."""
     try:
-        if path.stat().st_mode & PRIVATE:
-            raise BadInput(f"{path}: others than its owner may read it (chmod 600)")
+        if path.stat().st_mode & FORBIDDEN_MODE_BITS:
+            raise BadInput(f"{path}: accessible to others than its owner (chmod 600)")
         return path.read_bytes()
     except OSError as problem:
         raise BadInput(f"{path}: cannot be read: {problem.strerror}") from None
 
 
 def write_atomically(path: Path, data: bytes, mode: int = 0o600) -> None:
-    """Whole or not at all, and never readable by others in between."""
-    partly = path.with_name(path.name + ".new")
-    partly.unlink(missing_ok=True)
-    with open(os.open(partly, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode), "wb") as file:
+    """Replaces a file atomically; the temporary file never has a wider mode than `mode`."""
+    temporary = path.with_name(path.name + ".new")
+    temporary.unlink(missing_ok=True)
+    with open(os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode), "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(partly, path)
+    os.replace(temporary, path)
 
 
 def _name(text: str) -> x509.Name:
@@ -63,6 +63,8 @@
 
 
 class Keys:
+    """The key directory of a fleet."""
+
     def __init__(self, directory: Path) -> None:
         self.directory = directory
         self.ca, self.ca_key = directory / "ca.pem", directory / "ca.key"
@@ -71,11 +73,12 @@
     # ---- certificates --------------------------------------------------------------------------------------
 
     def new_authority(self, name: str, now: float) -> None:
+        """Creates the certificate authority; raises `BadInput` if there is one already."""
         if self.ca_key.exists():
-            raise BadInput(f"{self.ca_key}: there is an authority already; it is never written over")
+            raise BadInput(f"{self.ca_key}: an authority exists already; it is never overwritten")
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         key = ec.generate_private_key(ec.SECP256R1())
-        begins, ends = _dates(now, CA_DAYS)
+        begins, ends = _dates(now, AUTHORITY_DAYS)
         builder = (
             x509.CertificateBuilder()
             .subject_name(_name(name))
@@ -93,8 +96,10 @@
         write_atomically(self.ca, cert.public_bytes(serialization.Encoding.PEM), 0o644)
 
     def issue(self, name: str, role: Role, now: float, days: float = DAYS) -> Path:
-        """A certificate with its key for `name`; an older one of that name goes on being good until its end
-        or until it is revoked."""
+        """Issues a certificate with its key for `name` and returns its path.
+
+        The previous certificate of that name stays valid until it expires or is revoked.
+        """
         authority = x509.load_pem_x509_certificate(self.ca.read_bytes())
         signer = serialization.load_pem_private_key(read_secret(self.ca_key), None)
         assert isinstance(signer, ec.EllipticCurvePrivateKey)
@@ -129,6 +134,7 @@
         return path
 
     def certificates(self) -> list[tuple[Path, Certificate]]:
+        """Returns all certificates of the directory with their paths."""
         found = []
         for path in sorted(self.directory.glob("*.pem")):
             cert = x509.load_pem_x509_certificate(path.read_bytes())
@@ -136,7 +142,7 @@
         return found
 
     def revoke(self, path: Path) -> int:
-        """From when gateways next look on, it is refused."""
+        """Revokes a certificate and returns its serial number; gateways reject it on their next check."""
         serial = x509.load_pem_x509_certificate(path.read_bytes()).serial_number
         known = self.revoked()
         if serial not in known:
@@ -146,48 +152,54 @@
         return serial
 
     def revoked(self) -> set[int]:
+        """Returns the revoked serial numbers."""
         return read_revocations(self.revocations)
 
     # ---- fleet keys ----------------------------------------------------------------------------------------
 
     def add_fleet_key(self) -> int:
-        """A new fleet key, taken but not signed with yet: the gateways learn it one after the other. How many
-        keys the ring has now."""
+        """Adds a fleet key and returns the number of keys in the ring.
+
+        Messages signed with the new key are accepted, but none is signed with it until all gateways have
+        read it: they restart one after the other.
+        """
         old = read_key_ring(self.ring) if self.ring.exists() else []
-        if len(old) >= KEPT:
-            raise BadInput(f"{self.ring}: a change is under way: `use` the new key, then `drop` the old one")
+        if len(old) >= MAX_RING_KEYS:
+            raise BadInput(
+                f"{self.ring}: a rotation is in progress: `use` the new key, then `drop` the old one"
+            )
         self.directory.mkdir(parents=True, exist_ok=True, mode=0o700)
-        write_atomically(self.ring, b"".join([*old, secrets.token_bytes(KEY)]))
+        write_atomically(self.ring, b"".join([*old, secrets.token_bytes(KEY_BYTES)]))
         return len(old) + 1
 
     def sign_with_newer_key(self) -> None:
-        """From their next start on gateways sign with the newer key; all of them must know it by now."""
+        """Makes gateways sign with the newer key from their next start on; all must have read it by now."""
         ring = read_key_ring(self.ring)
-        if len(ring) < KEPT:
-            raise BadInput(f"{self.ring}: there is no newer key: `add` one")
+        if len(ring) < MAX_RING_KEYS:
+            raise BadInput(f"{self.ring}: no newer key: `add` one")
         write_atomically(self.ring, b"".join(reversed(ring)))
 
     def drop_older_key(self) -> None:
-        """The key that is not signed with is taken no more; all must sign with the other by now."""
+        """Removes the key that no gateway signs with any more; all must sign with the other one by now."""
         write_atomically(self.ring, read_key_ring(self.ring)[0])
 
 
 def read_revocations(path: Path) -> set[int]:
-    """Serial numbers that are refused; none where there is no such file."""
+    """Returns the revoked serial numbers; an empty set if the file does not exist."""
     try:
         return {int(line, 16) for line in path.read_text("ascii").split()}
     except FileNotFoundError:
         return set()
     except (OSError, ValueError) as problem:
-        raise BadInput(f"{path}: the list of revoked certificates does not read: {problem}") from None
+        raise BadInput(f"{path}: malformed or unreadable revocation list: {problem}") from None
 
 
 def read_key_ring(path: Path) -> list[bytes]:
-    """Fleet keys, the one that is signed with first; a file of one key is a ring, too."""
+    """Returns the fleet keys, the signing key first; raises `BadInput` for a wrong length."""
     data = read_secret(path)
-    if not data or len(data) % KEY or len(data) > KEPT * KEY:
-        raise BadInput(f"{path}: a ring holds one or two peer keys of {KEY} bytes, not {len(data)} bytes")
-    return [data[i : i + KEY] for i in range(0, len(data), KEY)]
+    if not data or len(data) % KEY_BYTES or len(data) > MAX_RING_KEYS * KEY_BYTES:
+        raise BadInput(f"{path}: expected one or two fleet keys of {KEY_BYTES} bytes, got {len(data)} bytes")
+    return [data[i : i + KEY_BYTES] for i in range(0, len(data), KEY_BYTES)]
 
 
 def _usage(signs: bool) -> x509.KeyUsage:
