--- a/ledgehitch/daemon/admin.py
+++ b/ledgehitch/daemon/admin.py
@@ -133,8 +133,8 @@
         known = self._owning().accept_effect(what.duty, what.term, what.owner)
         if known:
             word = f"term {what.term} of {what.duty} is over, {known} is known here"
-            if self._owning().disk:
-                word = f"the disk does not keep the term: {self._owning().disk}"
+            if self._owning().disk_error:
+                word = f"the disk does not keep the term: {self._owning().disk_error}"
             raise Refused(409, word, [("Known-Term", str(known))])
 
     def _fenced(self, role: Role, what: Fenced, call: Callable[[], Any]) -> Response:
--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -1,5 +1,8 @@
-"""Carries out budgets: what this gateway needs is asked of the lender and told to the door; the work of the
-duty `budgets` answers others. Words ride in membership's frames.
+"""Runs the lending protocol of `budgets`: its I/O, and the work of the duty `budgets`.
+
+As borrower, this gateway requests what it needs from the lender and passes its share to admission control. As
+owner of the duty, it is the lender and answers requests. Messages travel in the frames of the membership
+protocol.
 """
 
 import random
@@ -25,17 +28,19 @@
 from ledgehitch.budgets.words import InvalidMessage, LoanMessage, decode, encode
 from ledgehitch.config import Site
 from ledgehitch.daemon.membership import Membership
-from ledgehitch.daemon.owning import NO_SHARE, Owning
+from ledgehitch.daemon.owning import SHARE_NOT_RELEASED, Owning
 from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.loop import Loop
 from ledgehitch.owners.facts import BUDGETS, MemberLists
 from ledgehitch.owners.words import NO_MEMBER
 
-LOOKS = 10  # at whether it is time to ask, in the time between two questions
+CHECKS_PER_REQUEST = 10  # in the time between two requests: whether the next one is due
 log = structlog.get_logger("budgets")
 
 
 class Budgeting:
+    """The borrower of this gateway, and its lender while it owns the duty `budgets`."""
+
     borrower: Borrower
 
     def __init__(
@@ -44,212 +49,226 @@
         site: Site,
         owning: Owning,
         membership: Membership,
-        doorman: AdmissionService,
+        admission: AdmissionService,
         seed: int,
     ) -> None:
-        self.loop, self.owning, self.membership, self.doorman = loop, owning, membership, doorman
-        self.names, self.chance = tuple(membership.names), random.Random(seed)
+        self.loop, self.owning, self.membership, self.admission = loop, owning, membership, admission
+        self.names, self.rng = tuple(membership.names), random.Random(seed)
         self.patience = max(p.patience for p in site.packages)
         self.loan = loan_duration(site.owners.lease)
         self.lender: Lender | None = None
         self.budgets: tuple[Budget, ...] = ()
-        self.lists: MemberLists = owning.of(BUDGETS).owners.durable.lists  # by which it borrows and lends now
-        self.bad: dict[str, int] = {}
-        self.trouble = ""  # why it has its own part alone
-        # Parts of the whole that the scope has in which it lends and borrows: all, or a region's share.
+        # The member lists that borrowing and lending are based on now.
+        self.lists: MemberLists = owning.scope_of(BUDGETS).owners.durable.lists
+        self.rejected_messages: dict[str, int] = {}
+        self.no_loan_reason = ""  # why it uses its own part alone
+        # Parts of WHOLE available in the scope of the duty: all of it, or the share of a region.
         self.share, self.to_lend = owning.share(), owning.share_to_lend()
-        self.own = OwnPart(owning.now(), self.lists, owning.name, (), self.share)
-        self._told: tuple[tuple[int, ...], float] = ((), -1.0)
-        self.placed(site)
-        owning.more = self._heard
-        doorman.refresh_share = self._look
-        self._asking = loop.spawn(self._ask, name="asks for loans")
-
-    def placed(self, site: Site) -> None:
-        """The site's limits, at start and at a reload. Where wholes alone have changed, parts of them go on;
-        other budgets are borrowed anew."""
-        d, before = site.door, [(x.name, x.unit) for x in self.budgets]
-        self.budgets = budgets_of(d.package_rates, d.set_ups, self.patience)
-        self.own.set_budgets(self.budgets, self.share)
-        if before and before == [(x.name, x.unit) for x in self.budgets]:
+        self.own_part = OwnPart(owning.now(), self.lists, owning.name, (), self.share)
+        self._last_share: tuple[tuple[int, ...], float] = ((), -1.0)
+        self.configure(site)
+        owning.on_budget_message = self._on_message
+        admission.refresh_share = self._refresh_share
+        self._request_task = loop.spawn(self._request_loans, name="loan requests")
+
+    def configure(self, site: Site) -> None:
+        """Applies the limits of the site, at start and at a reload.
+
+        If only the totals have changed, current loans stay valid; with other budgets a new borrower starts.
+        """
+        door, previous = site.door, [(budget.name, budget.unit) for budget in self.budgets]
+        self.budgets = budgets_of(door.package_rates, door.set_ups, self.patience)
+        self.own_part.set_budgets(self.budgets, self.share)
+        if previous and previous == [(budget.name, budget.unit) for budget in self.budgets]:
             self.borrower.budgets = self.budgets
-            self._goes_on()
+            self._reconfigure_lender()
             return
         self.lender = None
         life = secrets.randbits(32)
-        nothing = (0,) * len(self.budgets)
-        self.borrower = Borrower(self.budgets, nothing, life, self._digests(), self.loan)
+        no_loans = (0,) * len(self.budgets)
+        self.borrower = Borrower(self.budgets, no_loans, life, self._digests(), self.loan)
 
     def _digests(self) -> tuple[bytes, ...]:
-        """Of the versions of the site that may be about, this gateway's own first."""
+        """Returns the digests of the site versions that may be in use, this gateway's own first."""
         lists = self.lists
         versions = [(lists.own_part, lists.current), (lists.former_own_part, lists.former)]
         return tuple(budgets_digest(self.budgets, part, names) for part, names in versions if names)
 
-    def _listed(self) -> None:
-        """A change of the list that has settled, or has begun to be one, or a larger share: loans go on by
-        what is left."""
-        lists = self.owning.of(BUDGETS).owners.durable.lists
+    def _apply_list_changes(self) -> None:
+        """Applies a change of the member lists, begun or completed, or of the share; loans stay within the
+        remaining parts."""
+        lists = self.owning.scope_of(BUDGETS).owners.durable.lists
         shares = self.owning.share(), self.owning.share_to_lend()
         if shares != (self.share, self.to_lend):
             self.share, self.to_lend = shares
-            log.info("share", now=self.share / WHOLE, to_lend=self.to_lend / WHOLE)
-            self.own.set_budgets(self.budgets, self.share)
-            self._goes_on()
+            log.info("share of the region changed", now=self.share / WHOLE, to_lend=self.to_lend / WHOLE)
+            self.own_part.set_budgets(self.budgets, self.share)
+            self._reconfigure_lender()
         if lists != self.lists:
             self.lists = lists
-            self.own.on_list_change(self.owning.now(), lists)
+            self.own_part.on_list_change(self.owning.now(), lists)
             self.borrower.digests = self._digests()
-            self._goes_on()
+            self._reconfigure_lender()
 
-    def _goes_on(self) -> None:
+    def _reconfigure_lender(self) -> None:
         if self.lender is not None:
-            self.lender.reconfigure(self.budgets, *self._lent_by(), self._digests())
+            self.lender.reconfigure(self.budgets, *self._lending_terms(), self._digests())
+
+    # ---- borrower ------------------------------------------------------------------------------------------
 
-    # ---- the part of this gateway --------------------------------------------------------------------------
+    def _refresh_share(self, mono: float) -> None:
+        """Passes the current share to admission control.
 
-    def _look(self, mono: float) -> None:
-        """Before anybody is let in: a loan that ended while the process stood still is over."""
-        self._listed()
-        now, b = self.owning.now(), self.borrower
-        owners = self.owning.of(BUDGETS).owners
-        b.on_clock_check(owners.clock_good)
-        b.own = self.own.parts_at(
+        Called before each admission too, so that a loan that expired while the process was suspended is not
+        used. `mono`: seconds of the monotonic clock.
+        """
+        self._apply_list_changes()
+        now, borrower = self.owning.now(), self.borrower
+        owners = self.owning.scope_of(BUDGETS).owners
+        borrower.on_clock_check(owners.clock_good)
+        borrower.own = self.own_part.parts_at(
             now, owners.joined(now), owners.durable.intact or owners.durable.bootstrapped
         )
-        left = b.loan_until - now if b.loan_valid(now) else 0.0
-        if (b.own, b.loan_until if left else 0.0) != self._told:
-            self._told = b.own, b.loan_until if left else 0.0
-            lent = {x.name: b.loans[i] / WHOLE for i, x in enumerate(b.budgets)} if left else {}
-            own = {x.name: b.own[i] / WHOLE for i, x in enumerate(b.budgets)}
-            rest = next((own[x.name] for x in b.budgets if x.unit == "rate"), 0.0)
-            self.doorman.set_share(mono, rest, lent, mono + left, own)
-
-    def _ask(self) -> None:
+        left = borrower.loan_until - now if borrower.loan_valid(now) else 0.0
+        if (borrower.own, borrower.loan_until if left else 0.0) != self._last_share:
+            self._last_share = borrower.own, borrower.loan_until if left else 0.0
+            lent = (
+                {budget.name: borrower.loans[i] / WHOLE for i, budget in enumerate(borrower.budgets)}
+                if left
+                else {}
+            )
+            own = {budget.name: borrower.own[i] / WHOLE for i, budget in enumerate(borrower.budgets)}
+            rate_part = next((own[budget.name] for budget in borrower.budgets if budget.unit == "rate"), 0.0)
+            self.admission.set_share(mono, rate_part, lent, mono + left, own)
+
+    def _request_loans(self) -> None:
         while True:
-            self._look(time.monotonic())
-            self._once()
-            self.loop.sleep(self.loan / REQUESTS_PER_LOAN / LOOKS * self.chance.uniform(0.9, 1.1))
+            self._refresh_share(time.monotonic())
+            self._request_loan()
+            self.loop.sleep(self.loan / REQUESTS_PER_LOAN / CHECKS_PER_REQUEST * self.rng.uniform(0.9, 1.1))
 
-    def _once(self) -> None:
-        now, b, owners = self.owning.now(), self.borrower, self.owning.of(BUDGETS).owners
+    def _request_loan(self) -> None:
+        now, borrower, owners = self.owning.now(), self.borrower, self.owning.scope_of(BUDGETS).owners
         owner, term = owners.owner_of(now, BUDGETS)
         why = (
-            NO_SHARE
+            SHARE_NOT_RELEASED
             if owner == NO_MEMBER and not self.share
             else "nobody is known to lend"
             if owner == NO_MEMBER
-            else "it does not count among the others yet"
+            else "this gateway has not joined yet"
             if not owners.joined(now)
             else ""
         )
-        if why != self.trouble:
-            self.trouble = why
-            log.warning("own parts alone", why=why) if why else log.info("loans again", term=term)
-        if why or not b.budgets:
+        if why != self.no_loan_reason:
+            self.no_loan_reason = why
+            log.warning("using own parts only", why=why) if why else log.info("borrowing again", term=term)
+        if why or not borrower.budgets:
             return
-        used, wanted = self.doorman.demand(time.monotonic())
-        words = b.next_request(
+        used, wanted = self.admission.demand(time.monotonic())
+        message = borrower.next_request(
             now,
             term,
-            {x.name: parts_used(x, used.get(x.name, 0.0)) for x in b.budgets},
-            {x.name: parts_wanted(x, wanted.get(x.name, 0.0)) for x in b.budgets},
+            {budget.name: parts_used(budget, used.get(budget.name, 0.0)) for budget in borrower.budgets},
+            {budget.name: parts_wanted(budget, wanted.get(budget.name, 0.0)) for budget in borrower.budgets},
         )
-        if words is None:
+        if message is None:
             return
-        self.doorman.on_demand_reported()
+        self.admission.on_demand_reported()
         if owner != owners.me:
-            self.membership.send(owner, encode(words))
-        elif (answer := self._answer(owners.me, words)) is not None:
-            self._taken(answer)
+            self.membership.send(owner, encode(message))
+        elif (answer := self._answer(owners.me, message)) is not None:
+            self._on_loan(answer)
 
-    def _taken(self, words: LoanMessage) -> None:
-        if self.borrower.on_loan(self.owning.now(), words):
-            self._look(time.monotonic())
+    def _on_loan(self, message: LoanMessage) -> None:
+        if self.borrower.on_loan(self.owning.now(), message):
+            self._refresh_share(time.monotonic())
 
-    # ---- what is heard -------------------------------------------------------------------------------------
+    # ---- messages ------------------------------------------------------------------------------------------
 
-    def _heard(self, sender: int, body: bytes) -> None:
+    def _on_message(self, sender: int, body: bytes) -> None:
         try:
-            words = decode(body)
+            message = decode(body)
         except InvalidMessage as why:
-            self.bad[str(why)] = self.bad.get(str(why), 0) + 1
+            self.rejected_messages[str(why)] = self.rejected_messages.get(str(why), 0) + 1
             return
-        if words.kind == "lent":
-            self._taken(words)
-        elif (answer := self._answer(sender, words)) is not None:
+        if message.kind == "lent":
+            self._on_loan(message)
+        elif (answer := self._answer(sender, message)) is not None:
             self.membership.send(sender, encode(answer))
 
-    def _answer(self, member: int, words: LoanMessage) -> LoanMessage | None:
-        """Only under a lease that runs."""
+    def _answer(self, member: int, message: LoanMessage) -> LoanMessage | None:
+        """Returns the lender's reply, or None if this gateway holds no valid lease of the duty."""
         term = self.owning.owned_term(BUDGETS)
         if not term or self.lender is None or self.lender.term != term:
             return None
-        return self.lender.on_request(self.owning.now(), member, words)
+        return self.lender.on_request(self.owning.now(), member, message)
 
-    # ---- the duty ------------------------------------------------------------------------------------------
+    # ---- lender --------------------------------------------------------------------------------------------
 
     def run(self, term: int) -> None:
-        """As owner of the duty; ended with the term. It begins anew where budgets or the list change."""
+        """Lends as owner of the duty until cancelled at the end of the term; a new lender starts when the
+        budgets change."""
         while True:
-            self._listed()
+            self._apply_list_changes()
             if self.lender is None or self.lender.term != term:
-                self.lender = self._lends(term)
-                log.info("lends", term=term, pool=[parts / WHOLE for parts in self.lender.ledger.pool])
-            self.loop.sleep(self.loan / REQUESTS_PER_LOAN / LOOKS)
+                self.lender = self._new_lender(term)
+                log.info("lending", term=term, pool=[parts / WHOLE for parts in self.lender.ledger.pool])
+            self.loop.sleep(self.loan / REQUESTS_PER_LOAN / CHECKS_PER_REQUEST)
 
-    def _lends(self, term: int) -> Lender:
+    def _new_lender(self, term: int) -> Lender:
         former = loan_duration(self.lists.max_recorded_lease())
         return Lender(
-            self.owning.now(), term, self.budgets, *self._lent_by(), self._digests(), self.loan, former
+            self.owning.now(), term, self.budgets, *self._lending_terms(), self._digests(), self.loan, former
         )
 
-    def _lent_by(self) -> tuple[dict[int, tuple[int, ...]], tuple[int, ...], set[int]]:
+    def _lending_terms(self) -> tuple[dict[int, tuple[int, ...]], tuple[int, ...], set[int]]:
         numbers = {name: n for n, name in enumerate(self.names)}
         return lending_terms(
-            self.budgets, self.lists, self.owning.of(BUDGETS).owners.durable.gone, numbers, self.to_lend
+            self.budgets, self.lists, self.owning.scope_of(BUDGETS).owners.durable.gone, numbers, self.to_lend
         )
 
     def doing(self) -> str:
+        """Returns the lender's progress for operators."""
         if self.lender is None:
             return "begins"
-        waits = max([w - self.owning.now() for w in self.lender.waits_until], default=0.0)
-        if waits > 0:
-            return f"renews what is held, divides anew in {waits:.1f} s at most"
+        wait = max([until - self.owning.now() for until in self.lender.waits_until], default=0.0)
+        if wait > 0:
+            return f"renews current loans, redistributes in {wait:.1f} s at most"
         return f"lends to {len(self.lender.wanted)} of {len(self.lender.members)}"
 
     def close(self) -> None:
-        self._asking.cancel()
-        self.owning.more = self.doorman.refresh_share = None
+        """Stops borrowing; admission control keeps its last share."""
+        self._request_task.cancel()
+        self.owning.on_budget_message = self.admission.refresh_share = None
 
     def state(self) -> dict[str, Any]:
-        """For people: this gateway's part, and as lender what it lends."""
-        now, b = self.owning.now(), self.borrower
+        """Returns the state for operators: this gateway's share, and as lender what it has lent."""
+        now, borrower = self.owning.now(), self.borrower
         lends = self.lender is not None and self.owning.owned_term(BUDGETS) == self.lender.term
-        used = self.doorman.usage()
-        held = b.loan_valid(now)
+        used = self.admission.usage()
+        loan_valid = borrower.loan_valid(now)
         mine = {
-            x.name: {
-                "own": b.own[i],
-                "loan": b.loans[i] if held else 0,
-                "wanted": b.wanted[i],
-                "used": parts_used(x, used.get(x.name, 0.0)),
-                "unit": x.unit,
+            budget.name: {
+                "own": borrower.own[i],
+                "loan": borrower.loans[i] if loan_valid else 0,
+                "wanted": borrower.wanted[i],
+                "used": parts_used(budget, used.get(budget.name, 0.0)),
+                "unit": budget.unit,
             }
-            for i, x in enumerate(b.budgets)
+            for i, budget in enumerate(borrower.budgets)
         }
         return {
             "whole": WHOLE,
             "budgets": mine,
-            "loan_left": round(max(0.0, b.loan_until - now), 3) if held else 0.0,
-            "term": b.term,
-            "digests": [d.hex() for d in b.digests],
-            "alone": self.trouble,
-            "refused": dict(b.counts),
-            "bad_words": dict(self.bad),
+            "loan_left": round(max(0.0, borrower.loan_until - now), 3) if loan_valid else 0.0,
+            "term": borrower.term,
+            "digests": [d.hex() for d in borrower.digests],
+            "alone": self.no_loan_reason,
+            "refused": dict(borrower.counts),
+            "bad_words": dict(self.rejected_messages),
             "lends": self.lender.status(now) if lends and self.lender is not None else None,
             "lender_refused": dict(self.lender.counts) if lends and self.lender is not None else {},
             "names": list(self.names),
-            "region": self.owning.of(BUDGETS).region,
+            "region": self.owning.scope_of(BUDGETS).region,
             "share": self.share,
         }
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -45,7 +45,9 @@
             if i != me and (g.members_via or g.members_at)
         }
         self.bad: dict[str, int] = {}
-        self.more: Callable[[int, bytes], None] | None = None  # words that are not membership's own
+        self.on_other_message: Callable[[int, bytes], None] | None = (
+            None  # words that are not membership's own
+        )
         self._timer: Timer | None = None
         self._hearing = loop.spawn(self._hear, name="members")
         self._pull()
@@ -59,8 +61,8 @@
             try:
                 sender, body = self.frames.unframe(time.time(), data)
                 if body and body[0] >= FIRST_KIND:
-                    if self.more is not None:
-                        self.more(sender, body)
+                    if self.on_other_message is not None:
+                        self.on_other_message(sender, body)
                     continue
                 self.members.on_message(time.monotonic(), sender, decode(body))
             except DatagramRejected:
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -167,7 +167,7 @@
         if doorman is not None and lends(self.site):
             self.budgeting = Budgeting(self.loop, self.site, own, self.membership, doorman, seed + 6)
             self.admin.budgeting = own.work[BUDGETS] = self.budgeting
-            self.running.on_limits_changed = self.budgeting.placed
+            self.running.on_limits_changed = self.budgeting.configure
         if self.site.owners.verdicts_to and self.running.reports is not None:
             own.work[VERDICTS] = Verdicts(self.loop, self.site, self.name, own, self.running.reports)
         return own
--- a/tests/test_owning.py
+++ b/tests/test_owning.py
@@ -175,7 +175,7 @@
         rig.until(lambda: rig.asked(old, "/v1/owners")["disk"], 30.0)
         _, said = rig.fleet("owners")
         assert f"{old}: its disk takes no vote: Is a directory" in said, said
-        assert "the disk takes no vote: none is given" in rig.log_of(old)
+        assert "cannot write votes to disk: voting suspended" in rig.log_of(old)
         rig.disk_good(old)
         rig.owner("restarts", within=60.0)
 
