--- a/ledgehitch/http/client.py
+++ b/ledgehitch/http/client.py
@@ -63,7 +63,7 @@
         Raises `ConnectFailed` if it was not sent, `Interrupted` if it may have been executed, and
         `ValueError` if the response is not valid HTTP.
         """
-        stream = self._stream(address)
+        stream = self._acquire(address)
         reusable = False
         try:
             reader = ResponseReader(max_body=MAX_BODY_BYTES)
@@ -84,7 +84,7 @@
             return response
         finally:
             if reusable:
-                self._keep(address, stream)
+                self._return_to_pool(address, stream)
             else:
                 stream.close()
 
@@ -136,7 +136,7 @@
         finally:
             stream.close()
 
-    def _stream(self, address: str) -> "AnyStream":
+    def _acquire(self, address: str) -> "AnyStream":
         pool = self._pools.get(address)
         while pool:
             _, stream = pool.pop()
@@ -158,9 +158,9 @@
             stream = connect(self.loop, at)
         except OSError as problem:
             raise ConnectFailed(str(problem)) from None
-        return self._wrapped(address, stream) if address.startswith(TLS) else stream
+        return self._start_tls(address, stream) if address.startswith(TLS) else stream
 
-    def _wrapped(self, address: str, stream: Stream) -> "TlsStream":
+    def _start_tls(self, address: str, stream: Stream) -> "TlsStream":
         if self.tls is None:
             stream.close()
             raise ConnectFailed(f"{address} asks for a certificate, and none is given")
@@ -179,7 +179,7 @@
             if not accepted:
                 stream.close()
 
-    def _keep(self, address: str, stream: "AnyStream") -> None:
+    def _return_to_pool(self, address: str, stream: "AnyStream") -> None:
         pool = self._pools.setdefault(address, deque())
         if len(pool) >= MAX_IDLE_CONNECTIONS:
             pool.popleft()[1].close()
--- a/ledgehitch/http/server.py
+++ b/ledgehitch/http/server.py
@@ -106,7 +106,7 @@
                     return
                 for request in requests:
                     request.peer, request.certificate = stream.peer, certificate
-                    request.on_disconnect = lambda call: self._on_hang_up(stream, call)
+                    request.on_disconnect = lambda call: self._watch_disconnect(stream, call)
                     request.reset = stream.reset
                     keep = self._answer(stream, request) and request.keep_alive
                     if not keep:
@@ -157,7 +157,7 @@
             self.report(f"{request.method} {request.path}", error)
             response = problem(500, "a fault of this server; it is in its log")
         finally:
-            self._on_hang_up(stream, None)
+            self._watch_disconnect(stream, None)
         self.served[response.status] = self.served.get(response.status, 0) + 1
         complete = False
         try:
@@ -170,11 +170,11 @@
         if response.stream is not None:
             # Notices a reader that disconnects while there is nothing to send.
             task: Any = self.loop.current
-            self._on_hang_up(stream, task.cancel)
+            self._watch_disconnect(stream, task.cancel)
             try:
                 response.stream(lambda data: self._send(stream, data))
             finally:
-                self._on_hang_up(stream, None)
+                self._watch_disconnect(stream, None)
             return False
         return True
 
@@ -199,7 +199,7 @@
         except TimedOut:
             pass
 
-    def _on_hang_up(self, stream: AnyStream, call: Callable[[], None] | None) -> None:
+    def _watch_disconnect(self, stream: AnyStream, call: Callable[[], None] | None) -> None:
         """Calls once if the client disconnects while its request is processed; None removes the callback."""
         if stream.fd < 0:
             return
--- a/ledgehitch/loop/kernel.py
+++ b/ledgehitch/loop/kernel.py
@@ -24,8 +24,8 @@
 MAX_POLL_S = 0.25  # bounds the time between two readings of the clock, to detect a suspended process
 IMMEDIATE_POLL_S = 0.001  # a poll that returns faster found events that were already pending
 SUSPENDED_AFTER_S = 0.05  # a poll that overruns its timeout by more means that the process was suspended
-IN = select.POLLIN | select.POLLHUP | select.POLLERR | select.POLLNVAL
-OUT = select.POLLOUT | select.POLLHUP | select.POLLERR | select.POLLNVAL
+READABLE = select.POLLIN | select.POLLHUP | select.POLLERR | select.POLLNVAL
+WRITABLE = select.POLLOUT | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 class Cancelled(BaseException):
@@ -335,8 +335,8 @@
     def _dispatch(self, fd: int, events: int) -> None:
         mask = self.masks.get(fd, 0)
         for callbacks, ready_mask, interest in (
-            (self.readers, IN, select.POLLIN),
-            (self.writers, OUT, select.POLLOUT),
+            (self.readers, READABLE, select.POLLIN),
+            (self.writers, WRITABLE, select.POLLOUT),
         ):
             if not mask & interest or not events & ready_mask:
                 continue
--- a/ledgehitch/quality/judge.py
+++ b/ledgehitch/quality/judge.py
@@ -27,7 +27,7 @@
 MIN_VIEWINGS = 30  # smallest group that is evaluated
 MAX_CULPRITS = 12
 ALL_BAD = 0.3  # share of bad viewings above which the whole fleet is bad
-SET, CLEARED = 2, 3  # consecutive evaluations that set a verdict, and that clear it
+SET_AFTER, CLEAR_AFTER = 2, 3  # consecutive evaluations that set a verdict, and that clear it
 Floats = NDArray[np.float64]
 
 
@@ -197,7 +197,7 @@
 
 
 class VerdictTracker:
-    """Verdicts with hysteresis: `SET` evaluations in a row name a culprit, and `CLEARED` clear it."""
+    """Verdicts with hysteresis: a culprit is set after `SET_AFTER` evaluations, cleared after `CLEAR_AFTER`."""
 
     def __init__(self) -> None:
         self.named: dict[tuple[str, str], Culprit] = {}
@@ -214,11 +214,11 @@
         for key, culprit in now.items():
             self._found_times[key] = self._found_times.get(key, 0) + 1
             self._missed_times.pop(key, None)
-            if self._found_times[key] >= SET or key in self.named:
+            if self._found_times[key] >= SET_AFTER or key in self.named:
                 self.named[key] = culprit
         for key in [k for k in self._found_times if k not in now]:
             self._missed_times[key] = self._missed_times.get(key, 0) + 1
-            if key not in self.named or self._missed_times[key] >= CLEARED:
+            if key not in self.named or self._missed_times[key] >= CLEAR_AFTER:
                 for records in (self.named, self._found_times, self._missed_times):
                     records.pop(key, None)
         named = sorted(self.named.values(), key=lambda c: (-c.excess, c.kind, c.name))
--- a/ledgehitch/quality/tally.py
+++ b/ledgehitch/quality/tally.py
@@ -79,10 +79,10 @@
 
     def start_at(self, share: float) -> float | None:
         """Returns the quantile `share` of the start times in milliseconds, to 5%; None without any."""
-        rank, passed = share * (self.starts - 1), 0
+        rank, cumulative = share * (self.starts - 1), 0
         for key in sorted(self.sketch):
-            passed += self.sketch[key]
-            if passed > rank:
+            cumulative += self.sketch[key]
+            if cumulative > rank:
                 return float(STARTS.value(key))
         return None
 
@@ -194,8 +194,12 @@
                 clock.marked = clock.marked or "its clock stands still"
         # A player may hold its first reports back, so the elapsed time counts from the answer, before which
         # no report was made, rather than from the arrival of the first one.
-        ran, passed = ts - clock.first_ts, now - clock.seen.answered_at
-        if passed > MIN_RATE_TIME_S and newer and ran > passed * (1 + MAX_RATE_ERROR) + MAX_JUMP_S:
+        player_elapsed, elapsed = ts - clock.first_ts, now - clock.seen.answered_at
+        if (
+            elapsed > MIN_RATE_TIME_S
+            and newer
+            and player_elapsed > elapsed * (1 + MAX_RATE_ERROR) + MAX_JUMP_S
+        ):
             clock.marked = clock.marked or "its clock runs fast or jumps ahead"
         if newer:
             clock.last_sn, clock.last_ts = report.sn, ts
@@ -217,43 +221,43 @@
         bits |= BITS["slow"] * slow | BITS["dropped"] * (report.drops >= MIN_BAD_DROPS)
         before = clock.windows.get(window, -1)
         rung = clock.rungs.setdefault(window, report.rung)
-        had = max(0, before)
+        counted = max(0, before)
         cell, sides = self._counts_of(window, seen, rung)
         for counts in (cell, *sides):
             counts.viewings += before < 0
-            counts.bad += bool(bits) and not had
+            counts.bad += bool(bits) and not counted
             for name, bit in BITS.items():
-                if bits & bit and not had & bit:
+                if bits & bit and not counted & bit:
                     setattr(counts, name, getattr(counts, name) + 1)
         if report.msd is not None and report.sn == 0:
             for side in sides:
                 side.started(report.msd)
-        clock.windows[window] = had | bits
+        clock.windows[window] = counted | bits
         while len(clock.windows) > 6:
             oldest = min(clock.windows)
-            for held in (clock.windows, clock.rungs, clock.stalls):
-                held.pop(oldest, None)
+            for stored in (clock.windows, clock.rungs, clock.stalls):
+                stored.pop(oldest, None)
         self.change_count += 1
         self.versions[window] = self.change_count
 
     def _counts_of(self, window: int, seen: ViewingRecord, rung: int) -> tuple[Cell, list[GroupCounts]]:
         """Returns the counts of a viewing: the cell of its rack and title, and each of its groups."""
-        held = self.windows.get(window)
-        if held is None:
-            held = self.windows[window] = Window()
+        stored = self.windows.get(window)
+        if stored is None:
+            stored = self.windows[window] = Window()
             while len(self.windows) > STORED_WINDOWS:
                 oldest = min(self.windows)
                 del self.windows[oldest], self.versions[oldest]
         key = f"{seen.rack}\t{seen.title}"
-        if key not in held.cells and len(held.cells) >= MAX_CELLS:
+        if key not in stored.cells and len(stored.cells) >= MAX_CELLS:
             key = f"{seen.rack}\t{OTHERS}"
         sides = []
         for kind, name in zip(KINDS, (seen.rack, seen.title, seen.package, str(rung)), strict=True):
             group = f"{kind}\t{name}"
-            if kind == "title" and group not in held.sides and len(held.sides) >= MAX_GROUPS:
+            if kind == "title" and group not in stored.sides and len(stored.sides) >= MAX_GROUPS:
                 group = f"{kind}\t{OTHERS}"
-            sides.append(held.sides.setdefault(group, GroupCounts()))
-        return held.cells.setdefault(key, Cell()), sides
+            sides.append(stored.sides.setdefault(group, GroupCounts()))
+        return stored.cells.setdefault(key, Cell()), sides
 
     # ---- exchange ------------------------------------------------------------------------------------------
 
@@ -263,21 +267,21 @@
         For a receiver that has the first `after` changes of this life, it yields only windows that changed
         since.
         """
-        for window, held in self.windows.items():
+        for window, stored in self.windows.items():
             if life != self.life or self.versions[window] > after:
-                yield self.source, window, self.life, self.versions[window], held
+                yield self.source, window, self.life, self.versions[window], stored
 
-    def merge(self, source: str, window: int, life: int, version: int, told: Window) -> bool:
+    def merge(self, source: str, window: int, life: int, version: int, received: Window) -> bool:
         """Stores another gateway's window if it is newer than the known one; returns whether it was."""
         if source == self.source:
             return False
-        held = self.peers.setdefault(source, {})
-        known = held.get(window)
+        stored = self.peers.setdefault(source, {})
+        known = stored.get(window)
         if known is not None and (life, version) <= known[:2]:
             return False
-        held[window] = life, version, told
-        while len(held) > STORED_WINDOWS:
-            del held[min(held)]
+        stored[window] = life, version, received
+        while len(stored) > STORED_WINDOWS:
+            del stored[min(stored)]
         return True
 
     def remove_before(self, before: int) -> None:
@@ -286,16 +290,16 @@
         Otherwise gateways that left would be held for ever.
         """
         for source in list(self.peers):
-            held = self.peers[source]
-            for window in [w for w in held if w < before]:
-                del held[window]
-            if not held:
+            stored = self.peers[source]
+            for window in [w for w in stored if w < before]:
+                del stored[window]
+            if not stored:
                 del self.peers[source]
 
     def _windows_between(self, first: int, last: int) -> Iterator[Window]:
-        yield from (held for w, held in self.windows.items() if first <= w < last)
-        for told in self.peers.values():
-            yield from (t[2] for w, t in told.items() if first <= w < last)
+        yield from (stored for w, stored in self.windows.items() if first <= w < last)
+        for received in self.peers.values():
+            yield from (t[2] for w, t in received.items() if first <= w < last)
 
     def totals(self, first: int, last: int) -> Table:
         """Returns the counts of all gateways over the windows from `first` to `last`, exclusive."""
@@ -331,9 +335,9 @@
         }
 
     @classmethod
-    def restore(cls, held: Any, life: int) -> "Tally":
+    def restore(cls, stored: Any, life: int) -> "Tally":
         """Restores a snapshot in a new life, under which the own tables replace those that others hold."""
-        data = msgspec.convert(held, _Snapshot)
+        data = msgspec.convert(stored, _Snapshot)
         if data.form != FORMAT_VERSION:
             raise ValueError(f"snapshot format {data.form}, expected {FORMAT_VERSION}")
         tally = cls(data.source, max(life, data.life + 1))
--- a/tests/test_quality.py
+++ b/tests/test_quality.py
@@ -19,7 +19,7 @@
 from ledgehitch.http import Response
 from ledgehitch.loop import Loop, connect, endpoint
 from ledgehitch.quality.facts import Report, ViewingRecord, parse_reports
-from ledgehitch.quality.judge import CLEARED, VerdictTracker, evaluate
+from ledgehitch.quality.judge import CLEAR_AFTER, VerdictTracker, evaluate
 from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.quality.limits import BURST, ReportRateLimit
 from ledgehitch.quality.page import render_page
@@ -383,7 +383,7 @@
     fine = cells(r0__a=(500, 10), r1__a=(500, 10), r2__a=(500, 10))
     assert judge.evaluate(bad).culprits == (), "one evaluation is not enough"
     assert [c.name for c in judge.evaluate(bad).culprits] == ["r0"]
-    for _ in range(CLEARED - 1):
+    for _ in range(CLEAR_AFTER - 1):
         assert [c.name for c in judge.evaluate(fine).culprits] == ["r0"]
     assert judge.evaluate(fine).culprits == ()
     assert judge.evaluate(bad).culprits == ()
