--- a/ledgehitch/door/queue.py
+++ b/ledgehitch/door/queue.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from ledgehitch.keyed import CellHash
+from ledgehitch.keyed_hashes import CellHash
 
 CELLS = 1024
 CELL_CAPACITY = 64  # queued requests in one cell
--- a/ledgehitch/door/returns.py
+++ b/ledgehitch/door/returns.py
@@ -10,7 +10,7 @@
 
 from blake3 import blake3
 
-from ledgehitch.keyed import RecentKeys
+from ledgehitch.keyed_hashes import RecentKeys
 
 HORIZON_S = 120  # seconds for which slots can be booked
 RETURN_SHARE = 0.6  # share of the admission rate that may be promised to returning clients
--- a/ledgehitch/quality/limits.py
+++ b/ledgehitch/quality/limits.py
@@ -4,7 +4,7 @@
 Clients that fall into the same cell share its rate until the key changes.
 """
 
-from ledgehitch.keyed import cell_of
+from ledgehitch.keyed_hashes import cell_of
 
 CELLS = 65536
 RATE, BURST = 5.0, 200.0  # reports per second and at once, for one client
--- a/ledgehitch/quality/tally.py
+++ b/ledgehitch/quality/tally.py
@@ -13,7 +13,7 @@
 import msgspec
 from ddsketch.mapping import LogarithmicMapping
 
-from ledgehitch.keyed import RecentKeys
+from ledgehitch.keyed_hashes import RecentKeys
 from ledgehitch.quality.facts import Report, ViewingRecord
 
 WINDOW_S = 10.0  # seconds of the gateway's time in one window
