--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -14,7 +14,6 @@
 from ledgehitch.loop.kernel import Loop, Task, TimedOut
 from ledgehitch.loop.sockets import Listener, Stream
 from ledgehitch.platform.bounds import ResourceLimits
-from ledgehitch.platform.desk import Release, Response, SessionTable
 from ledgehitch.platform.life import Lifecycle
 from ledgehitch.platform.log import log
 from ledgehitch.platform.pace import (
@@ -25,6 +24,7 @@
     eviction_candidate,
 )
 from ledgehitch.platform.pipe import BufferedWriter
+from ledgehitch.platform.sessions import Release, Response, SessionTable
 
 READ_BYTES = 16384  # of one read
 MAX_EVICTION_CHECKS = 8  # connections examined to find one that can be closed for a new one
