--- a/ledgehitch/budgets/borrower.py
+++ b/ledgehitch/budgets/borrower.py
@@ -117,7 +117,7 @@
             return self._count("a loan of another term")
         requested_at = self._requested_at.pop(message.sequence, None)
         if requested_at is None or message.number <= self.number:
-            return self._count("a loan that was not requested, or was overtaken")
+            return self._count("a loan that was not asked for, or was overtaken")
         until = requested_at + min(message.seconds, self.loan_duration)
         if not requested_at <= now < until:
             return self._count("a loan that came after its end")
--- a/ledgehitch/budgets/lender.py
+++ b/ledgehitch/budgets/lender.py
@@ -77,14 +77,14 @@
         if message.digest not in self.digests or len(message.loans) != len(self.budgets):
             return self._refuse("other budgets, or another version of the site")
         if message.term != self.term:
-            return self._refuse("request under another term")
+            return self._refuse("asked under another term")
         if member not in self.members:
-            return self._refuse("a gateway that is not in the list")
+            return self._refuse("a gateway that is not stated")
         expires_at = now + self.reserved_duration
         if not self.ledger.on_report(
             now, member, message.life, message.sequence, message.number, message.held, expires_at
         ):
-            return self._refuse("duplicated or overtaken")
+            return self._refuse("doubled or overtaken")
         self.unheard.discard(member)
         if not self.unheard:
             self.waits_until = [
--- a/ledgehitch/owners/decide.py
+++ b/ledgehitch/owners/decide.py
@@ -166,10 +166,10 @@
     def on_message(self, now: float, sender: int, message: DutyMessage) -> None:
         """Handles a message of a member whose frame was authentic."""
         if not 0 <= sender < len(self.names) or sender == self.me or message.who != self.name_digests[sender]:
-            self._count("sender of another gateway numbering")
+            self._count("of another numbering of the gateways")
             return
         if sender not in self.members:
-            self._count("sender in another region")
+            self._count("of a gateway of another region")
             return
         # A member that cannot vote yet must not settle a change of the list. Otherwise, of four, two and a
         # newcomer that waits for the third count as a majority, and nobody is elected.
@@ -182,10 +182,10 @@
             return
         state = next((s for s in self.duties.values() if s.number == message.duty), None)
         if state is None:
-            self._count("message about an unknown duty")
+            self._count("a duty that nobody knows")
             return
         if message.term > MAX_TERM:
-            self._count("term out of range")
+            self._count("a term out of reach")
             return
         match message.kind:
             case "poll" | "ask":
@@ -216,7 +216,7 @@
 
     def resign(self, now: float) -> None:
         """Prepares to shut down: ends all candidacies and hands owned duties to the next member in rank."""
-        self.eligible, self.why_not = False, "shutting down"
+        self.eligible, self.why_not = False, "on its way out"
         for state in self.duties.values():
             state.polled_at = -1e18
             if state.lease is None:
@@ -239,9 +239,7 @@
     def accepts_effect(self, duty: str, term: int) -> bool:
         """Returns whether a received effect may be carried out once the `Store` that follows is on disk."""
         if duty not in self.duties or not self.durable.confirmed:
-            self._count(
-                "effect before the terms are known" if duty in self.duties else "effect of an unknown duty"
-            )
+            self._count("an effect before the terms are known" if duty in self.duties else "unknown duty")
             return False
         accepted = self.durable.fence.accepts(duty, term)
         state = self.duties[duty]
@@ -261,7 +259,7 @@
 
     def on_store_failed(self, now: float) -> None:
         """Handles the failure of a `Store`: no vote is given, and candidacies of this member end."""
-        self._count("votes that could not be stored")
+        self._count("votes that the disk did not take")
         self._own_votes = []
         for state in self.duties.values():
             if state.lease is not None and not state.won:
@@ -272,10 +270,10 @@
     def _on_request(self, now: float, state: DutyState, sender: int, message: DutyMessage) -> None:
         voter, name = self.durable.voters[state.name], self.names[sender]
         if not self.durable.may_vote(now):
-            self._count("request before this member may vote")
+            self._count("asked before it may vote")
             return
         if not self.durable.lists.covered_by(message.list, message.former):
-            self._count("request under another version of the site")
+            self._count("asked by one of another version of the site")
             return
         if message.kind == "poll":
             if voter.is_bound(now) and voter.member != name or self.owned_term(now, state.name):
@@ -659,7 +657,7 @@
         self._unsettled_peers[name] = message.former != NO_LIST_DIGEST
         durable.on_greeting_response(now, name, message.known_life, message.intact, message.terms)
         if was_intact and not durable.intact:
-            self._count("stale copy of the state directory")
+            self._count("an old copy of the state directory")
             self._joining, durable.joined = True, False
             durable.nonce = self.rng.getrandbits(32)
             self._greeting_at, self._greeting_interval = now, GREETING_INTERVAL * self.lease
@@ -763,9 +761,9 @@
             ""
             if durable.may_vote(now)
             else (
-                "asking the other gateways for the terms they know"
+                "asks the others which terms they know"
                 if not durable.confirmed
-                else "waiting until votes given before the restart have expired"
+                else "waits until no promise of a former life can hold"
             )
         )
         return {
--- a/ledgehitch/owners/facts.py
+++ b/ledgehitch/owners/facts.py
@@ -9,9 +9,9 @@
 # The index is the number on the wire: append new duties, and remove none.
 DUTIES = RESTARTS, VERDICTS, BUDGETS = "restarts", "verdicts", "budgets"
 EFFECT_WITHOUT_OWNER = {
-    RESTARTS: "plans are paused; gateways already told to restart come back by themselves",
-    VERDICTS: "no fleet verdict is distributed; each gateway still reports its own",
-    BUDGETS: "nothing is lent; each gateway uses only its own part of the fleet's limits",
+    RESTARTS: "plans wait where they are; who was told to restart comes back by itself",
+    VERDICTS: "no verdict of the fleet is handed on; each gateway still tells its own",
+    BUDGETS: "each gateway has its own part of the fleet's limits alone, nothing is lent",
 }
 DEFAULT_LEASE_S = 10.0  # from the vote request; see `docs/owners.md`
 MAX_CLOCK_DRIFT = 0.01  # maximum relative difference between the clock rates of two gateways
