--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -14,6 +14,7 @@
 from ledgehitch.loop.sockets import Listener, endpoint
 from ledgehitch.platform.bounds import limits_for
 from ledgehitch.platform.carry import Controller
+from ledgehitch.platform.configuration import Configuration, parse_configuration, parse_host_list
 from ledgehitch.platform.front import ViewerServer
 from ledgehitch.platform.hosts import HostConnections
 from ledgehitch.platform.journal import JournalClient
@@ -22,7 +23,6 @@
 from ledgehitch.platform.lost import FailureDetector
 from ledgehitch.platform.peers import PeerChannel
 from ledgehitch.platform.sessions import SessionTable
-from ledgehitch.platform.told import Configuration, parse_configuration, parse_host_list
 from ledgehitch.send_guard import SendGuard
 
 SWEEP_INTERVAL_S = 0.25  # between two sweeps for connections to close
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,6 +16,7 @@
 from ledgehitch.platform import lines
 from ledgehitch.platform.__main__ import main as platform
 from ledgehitch.platform.bounds import limits_for
+from ledgehitch.platform.configuration import parse_configuration, parse_host_list
 from ledgehitch.platform.life import Lifecycle
 from ledgehitch.platform.lost import FailureDetector, HostLost, OpenConnection
 from ledgehitch.platform.pace import (
@@ -28,7 +29,6 @@
     eviction_candidate,
 )
 from ledgehitch.platform.sessions import Release, Response, SessionTable
-from ledgehitch.platform.told import parse_configuration, parse_host_list
 from ledgehitch.send_guard import SendForbidden, SendGuard
 from ledgehitch.simhost.wire import main as simhost
 
