--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -14,6 +14,7 @@
 from ledgehitch.loop.kernel import Loop, Task, TimedOut
 from ledgehitch.loop.sockets import Listener, Stream
 from ledgehitch.platform.bounds import ResourceLimits
+from ledgehitch.platform.buffered_writer import BufferedWriter
 from ledgehitch.platform.life import Lifecycle
 from ledgehitch.platform.log import log
 from ledgehitch.platform.pace import (
@@ -23,7 +24,6 @@
     Throttle,
     eviction_candidate,
 )
-from ledgehitch.platform.pipe import BufferedWriter
 from ledgehitch.platform.sessions import Release, Response, SessionTable
 
 READ_BYTES = 16384  # of one read
