--- a/ledgehitch/quality/judge.py
+++ b/ledgehitch/quality/judge.py
@@ -197,7 +197,7 @@
 
 
 class VerdictTracker:
-    """Verdicts with hysteresis: a culprit is set after `SET_AFTER` evaluations, cleared after `CLEAR_AFTER`."""
+    """Verdicts with hysteresis: set after `SET_AFTER` evaluations in a row, cleared after `CLEAR_AFTER`."""
 
     def __init__(self) -> None:
         self.named: dict[tuple[str, str], Culprit] = {}
