--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -17,14 +17,14 @@
 from ledgehitch.platform.buffered_writer import BufferedWriter
 from ledgehitch.platform.life import Lifecycle
 from ledgehitch.platform.log import log
-from ledgehitch.platform.pace import (
+from ledgehitch.platform.sessions import Release, Response, SessionTable
+from ledgehitch.platform.throttle import (
     IDLE_TIMEOUT_S,
     MAX_FAULTS,
     MAX_PAUSE_PENDING_S,
     Throttle,
     eviction_candidate,
 )
-from ledgehitch.platform.sessions import Release, Response, SessionTable
 
 READ_BYTES = 16384  # of one read
 MAX_EVICTION_CHECKS = 8  # connections examined to find one that can be closed for a new one
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,8 +26,8 @@
 from ledgehitch.platform.hosts import HostConnection, HostConnections
 from ledgehitch.platform.life import Lifecycle
 from ledgehitch.platform.lost import FailureDetector
-from ledgehitch.platform.pace import IDLE_TIMEOUT_S, MESSAGE_TIMEOUT_S
 from ledgehitch.platform.sessions import SessionTable
+from ledgehitch.platform.throttle import IDLE_TIMEOUT_S, MESSAGE_TIMEOUT_S
 from tests.test_platform import SETTINGS
 from tests.test_platform_sockets import (
     BLOB,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -19,7 +19,8 @@
 from ledgehitch.platform.configuration import parse_configuration, parse_host_list
 from ledgehitch.platform.life import Lifecycle
 from ledgehitch.platform.lost import FailureDetector, HostLost, OpenConnection
-from ledgehitch.platform.pace import (
+from ledgehitch.platform.sessions import Release, Response, SessionTable
+from ledgehitch.platform.throttle import (
     FIRST_REQUEST_GRACE_S,
     FREE_FAULTS,
     IDLE_TIMEOUT_S,
@@ -28,7 +29,6 @@
     Throttle,
     eviction_candidate,
 )
-from ledgehitch.platform.sessions import Release, Response, SessionTable
 from ledgehitch.send_guard import SendForbidden, SendGuard
 from ledgehitch.simhost.wire import main as simhost
 
