--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -173,7 +173,7 @@
                     self._on_viewer_left(now, viewing_id)
                 case EndViewing(viewing_id):
                     self._end_viewing(now, viewing_id)
-        admission_at = self.admission.door.wake_at() if self.admission is not None else None
+        admission_at = self.admission.controller.wake_at() if self.admission is not None else None
         times = (self.module.gateway.wake_at(), self.monitor.wake_at(), self.registry.wake_at(), admission_at)
         return min(wake_at for wake_at in times if wake_at is not None)
 
--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -19,7 +19,7 @@
 log = structlog.get_logger("door")
 
 
-class DoorLike(Protocol):
+class AdmissionPolicy(Protocol):
     """The admission controller, or a baseline of the benchmarks in its place."""
 
     def on_request(
@@ -45,9 +45,12 @@
     Times are of the machine's monotonic clock, since patience must not depend on a clock that steps."""
 
     def __init__(
-        self, door: DoorLike, keep: SnapshotStore | None = None, order: Sequence[Identity] = DEFAULT_ORDER
+        self,
+        door: AdmissionPolicy,
+        keep: SnapshotStore | None = None,
+        order: Sequence[Identity] = DEFAULT_ORDER,
     ) -> None:
-        self.door, self.store, self.order = door, keep, order
+        self.controller, self.store, self.order = door, keep, order
         # Checks whether the budget loan is still valid; called before any request is admitted.
         self.refresh_share: Callable[[float], None] | None = None
         self.secret = secrets.token_bytes(32)  # keys the clients' names; survives restarts
@@ -60,18 +63,18 @@
 
     def _load(self, keep: SnapshotStore) -> None:
         held = keep.read()
-        if held is None or not isinstance(self.door, AdmissionController):
+        if held is None or not isinstance(self.controller, AdmissionController):
             return
         try:
-            self.door.restore(time.monotonic(), held["door"])
+            self.controller.restore(time.monotonic(), held["door"])
             self.secret = bytes(held["secret"])
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError, RuntimeError) as error:
             log.error("cannot read the saved admission state, starting without it", why=str(error))
 
     def save(self) -> None:
-        if self.store is not None and isinstance(self.door, AdmissionController):
+        if self.store is not None and isinstance(self.controller, AdmissionController):
             self._saved_at = time.monotonic()
-            self.store.write({"door": self.door.snapshot(), "secret": self.secret})
+            self.store.write({"door": self.controller.snapshot(), "secret": self.secret})
 
     def save_if_due(self) -> None:
         if time.monotonic() - self._saved_at >= SAVE_INTERVAL_S:
@@ -81,8 +84,8 @@
         self, client_rate: float, client_burst: float, package_rates: Mapping[str, float], set_ups: float
     ) -> None:
         """Applies the site's limits, at start and at a reload."""
-        if isinstance(self.door, AdmissionController):
-            self.door.set_limits(client_rate, client_burst, package_rates, set_ups)
+        if isinstance(self.controller, AdmissionController):
+            self.controller.set_limits(client_rate, client_burst, package_rates, set_ups)
 
     def set_share(
         self,
@@ -94,11 +97,11 @@
     ) -> None:
         """Sets this gateway's share of the fleet's limits, and until when the lent part of it is valid.
         `by_budget` holds its own part of those limits of which it is not `own`."""
-        if isinstance(self.door, AdmissionController):
-            self.door.set_share(now, own, lent, until, by_budget)
+        if isinstance(self.controller, AdmissionController):
+            self.controller.set_share(now, own, lent, until, by_budget)
 
     def demand(self, now: float) -> tuple[dict[str, float], dict[str, float]]:
-        return self.door.demand(now) if isinstance(self.door, AdmissionController) else ({}, {})
+        return self.controller.demand(now) if isinstance(self.controller, AdmissionController) else ({}, {})
 
     # ---- viewings ------------------------------------------------------------------------------------------
 
@@ -107,30 +110,30 @@
     ) -> None:
         if self.refresh_share is not None:
             self.refresh_share(now)
-        self.door.on_request(now, viewing_id, name, package, patience, ticket, time.time() - now)
+        self.controller.on_request(now, viewing_id, name, package, patience, ticket, time.time() - now)
 
     def on_demand_reported(self) -> None:
-        if isinstance(self.door, AdmissionController):
-            self.door.on_demand_reported()
+        if isinstance(self.controller, AdmissionController):
+            self.controller.on_demand_reported()
 
     def usage(self) -> dict[str, float]:
-        return self.door.usage() if isinstance(self.door, AdmissionController) else {}
+        return self.controller.usage() if isinstance(self.controller, AdmissionController) else {}
 
     def decide(self, now: float) -> Decision | None:
         if self.refresh_share is not None:
             self.refresh_share(now)
-        return self.door.decide(now)
+        return self.controller.decide(now)
 
     def on_viewer_left(self, now: float, viewing_id: int) -> None:
-        self.door.on_disconnect(now, viewing_id)
+        self.controller.on_disconnect(now, viewing_id)
 
     def on_result(self, now: float, viewing_id: int, failed: bool) -> None:
-        self.door.on_result(now, viewing_id, failed)
+        self.controller.on_result(now, viewing_id, failed)
 
     def on_tune_in_timeout(self, now: float) -> None:
         """A tune-in of an admitted viewing timed out."""
-        if isinstance(self.door, AdmissionController):
-            self.door.on_tune_in_timeout(now)
+        if isinstance(self.controller, AdmissionController):
+            self.controller.on_tune_in_timeout(now)
 
     def state(self) -> dict[str, Any]:
-        return self.door.state(time.monotonic())
+        return self.controller.state(time.monotonic())
--- a/ledgehitch/proof/budgeted.py
+++ b/ledgehitch/proof/budgeted.py
@@ -103,7 +103,7 @@
     return []
 
 
-class Held(NamedTuple):
+class LoanInForce(NamedTuple):
     """A loan of gateway `who` that was certainly in force from `first` to `last`."""
 
     who: str
@@ -122,7 +122,7 @@
     is their whole."""
     held = [h for h in loans_in_force(tape) if of is None or h.who in of]
     for budget in range(max((len(h.loans) for h in held), default=0)):
-        parts = dict[str, Held]()
+        parts = dict[str, LoanInForce]()
         changes = [(t, n, h) for h in held for t, n in ((h.first, 1), (h.last, 0))]
         for t, begins, one in sorted(changes, key=lambda c: c[:2]):
             if not begins:
@@ -144,7 +144,7 @@
     return []
 
 
-def loans_in_force(lines: Sequence[Line]) -> list[Held]:
+def loans_in_force(lines: Sequence[Line]) -> list[LoanInForce]:
     """Returns the loans that were certainly in force, and when.
 
     A loan counts if a later request says that it was accepted. It lasts up to the next accepted loan, its end
@@ -181,5 +181,5 @@
             if following is not None:
                 last = min(last, following["t"])
             if last > line["t"]:
-                loans.append(Held(who, line["t"], last, tuple(line["loans"]), line))
+                loans.append(LoanInForce(who, line["t"], last, tuple(line["loans"]), line))
     return loans
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -394,7 +394,7 @@
     def day(rig: Rig) -> None:
         doorman = rig.gateway.executor.admission
         assert doorman is not None
-        some = doorman.door
+        some = doorman.controller
         assert isinstance(some, AdmissionController)
         some.limit = FixedLimit(2.0)
         got: list[tuple[str, Response]] = []
@@ -423,15 +423,15 @@
 def test_who_hangs_up_at_the_door_is_never_handed_to_the_module() -> None:
     def day(rig: Rig) -> None:
         doorman = rig.gateway.executor.admission
-        assert doorman is not None and isinstance(doorman.door, AdmissionController)
-        doorman.door.limit = FixedLimit(0.0)
+        assert doorman is not None and isinstance(doorman.controller, AdmissionController)
+        doorman.controller.limit = FixedLimit(0.0)
         stream = connect(rig.loop, endpoint(rig.at))
         stream.send(request(rig.at, token="t"))
         rig.loop.sleep(0.1)
         assert rig.gateway.state()["door"]["waiting"] == 1
         stream.close()
         rig.loop.sleep(0.1)
-        doorman.door.limit = FixedLimit(5.0)
+        doorman.controller.limit = FixedLimit(5.0)
         rig.loop.sleep(0.6)
         assert rig.gateway.state()["door"]["waiting"] == 0 and rig.set_ups == []
         assert rig.offer(2, token="u").status == 201
@@ -572,12 +572,12 @@
 
 def test_what_the_gateway_keeps_of_its_door_outlives_a_torn_file(tmp_path: Path) -> None:
     first = AdmissionService(door(1), SnapshotStore(tmp_path / "g0.door", private=True))
-    assert isinstance(first.door, AdmissionController)
-    ticket = first.door.tickets.issue(1e6, b"client-1")
+    assert isinstance(first.controller, AdmissionController)
+    ticket = first.controller.tickets.issue(1e6, b"client-1")
     first.save()
     later = AdmissionService(door(2), SnapshotStore(tmp_path / "g0.door", private=True))
-    assert isinstance(later.door, AdmissionController)
-    assert later.secret == first.secret and later.door.tickets.redeem(1e6, ticket, b"client-1")
+    assert isinstance(later.controller, AdmissionController)
+    assert later.secret == first.secret and later.controller.tickets.redeem(1e6, ticket, b"client-1")
     newest = max(tmp_path.iterdir(), key=lambda p: p.stat().st_mtime_ns)
     newest.write_bytes(newest.read_bytes()[:-7])
     torn = AdmissionService(door(3), SnapshotStore(tmp_path / "g0.door", private=True))
@@ -631,7 +631,7 @@
 def test_a_repeated_offer_gets_the_answer_that_the_first_one_gets() -> None:
     def day(rig: Rig) -> None:
         doorman = rig.gateway.executor.admission
-        assert doorman is not None and isinstance(doorman.door, AdmissionController)
+        assert doorman is not None and isinstance(doorman.controller, AdmissionController)
         doorman.set_limits(0.5, 1.0, {}, 0.0)  # the second would exceed its rate
         first, second = rig.ask(1, token="a"), rig.ask(1, token="a")
         both = [answer(first), answer(second)]
@@ -640,6 +640,6 @@
         assert len(rig.set_ups) == 1
         refused, again = rig.ask(2, token="a"), rig.ask(2, token="a")
         assert [answer(refused).status, answer(again).status] == [503, 503]
-        assert doorman.door.counts["over_rate"] == 1, "it came to the door once"
+        assert doorman.controller.counts["over_rate"] == 1, "it came to the door once"
 
     Rig(door={"on": True}).run(day)
