--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -46,28 +46,28 @@
 
     def __init__(
         self,
-        door: AdmissionPolicy,
-        keep: SnapshotStore | None = None,
+        controller: AdmissionPolicy,
+        store: SnapshotStore | None = None,
         order: Sequence[Identity] = DEFAULT_ORDER,
     ) -> None:
-        self.controller, self.store, self.order = door, keep, order
+        self.controller, self.store, self.order = controller, store, order
         # Checks whether the budget loan is still valid; called before any request is admitted.
         self.refresh_share: Callable[[float], None] | None = None
         self.secret = secrets.token_bytes(32)  # keys the clients' names; survives restarts
         self._saved_at = time.monotonic()
-        if keep is not None:
-            self._load(keep)
+        if store is not None:
+            self._load(store)
             self.save()  # so that the keys of the first tickets survive a kill
 
     # ---- saved state ---------------------------------------------------------------------------------------
 
-    def _load(self, keep: SnapshotStore) -> None:
-        held = keep.read()
-        if held is None or not isinstance(self.controller, AdmissionController):
+    def _load(self, store: SnapshotStore) -> None:
+        saved = store.read()
+        if saved is None or not isinstance(self.controller, AdmissionController):
             return
         try:
-            self.controller.restore(time.monotonic(), held["door"])
-            self.secret = bytes(held["secret"])
+            self.controller.restore(time.monotonic(), saved["door"])
+            self.secret = bytes(saved["secret"])
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError, RuntimeError) as error:
             log.error("cannot read the saved admission state, starting without it", why=str(error))
 
--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -93,7 +93,7 @@
             case ["state"]:
                 self._require_method(request, "GET", "HEAD")
                 return _json(200, self.state())
-        raise Refused(404, f"nothing at {request.path[:100]!r}")
+        raise Refused(404, f"no resource at {request.path[:100]!r}")
 
     @staticmethod
     def _require_method(request: Request, *methods: str) -> None:
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -163,7 +163,7 @@
                 return self.report()
             case _, ["viewings", _, "reports"] | ["quality", "tables" | "report"]:
                 raise Refused(405, f"method {request.method} is not allowed here")
-        raise Refused(404, f"nothing at {request.path[:100]!r}")
+        raise Refused(404, f"no resource at {request.path[:100]!r}")
 
     def post(self, request: Request, resource: str) -> Response:
         scheme, _, token = request.headers.get("authorization", "").partition(" ")
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -56,12 +56,12 @@
 
     The first value applies to any limit, the second to budgets whose own share differs. Without lending, the
     whole limits are divided among all gateways."""
-    lent = lends(site)
-    names, share = stated(site) if lent else tuple(g.name for g in site.gateways), WHOLE
-    region = next((r for r in regions_of(site) if name in r.gateways), None) if lent else None
+    has_loans = lends(site)
+    names, share = stated(site) if has_loans else tuple(g.name for g in site.gateways), WHOLE
+    region = next((r for r in regions_of(site) if name in r.gateways), None) if has_loans else None
     if region is not None:
         names, share = region.gateways, region.share
-    part, patience = site.budgets.own_part if lent else 1.0, max(p.patience for p in site.packages)
+    part, patience = site.budgets.own_part if has_loans else 1.0, max(p.patience for p in site.packages)
     budgets = budgets_of(site.door.package_rates, site.door.set_ups, patience)
     own = {b.name: own_parts(b, part, names, share).get(name, 0) / WHOLE for b in budgets}
     return part * share / WHOLE / len(names), own
@@ -183,8 +183,8 @@
             },
             "door": executor.admission.state() if executor.admission is not None else None,
             "hosts": {
-                h: {"in_service": gone is None, "viewings": len(executor.playing_at.get(h, {}))}
-                for h, gone in executor.send_guard.hosts.items()
+                host: {"in_service": gone is None, "viewings": len(executor.playing_at.get(host, {}))}
+                for host, gone in executor.send_guard.hosts.items()
             },
             "answers": {str(k): n for k, n in sorted(self.server.served.items())},
             "connections": len(self.server.open),
--- a/ledgehitch/gateway/versions.py
+++ b/ledgehitch/gateway/versions.py
@@ -42,13 +42,13 @@
         loop: Loop,
         source: Path,
         first: CompiledSite,
-        kept: Path | None,
+        last_good_path: Path | None,
         apply: Callable[[Site], None],
         gateway: str = "",
-        held: Callable[[], int] = lambda: 0,
+        viewing_count: Callable[[], int] = lambda: 0,
     ) -> None:
-        self.loop, self.source, self.last_good_path, self.apply = loop, source, kept, apply
-        self.viewing_count = held
+        self.loop, self.source, self.last_good_path, self.apply = loop, source, last_good_path, apply
+        self.viewing_count = viewing_count
         self.reloads = Reloads(Version(0, first.digest, first.data), gateway)
         self._sites: dict[str, CompiledSite] = {first.digest: first}
         self._serial = 0
@@ -64,10 +64,14 @@
         self._pull()
 
     def _check(self, serial: int) -> None:
-        out = self.source.parent / f".{self.source.name}.{os.getpid()}.{serial}"
-        out = (self.last_good_path.parent / out.name) if self.last_good_path is not None else out
+        result_path = self.source.parent / f".{self.source.name}.{os.getpid()}.{serial}"
+        result_path = (
+            (self.last_good_path.parent / result_path.name)
+            if self.last_good_path is not None
+            else result_path
+        )
         try:
-            descriptor = os.open(out, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+            descriptor = os.open(result_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
             try:
                 child = Child(self.loop, compile_command(self.source), "check", descriptor, descriptor)
             finally:
@@ -77,11 +81,11 @@
                     child.wait()
             except TimedOut:
                 child.terminate(0.5)
-            found = msgspec.json.decode(out.read_bytes(), type=CompiledSite)
+            found = msgspec.json.decode(result_path.read_bytes(), type=CompiledSite)
         except (OSError, msgspec.MsgspecError) as problem:
             found = CompiledSite(mistakes=[f"{self.source} could not be checked: {problem}"])
         finally:
-            out.unlink(missing_ok=True)
+            result_path.unlink(missing_ok=True)
         if found.site is not None:
             self._sites[found.digest] = found
         self.reloads.handed(Version(serial, found.digest, found.data), found.mistakes, self.viewing_count())
@@ -109,44 +113,44 @@
                         why=reason,
                     )
         known = (self.reloads.running.digest, self.reloads.told.digest)
-        self._sites = {digest: one for digest, one in self._sites.items() if digest in known}
+        self._sites = {digest: site for digest, site in self._sites.items() if digest in known}
 
-    def _save(self, one: CompiledSite) -> None:
+    def _save(self, compiled: CompiledSite) -> None:
         if self.last_good_path is None:
             return
         self.last_good_path.parent.mkdir(parents=True, exist_ok=True)
         temporary = self.last_good_path.with_suffix(".new")
-        temporary.write_bytes(msgspec.json.encode(one))
+        temporary.write_bytes(msgspec.json.encode(compiled))
         os.replace(temporary, self.last_good_path)
 
 
-def load_last_good(kept: Path | None) -> CompiledSite | None:
+def load_last_good(path: Path | None) -> CompiledSite | None:
     """Returns the version saved on disk if its digest matches its data, else None."""
-    if kept is None:
+    if path is None:
         return None
     try:
-        one = msgspec.json.decode(kept.read_bytes(), type=CompiledSite)
+        saved = msgspec.json.decode(path.read_bytes(), type=CompiledSite)
     except (OSError, msgspec.MsgspecError):
         return None
-    return one if one.site is not None and digest_of(one.data) == one.digest else None
+    return saved if saved.site is not None and digest_of(saved.data) == saved.digest else None
 
 
 def load_first_version(
-    source: Path, kept: Path | None, check: Callable[[Path], CompiledSite]
+    source: Path, last_good_path: Path | None, check: Callable[[Path], CompiledSite]
 ) -> CompiledSite:
     """Returns the version to start with: the files, or the last good version if they have mistakes."""
     found = check(source)
     if not found.mistakes and found.site is not None:
         return found
-    old = load_last_good(kept)
-    if old is None:
+    last_good = load_last_good(last_good_path)
+    if last_good is None:
         raise BadInput("\n".join(found.mistakes) or f"{source}: holds no site")
     log.error(
         "THE SITE FILES HAVE MISTAKES, starting with the last good version",
-        digest=old.digest[:16],
+        digest=last_good.digest[:16],
         mistakes=found.mistakes,
     )
-    return old
+    return last_good
 
 
 def load_start_version(
@@ -156,16 +160,16 @@
 
     Without `name` it is the site's first gateway. The source consists of the file, the first version and the
     path of the last good version."""
-    kept = state_dir / f"{name or 'gateway'}.site.json" if state_dir is not None else None
-    first = load_first_version(source, kept, compile_site)
+    last_good_path = state_dir / f"{name or 'gateway'}.site.json" if state_dir is not None else None
+    first = load_first_version(source, last_good_path, compile_site)
     site = first.site
     assert site is not None
     name = name if name is not None else site.gateways[0].name
     try:
         facts_of(site, name)
-    except BadInput as wrong:
-        raise BadInput(f"{source}: {wrong}") from None
-    return site, name, (source, first, kept)
+    except BadInput as error:
+        raise BadInput(f"{source}: {error}") from None
+    return site, name, (source, first, last_good_path)
 
 
 def compile_site(source: Path) -> CompiledSite:
@@ -180,7 +184,7 @@
         return CompiledSite(loaded.digest(), loaded.data, loaded.site)
     try:
         site = read_site(source)
-    except BadInput as wrong:
-        return CompiledSite(mistakes=[str(wrong)])
+    except BadInput as error:
+        return CompiledSite(mistakes=[str(error)])
     data = msgspec.to_builtins(site)
     return CompiledSite(digest_of(data), data, site)
--- a/ledgehitch/proof/budgeted.py
+++ b/ledgehitch/proof/budgeted.py
@@ -66,20 +66,20 @@
 def check_rate(firsts: Sequence[SetUp], package: str, rate: float, allowance: float) -> list[Violation]:
     """Checks that no window has more first tune-ins than its length times the rate, plus `allowance`."""
     best: tuple[float, SetUp] | None = None  # the start of the window with the least room
-    for n, one in enumerate(firsts):
-        paid = n - rate * one.started_at
-        if best is None or paid < best[0]:
-            best = paid, one
-        if paid - best[0] + 1 > allowance + 1e-6:
-            duration = one.started_at - best[1].started_at
-            count = round(paid - best[0] + rate * duration) + 1
+    for n, set_up in enumerate(firsts):
+        balance = n - rate * set_up.started_at
+        if best is None or balance < best[0]:
+            best = balance, set_up
+        if balance - best[0] + 1 > allowance + 1e-6:
+            duration = set_up.started_at - best[1].started_at
+            count = round(balance - best[0] + rate * duration) + 1
             return [
                 Violation(
                     "rates are kept",
                     f"{count} offers of {package} in {duration:.3f} s, the rate is "
                     f"{rate:g} a second and {allowance:.1f} may come at once",
-                    (best[1].started_at, one.started_at),
-                    (best[1].line.at, one.line.at),
+                    (best[1].started_at, set_up.started_at),
+                    (best[1].line.at, set_up.line.at),
                 )
             ]
     return []
@@ -88,18 +88,18 @@
 def check_concurrency(sent: Sequence[SetUp], most: float) -> list[Violation]:
     """Checks that no more than `most` set-ups are in progress at once."""
     changes = []
-    for one in sent:
-        over = one.ended_at if one.ended_at is not None else float("inf")
+    for set_up in sent:
+        over = set_up.ended_at if set_up.ended_at is not None else float("inf")
         changes += [
-            (one.started_at + CLOCK_TOLERANCE_S, 1, one),
-            (max(over, one.started_at + CLOCK_TOLERANCE_S), -1, one),
+            (set_up.started_at + CLOCK_TOLERANCE_S, 1, set_up),
+            (max(over, set_up.started_at + CLOCK_TOLERANCE_S), -1, set_up),
         ]
     in_progress = 0
-    for t, change, one in sorted(changes, key=lambda c: (c[0], c[1])):
+    for t, change, set_up in sorted(changes, key=lambda c: (c[0], c[1])):
         in_progress += change
         if change > 0 and in_progress > most:
-            what = f"{in_progress} set-ups were in progress, the limit is {most:g}"
-            return [Violation("set-ups at once are kept", what, (t,), (one.line.at,))]
+            message = f"{in_progress} set-ups were in progress, the limit is {most:g}"
+            return [Violation("set-ups at once are kept", message, (t,), (set_up.line.at,))]
     return []
 
 
@@ -124,12 +124,12 @@
     for budget in range(max((len(h.loans) for h in held), default=0)):
         parts = dict[str, LoanInForce]()
         changes = [(t, n, h) for h in held for t, n in ((h.first, 1), (h.last, 0))]
-        for t, begins, one in sorted(changes, key=lambda c: c[:2]):
+        for t, begins, set_up in sorted(changes, key=lambda c: c[:2]):
             if not begins:
-                if parts.get(one.who) is one:
-                    del parts[one.who]
+                if parts.get(set_up.who) is set_up:
+                    del parts[set_up.who]
                 continue
-            parts[one.who] = one
+            parts[set_up.who] = set_up
             total = sum(
                 (limits.own[who][budget] if who in limits.own else 0) + h.loans[budget]
                 for who, h in parts.items()
@@ -137,10 +137,10 @@
             if total > limits.whole:
                 names = ", ".join(sorted(parts))
                 of_it = "its share of " if region else ""
-                what = f"{names} had {total / limits.whole:.3f} of {of_it}budget {budget} together"
+                message = f"{names} had {total / limits.whole:.3f} of {of_it}budget {budget} together"
                 lines = tuple(h.line.at for h in parts.values())
-                promise = "parts are within the region's share" if region else "parts are within the whole"
-                return [Violation(promise, f"{region}: {what}" if region else what, (t,), lines)]
+                invariant = "parts are within the region's share" if region else "parts are within the whole"
+                return [Violation(invariant, f"{region}: {message}" if region else message, (t,), lines)]
     return []
 
 
--- a/ledgehitch/proof/check.py
+++ b/ledgehitch/proof/check.py
@@ -113,7 +113,7 @@
 
 
 def collect_set_ups(lines: Iterable[Line]) -> list[SetUp]:
-    """Returns all tune-ins of a tape with what became of them."""
+    """Returns all tune-ins of a tape with their outcomes."""
     found: dict[str, SetUp] = {}
     down: dict[str, list[SetUp]] = {}
     for line in lines:
@@ -167,10 +167,10 @@
             if first <= until and last > ask["t"]:
                 until += last - max(first, ask["t"])
 
-        def breach(what: str, *extra_lines: Line, ask: Line = ask, viewing: str = viewing) -> None:
+        def breach(message: str, *extra_lines: Line, ask: Line = ask, viewing: str = viewing) -> None:
             shown = (ask, *extra_lines)
             breaches.append(
-                Breach(1, what, viewing, tuple(x["t"] for x in shown), tuple(x.at for x in shown))
+                Breach(1, message, viewing, tuple(x["t"] for x in shown), tuple(x.at for x in shown))
             )
 
         killed = any(ask["t"] - CLOCK_TOLERANCE_S <= t <= until for t in downs.get(ask["gateway"], ()))
@@ -202,14 +202,14 @@
     for set_up in collect_set_ups(lines):
         by_key.setdefault(set_up.key, []).append(set_up)
     breaches = []
-    for key, tries in by_key.items():
-        tries.sort(key=lambda x: x.started_at)
-        terms = parameters.packages.get(tries[0].line["package"], PackageTerms())
-        for a, b in zip(tries, tries[1:], strict=False):
-            over = a.ended_at if a.ended_at is not None else float("inf")
-            if b.started_at < over - CLOCK_TOLERANCE_S:
+    for key, attempts in by_key.items():
+        attempts.sort(key=lambda x: x.started_at)
+        terms = parameters.packages.get(attempts[0].line["package"], PackageTerms())
+        for a, b in zip(attempts, attempts[1:], strict=False):
+            ended_at = a.ended_at if a.ended_at is not None else float("inf")
+            if b.started_at < ended_at - CLOCK_TOLERANCE_S:
                 breaches.append(_breach_of_pair(2, "two tune-ins in progress at once", key, a, b))
-        ran = [x for x in tries if x.status not in NOT_RUN_STATUSES]
+        ran = [x for x in attempts if x.status not in NOT_RUN_STATUSES]
         for a, b in zip(ran, ran[1:], strict=False):
             first = ran[0]
             if terms.effect == "once":
@@ -225,29 +225,28 @@
     return breaches
 
 
-def _breach_of_pair(rule: int, what: str, viewing: str, a: SetUp, b: SetUp) -> Breach:
+def _breach_of_pair(rule: int, message: str, viewing: str, a: SetUp, b: SetUp) -> Breach:
     shown = [a.line, *([a.end_line] if a.end_line is not None else []), b.line]
-    return Breach(rule, what, viewing, tuple(x["t"] for x in shown), tuple(x.at for x in shown))
+    return Breach(rule, message, viewing, tuple(x["t"] for x in shown), tuple(x.at for x in shown))
 
 
 def rule_3(lines: Sequence[Line], parameters: RuleParameters) -> list[Breach]:
-    """No tune-in goes to a media host later than the grace after the gateway was told that it drains or is
-    gone."""
-    told: dict[tuple[str, str], Line | None] = {}
+    """No tune-in goes to a media host later than the grace after it was listed as draining or gone."""
+    listed_as: dict[tuple[str, str], Line | None] = {}
     breaches = []
     for line in lines:
         if line["ev"] == "told":
-            known = told.get((line["gateway"], line["host"]))
+            known = listed_as.get((line["gateway"], line["host"]))
             if line["state"] == "in_service":
-                told[line["gateway"], line["host"]] = None
+                listed_as[line["gateway"], line["host"]] = None
             elif known is None:
-                told[line["gateway"], line["host"]] = line
+                listed_as[line["gateway"], line["host"]] = line
         elif line["ev"] == "setup":
-            gone = told.get((line["gateway"], line["host"]))
+            gone = listed_as.get((line["gateway"], line["host"]))
             if gone is not None and line["t"] > gone["t"] + parameters.drain_grace + CLOCK_TOLERANCE_S:
                 delay = line["t"] - gone["t"]
-                what = f"set up at {line['host']} {delay:.3f} s after it was listed as {gone['state']}"
-                breaches.append(Breach(3, what, line["key"], (gone["t"], line["t"]), (gone.at, line.at)))
+                message = f"set up at {line['host']} {delay:.3f} s after it was listed as {gone['state']}"
+                breaches.append(Breach(3, message, line["key"], (gone["t"], line["t"]), (gone.at, line.at)))
     return breaches
 
 
@@ -281,13 +280,13 @@
                 * parameters.fall_after
             )
             if len(window) > budget + 1:
-                what = (
+                message = (
                     f"{len(window)} set-ups in {parameters.fall_after:g} s at {line['host']}, "
                     f"{budget:.1f} are safe"
                 )
                 shown = (start, window[0], line)
                 breaches.append(
-                    Breach(4, what, line["key"], tuple(x["t"] for x in shown), tuple(x.at for x in shown))
+                    Breach(4, message, line["key"], tuple(x["t"] for x in shown), tuple(x.at for x in shown))
                 )
                 window.clear()
     return breaches
@@ -302,8 +301,8 @@
         terms = parameters.packages.get(package, PackageTerms())
         for line, rung in set_up.rungs:
             if rung < terms.floor:
-                what = f"rung {rung} of {package} is below its floor, {terms.floor}"
-                breaches.append(Breach(5, what, set_up.key, (line["t"],), (line.at,)))
+                message = f"rung {rung} of {package} is below its floor, {terms.floor}"
+                breaches.append(Breach(5, message, set_up.key, (line["t"],), (line.at,)))
         if terms.seats:
             # A seat is freed by an end that the gateway knows of; ends that it cannot know of yet do not.
             ended = (
@@ -321,11 +320,11 @@
         for t, change, line in sorted(changes, key=lambda c: (c[0], c[1])):
             count += change
             if change > 0 and count > parameters.packages[package].seats:
-                what = (
+                message = (
                     f"{count} of {package}/{title} at {gateway}, "
                     f"it has {parameters.packages[package].seats} seats"
                 )
-                breaches.append(Breach(5, what, line["key"], (t,), (line.at,)))
+                breaches.append(Breach(5, message, line["key"], (t,), (line.at,)))
     return breaches
 
 
@@ -334,28 +333,35 @@
     if parameters.extra_free is None:
         return []
     breaches = []
-    asked: dict[str, deque[float]] = {}
+    requested: dict[str, deque[float]] = {}
     extra: dict[str, deque[Line]] = {}
     for line in lines:
         if line["ev"] == "ask":
-            asked.setdefault(line["gateway"], deque()).append(line["t"])
+            requested.setdefault(line["gateway"], deque()).append(line["t"])
         elif line["ev"] == "setup" and int(line["key"].rpartition(".")[2] or 0) > 0:
             gateway, since = line["gateway"], line["t"] - parameters.extra_window
-            extra_lines, all_asked = extra.setdefault(gateway, deque()), asked.setdefault(gateway, deque())
+            extra_lines, recent_requests = (
+                extra.setdefault(gateway, deque()),
+                requested.setdefault(gateway, deque()),
+            )
             extra_lines.append(line)
             while extra_lines[0]["t"] <= since:
                 extra_lines.popleft()
-            while all_asked and all_asked[0] <= since - CLOCK_TOLERANCE_S:
-                all_asked.popleft()
-            budget = parameters.extra_free + parameters.extra_ratio * len(all_asked)
+            while recent_requests and recent_requests[0] <= since - CLOCK_TOLERANCE_S:
+                recent_requests.popleft()
+            budget = parameters.extra_free + parameters.extra_ratio * len(recent_requests)
             if len(extra_lines) > budget + 1e-9:
-                what = (
+                message = (
                     f"{len(extra_lines)} extra tune-ins of {gateway} in {parameters.extra_window:g} s, "
                     f"allowed are {budget:.1f}"
                 )
                 breaches.append(
                     Breach(
-                        6, what, line["key"], (extra_lines[0]["t"], line["t"]), (extra_lines[0].at, line.at)
+                        6,
+                        message,
+                        line["key"],
+                        (extra_lines[0]["t"], line["t"]),
+                        (extra_lines[0].at, line.at),
                     )
                 )
     return breaches
--- a/ledgehitch/proof/owned.py
+++ b/ledgehitch/proof/owned.py
@@ -61,11 +61,11 @@
     """Checks that no gateway accepts a request under a term after one under a higher term (fencing)."""
     violations = []
     highest: dict[tuple[str, str], Step] = {}
-    taken = deque(sorted((s for s in steps if s.duty and s.accepted), key=lambda s: s.answered_at))
+    accepted = deque(sorted((s for s in steps if s.duty and s.accepted), key=lambda s: s.answered_at))
     for step in sorted((s for s in steps if s.duty), key=lambda s: s.delivered_at):
         # Requests answered before this one was delivered were certainly processed earlier.
-        while taken and taken[0].answered_at <= step.delivered_at:
-            other = taken.popleft()
+        while accepted and accepted[0].answered_at <= step.delivered_at:
+            other = accepted.popleft()
             best = highest.setdefault((other.duty, other.recipient), other)
             if other.term > best.term:
                 highest[other.duty, other.recipient] = other
@@ -118,8 +118,8 @@
                 Violation("restarted once", f"{ticket} started {len(boots)} processes", times, lines)
             )
     if complete:
-        begun = {ticket.rpartition("/")[2] for ticket in lives}
-        for name in sorted(set(names) - begun):
+        started = {ticket.rpartition("/")[2] for ticket in lives}
+        for name in sorted(set(names) - started):
             violations.append(Violation("nobody left out", f"the plan started no process of {name}", (), ()))
     return violations
 
@@ -188,7 +188,7 @@
     """Checks that in a region one member uses each term of budgets, and that no one lends to another region.
 
     `regions` holds the region of each gateway. Without any, all gateways are in one."""
-    violations, by, told = [], dict[tuple[str, int], Line](), set[tuple[str, int]]()
+    violations, by, reported = [], dict[tuple[str, int], Line](), set[tuple[str, int]]()
     for line in (x for x in tape if x["ev"] == "lent"):
         here, there = regions.get(line["who"], ""), regions.get(line["to"], "")
         if here != there:
@@ -201,11 +201,13 @@
                 )
             )
         first = by.setdefault((here, line["term"]), line)
-        if first["who"] != line["who"] and (here, line["term"]) not in told:
-            told.add((here, line["term"]))
-            what = f"{first['who']} and {line['who']} used term {line['term']} of budgets"
+        if first["who"] != line["who"] and (here, line["term"]) not in reported:
+            reported.add((here, line["term"]))
+            message = f"{first['who']} and {line['who']} used term {line['term']} of budgets"
             times, at = (first["t"], line["t"]), (first.at, line.at)
-            violations.append(Violation("one owner a term", f"{what} of {here}" if here else what, times, at))
+            violations.append(
+                Violation("one owner a term", f"{message} of {here}" if here else message, times, at)
+            )
     return violations
 
 
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -102,31 +102,31 @@
     )
 
 
-def out(t: float, id: str = "s", status: int = 201) -> Any:
+def set_up_answered(t: float, id: str = "s", status: int = 201) -> Any:
     return t, "setup_out", {"id": id, "status": status}
 
 
-def gone(t: float, id: str = "s") -> Any:
+def set_up_closed(t: float, id: str = "s") -> Any:
     return t, "setup_gone", {"id": id}
 
 
-def told(t: float, state: str, host: str = "h0") -> Any:
+def host_listed(t: float, state: str, host: str = "h0") -> Any:
     return t, "told", {"gateway": "g0", "host": host, "state": state}
 
 
 GOOD = [
     ask(0.0),
     set_up(0.1, key="g0.b.1.0"),
-    gone(0.4),
+    set_up_closed(0.4),
     set_up(0.45, "h1", "s2", "g0.b.1.1"),
-    out(0.6, "s2"),
+    set_up_answered(0.6, "s2"),
     answered(0.7),
-    told(1.0, "terminating"),
+    host_listed(1.0, "terminating"),
     set_up(1.9, "h0", "s3", "g0.b.2.0"),
-    out(2.0, "s3", 503),
+    set_up_answered(2.0, "s3", 503),
     (3.0, "started", {"host": "h2", "slots": 20}),
     set_up(3.1, "h2", "s4", "g0.b.3.0"),
-    out(3.2, "s4"),
+    set_up_answered(3.2, "s4"),
     ask(4.0, 2),
     (4.5, "hangup", {"conn": 2}),
     ask(5.0, 3, "g1"),
@@ -147,26 +147,53 @@
     (
         2,
         "two tune-ins in progress",
-        [set_up(0.0), set_up(0.5, "h1", "s2", "g0.b.1.1"), out(1.0), out(1.0, "s2")],
+        [set_up(0.0), set_up(0.5, "h1", "s2", "g0.b.1.1"), set_up_answered(1.0), set_up_answered(1.0, "s2")],
+    ),
+    (
+        2,
+        "two tune-ins in progress",
+        [set_up(0.0), set_up(0.5, "h1", "s2", "g0.b.1.1"), set_up_answered(0.6, "s2")],
     ),
-    (2, "two tune-ins in progress", [set_up(0.0), set_up(0.5, "h1", "s2", "g0.b.1.1"), out(0.6, "s2")]),
     (
         2,
         "paid for",
-        [set_up(0.0, package="once"), gone(0.5), set_up(0.9, "h1", "s2", "g0.b.1.1", "once"), out(1, "s2")],
+        [
+            set_up(0.0, package="once"),
+            set_up_closed(0.5),
+            set_up(0.9, "h1", "s2", "g0.b.1.1", "once"),
+            set_up_answered(1, "s2"),
+        ],
     ),
     (
         2,
         "another zone",
-        [set_up(0.0, package="key"), gone(0.2), set_up(0.5, "h1", "s2", "g0.b.1.1", "key"), out(1, "s2")],
+        [
+            set_up(0.0, package="key"),
+            set_up_closed(0.2),
+            set_up(0.5, "h1", "s2", "g0.b.1.1", "key"),
+            set_up_answered(1, "s2"),
+        ],
     ),
     (
         2,
         "key's window",
-        [set_up(0.0, package="key"), gone(0.2), set_up(1.5, "h2", "s2", "g0.b.1.1", "key"), out(2, "s2")],
+        [
+            set_up(0.0, package="key"),
+            set_up_closed(0.2),
+            set_up(1.5, "h2", "s2", "g0.b.1.1", "key"),
+            set_up_answered(2, "s2"),
+        ],
+    ),
+    (
+        3,
+        "was listed as terminating",
+        [host_listed(0.0, "in_service"), host_listed(1.0, "terminating"), set_up(2.3)],
+    ),
+    (
+        3,
+        "was listed as terminated",
+        [host_listed(1.0, "terminated"), host_listed(2.0, "terminating"), set_up(2.3)],
     ),
-    (3, "was listed as terminating", [told(0.0, "in_service"), told(1.0, "terminating"), set_up(2.3)]),
-    (3, "was listed as terminated", [told(1.0, "terminated"), told(2.0, "terminating"), set_up(2.3)]),
     (4, "failed from overload", [(1.0, "fell", {"host": "h0"})]),
     (
         4,
@@ -176,8 +203,12 @@
             *(set_up(0.01 + n / 1000, id=f"s{n}", key=f"g{n % 3}.b.{n}.0") for n in range(6)),
         ],
     ),
-    (5, "below its floor", [set_up(0.0, package="floor", rung=0), out(0.1)]),
-    (5, "below its floor", [set_up(0.0, package="floor"), out(0.1), (1.0, "rung", {"id": "s", "rung": 0})]),
+    (5, "below its floor", [set_up(0.0, package="floor", rung=0), set_up_answered(0.1)]),
+    (
+        5,
+        "below its floor",
+        [set_up(0.0, package="floor"), set_up_answered(0.1), (1.0, "rung", {"id": "s", "rung": 0})],
+    ),
     (
         5,
         "3 of seats/t",
@@ -185,7 +216,10 @@
             *(
                 x
                 for n in range(3)
-                for x in (set_up(n, id=f"s{n}", key=f"g0.b.{n}.0", package="seats"), out(n + 0.1, f"s{n}"))
+                for x in (
+                    set_up(n, id=f"s{n}", key=f"g0.b.{n}.0", package="seats"),
+                    set_up_answered(n + 0.1, f"s{n}"),
+                )
             )
         ],
     ),
@@ -211,7 +245,7 @@
     for n in range(4):
         events += [
             set_up(2.0 * n, id=f"s{n}", key=f"g0.b.{n}.0", package="seats"),
-            out(2.0 * n + 0.1, f"s{n}"),
+            set_up_answered(2.0 * n + 0.1, f"s{n}"),
         ]
         events += [(2.0 * n + 1.5, "stop", {"id": f"s{n}"})]
     assert check_rules(tape(*events), F) == []
