--- a/ledgehitch/daemon/__init__.py
+++ b/ledgehitch/daemon/__init__.py
@@ -1,5 +1,5 @@
-"""A gateway as a daemon: its life cycle, its place on disk, its supervisor, and the calls of operators.
+"""A gateway as a daemon: its life cycle, state directory, supervisor, and the admin API for operators.
 
-It never decides on viewings and never ends one that an answer is owed for. Start reading at `life.py`, which
-is free of I/O; `admin.py` and `run.py` carry out.
+This package makes no decision on viewings and never ends one whose request is pending. Start reading at
+`life.py`, which is free of I/O; `admin.py` and `run.py` carry out its decisions.
 """
--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -155,7 +155,7 @@
             if owner == NO_MEMBER and not self.share
             else "nobody is known to lend"
             if owner == NO_MEMBER
-            else "this gateway has not joined yet"
+            else "it does not count among the others yet"
             if not owners.joined(now)
             else ""
         )
@@ -233,7 +233,7 @@
             return "begins"
         wait = max([until - self.owning.now() for until in self.lender.waits_until], default=0.0)
         if wait > 0:
-            return f"renews current loans, redistributes in {wait:.1f} s at most"
+            return f"renews what is held, divides anew in {wait:.1f} s at most"
         return f"lends to {len(self.lender.wanted)} of {len(self.lender.members)}"
 
     def close(self) -> None:
--- a/ledgehitch/daemon/facts.py
+++ b/ledgehitch/daemon/facts.py
@@ -1,15 +1,15 @@
-"""What crosses the border of the admin call, version 1. Times are seconds."""
+"""Requests and responses of the admin API, version 1. Times are in seconds."""
 
 from typing import Any, Literal
 
 import msgspec
 
-VERSION = "1"  # of the admin call: rises when something that is here changes its meaning
-Role = Literal["look", "operate", "gateway"]  # a gateway: looks, and takes steps that a term fences
+VERSION = "1"  # of the admin API: increased when a field here changes its meaning
+Role = Literal["look", "operate", "gateway"]  # a gateway: queries, and steps fenced by a term
 
 
 class Counts(msgspec.Struct, frozen=True):
-    """Since this life began."""
+    """Requests and their outcomes since this process started."""
 
     asked: int = 0
     plays: int = 0
@@ -20,14 +20,14 @@
 
 
 class HostSeen(msgspec.Struct, frozen=True):
-    """One media host as this gateway sees it."""
+    """A media host as this gateway sees it."""
 
     in_service: bool
     viewings: int
 
 
 class State(msgspec.Struct, frozen=True):
-    """One gateway: who it is, what it does, what it holds."""
+    """The state of a gateway."""
 
     name: str
     boot: str
@@ -35,24 +35,26 @@
     admin: str
     pid: int
     phase: str
-    why: str  # who asked for the drain
+    why: str  # origin of the drain
     for_s: float  # seconds in this phase
     up_s: float
-    started_by: str  # the ticket of the restart that this life came from
+    started_by: str  # ticket of the restart that started this process
     viewings: int
     counts: Counts
-    joins_ms: dict[str, float]  # of the last minute: 50, 99
-    config: dict[str, Any]  # digest that runs, digest told, what waits for a restart
+    joins_ms: dict[str, float]  # percentiles 50 and 99 of the last minute
+    config: dict[str, Any]  # digest in use, last digest read, changes that need a restart
     hosts: dict[str, HostSeen] = {}
-    members: dict[str, str] = {}  # other gateways as this one sees them
+    members: dict[str, str] = {}  # status of the other gateways as seen by this one
     door: dict[str, Any] | None = None
     zone: str = ""
-    carried: str = ""  # the ticket for which a life here was ended last, kept on disk: it may have died since
+    carried: str = ""  # ticket of the last restart carried out here; stored on disk, so it survives a kill
 
 
 class Fenced(msgspec.Struct, frozen=True, kw_only=True):
-    """Of a step on behalf of the fleet: the duty, the term and who owns it. Without a duty it is an
-    operator's own."""
+    """The duty, the term and the owner of a step on behalf of the fleet.
+
+    A step without a duty comes from an operator.
+    """
 
     duty: str = ""
     term: int = 0
@@ -60,12 +62,14 @@
 
 
 class Fence(Fenced, forbid_unknown_fields=True, frozen=True):
-    """POST /v1/fence: an owner says its term before its first step, and asks for the state."""
+    """POST /v1/fence: an owner announces its term before its first step, and requests the state."""
 
 
 class PlanMessage(Fenced, forbid_unknown_fields=True, frozen=True):
-    """POST /v1/plans: what the owner of `restarts` leaves with each gateway. The higher (term, version)
-    counts. `word`: go, stopped, given up, ended."""
+    """POST /v1/plans: the plan that the owner of `restarts` stores on each gateway.
+
+    The one with the highest (term, version) is in force. `word`: the state of the plan.
+    """
 
     version: int
     word: Literal["go", "stopped", "given up", "ended"]
@@ -74,19 +78,19 @@
     share: float | None = None  # of viewings turned away before the first step
 
     def order(self) -> tuple[int, int]:
-        """The higher is the later word."""
+        """Returns the sort key: the plan with the higher one is the later."""
         return self.term, self.version
 
 
 class PlanCall(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """POST /v1/plan: what an operator wants of the plan that the fleet carries out."""
+    """POST /v1/plan: an operator's command on the fleet's plan."""
 
     do: Literal["begin", "stop", "resume", "give up"]
     plan: Any = None
 
 
 class Drain(Fenced, forbid_unknown_fields=True, frozen=True):
-    """POST /v1/drain. `if_boot`: only where this life still runs."""
+    """POST /v1/drain. `if_boot`: drain only if the process with this boot identifier still runs."""
 
     within: float = 0.0
     then: Literal["stay", "restart", "stop", "leave"] = "stay"
@@ -102,7 +106,7 @@
 
 
 class Done(msgspec.Struct, frozen=True):
-    """What became of a call that changes something."""
+    """The result of a call that changes something."""
 
     changed: bool
     phase: str
--- a/ledgehitch/daemon/logfile.py
+++ b/ledgehitch/daemon/logfile.py
@@ -1,4 +1,4 @@
-"""A log file that is opened anew on a signal, so that whoever rotates it can move it away."""
+"""A log file that is reopened on a signal, so that it can be rotated."""
 
 import os
 import sys
@@ -6,34 +6,35 @@
 
 
 class LogFile:
-    """What `structlog` writes to: a file, or standard error where none is named."""
+    """The file that `structlog` writes to, or standard error if `path` is None."""
 
     def __init__(self, path: Path | None) -> None:
         self.path = path
-        self._file = self._opened()
+        self._descriptor = self._open()
 
-    def _opened(self) -> int:
+    def _open(self) -> int:
         if self.path is None:
             return sys.stderr.fileno()
         return os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o640)
 
     def write(self, text: str) -> int:
+        """Writes a text and returns the number of bytes written, 0 after an error."""
         try:
-            return os.write(self._file, text.encode())
+            return os.write(self._descriptor, text.encode())
         except OSError:
             return 0  # a full disk must not end viewings
 
     def flush(self) -> None:
-        """Nothing is held back."""
+        """Does nothing: writes are not buffered."""
 
     def reopen(self) -> None:
-        """Goes on with a new file under the same name; with the old one where that cannot be opened."""
+        """Continues in a new file of the same name; in the old one if that cannot be opened."""
         if self.path is None:
             return
         try:
-            new = self._opened()
+            descriptor = self._open()
         except OSError as problem:
-            self.write(f"{self.path}: not opened anew: {problem.strerror}\n")
+            self.write(f"{self.path}: not reopened: {problem.strerror}\n")
             return
-        os.close(self._file)
-        self._file = new
+        os.close(self._descriptor)
+        self._descriptor = descriptor
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -1,4 +1,4 @@
-"""Carries out membership: datagrams in and out, and the number of this life on disk."""
+"""Runs the membership protocol of `members`: its datagrams, and the incarnation number on disk."""
 
 import random
 import time
@@ -18,46 +18,46 @@
 from ledgehitch.owners.words import FIRST_KIND
 from ledgehitch.quality.keep import SnapshotStore
 
-CONTEXT = "ledgehitch 2026 membership datagrams"  # so that no datagram of another kind is one of these
+KEY_CONTEXT = "ledgehitch 2026 membership datagrams"  # separates these keys from those of other datagrams
 log = structlog.get_logger("members")
 
 
 class Membership:
+    """This gateway's part in the membership protocol, and the transport for the protocols above it."""
+
     def __init__(
-        self, loop: Loop, site: Site, name: str, ring: Sequence[bytes], directory: Path, seed: int
+        self, loop: Loop, site: Site, name: str, key_ring: Sequence[bytes], directory: Path, seed: int
     ) -> None:
         self.loop, self.site = loop, site
         self.names = [g.name for g in site.gateways]
-        me = self.names.index(name)
+        own_number = self.names.index(name)
         self.store = SnapshotStore(directory / f"{name}.members")
-        held: dict[str, Any] = self.store.read() or {}
-        self.life = max(int(held.get("life", 0)) + 1, 1)
+        stored: dict[str, Any] = self.store.read() or {}
+        self.life = max(int(stored.get("life", 0)) + 1, 1)
         self.store.write({"life": self.life})
-        secrets = [blake3(key, derive_key_context=CONTEXT).digest() for key in ring]
-        self.frames = PeerCodec(secrets, me, time.time_ns())
+        secrets = [blake3(key, derive_key_context=KEY_CONTEXT).digest() for key in key_ring]
+        self.frames = PeerCodec(secrets, own_number, time.time_ns())
         now = time.monotonic()
-        self.members = Members(now, me, len(self.names), self.life, random.Random(seed))
-        here = site.gateways[me]
-        self.socket = Datagrams(loop, endpoint(here.members_at))
-        self.at = {
+        self.members = Members(now, own_number, len(self.names), self.life, random.Random(seed))
+        own_record = site.gateways[own_number]
+        self.socket = Datagrams(loop, endpoint(own_record.members_at))
+        self.addresses = {
             i: endpoint(g.members_via or g.members_at)
             for i, g in enumerate(site.gateways)
-            if i != me and (g.members_via or g.members_at)
+            if i != own_number and (g.members_via or g.members_at)
         }
-        self.bad: dict[str, int] = {}
-        self.on_other_message: Callable[[int, bytes], None] | None = (
-            None  # words that are not membership's own
-        )
+        self.rejected_messages: dict[str, int] = {}
+        self.on_other_message: Callable[[int, bytes], None] | None = None  # of other protocols
         self._timer: Timer | None = None
-        self._hearing = loop.spawn(self._hear, name="members")
+        self._receive_task = loop.spawn(self._receive, name="members")
         self._pull()
 
-    def _hear(self) -> None:
+    def _receive(self) -> None:
         while True:
             try:
                 data, _ = self.socket.receive()
             except ConnectionAbortedError:
-                return  # it was closed while this task was about to read
+                return  # closed while this task was about to read
             try:
                 sender, body = self.frames.unframe(time.time(), data)
                 if body and body[0] >= FIRST_KIND:
@@ -66,9 +66,9 @@
                     continue
                 self.members.on_message(time.monotonic(), sender, decode(body))
             except DatagramRejected:
-                continue  # counted there
+                continue  # counted by the codec
             except InvalidMessage as why:
-                self.bad[str(why)] = self.bad.get(str(why), 0) + 1
+                self.rejected_messages[str(why)] = self.rejected_messages.get(str(why), 0) + 1
                 continue
             self._pull()
 
@@ -76,33 +76,35 @@
         now = time.monotonic()
         while (decision := self.members.decide(now)) is not None:
             match decision:
-                case Send(to, words):
-                    self.send(to, encode(words))
+                case Send(recipient, message):
+                    self.send(recipient, encode(message))
                 case StatusChanged(member, status):
-                    log.info("a member", gateway=self.names[member], status=status)
+                    log.info("member status changed", gateway=self.names[member], status=status)
         if self._timer is not None:
             self.loop.timers.cancel(self._timer)
         self._timer = self.loop.call_at(max(self.members.wake_at(), now + 0.005), self._pull)
 
-    def send(self, to: int, body: bytes) -> None:
-        if to in self.at:
-            self.socket.send(self.frames.frame(time.time(), to, body), self.at[to])
+    def send(self, recipient: int, body: bytes) -> None:
+        """Sends a message to a gateway; dropped if it has no address."""
+        if recipient in self.addresses:
+            self.socket.send(self.frames.frame(time.time(), recipient, body), self.addresses[recipient])
 
     def leave(self, back_soon: bool) -> None:
-        """Told to others as the process goes."""
+        """Announces to the others that this process exits."""
         self.members.leave(time.monotonic(), not back_soon)
         self._pull()
 
     def close(self) -> None:
-        """Nothing is heard or said any more."""
-        self._hearing.cancel()
+        """Stops receiving and sending."""
+        self._receive_task.cancel()
         self.socket.close()
         if self._timer is not None:
             self.loop.timers.cancel(self._timer)
 
     def statuses(self) -> dict[str, str]:
+        """Returns the status of each other gateway by name."""
         return {self.names[n]: status for n, status in self.members.statuses().items()}
 
     def is_alive(self, name: str) -> bool:
-        """Whether a gateway may be sent viewers."""
+        """Returns whether a gateway is alive, so that viewers may be sent there."""
         return self.members.roster.status(self.names.index(name)) == "alive"
--- a/ledgehitch/daemon/place.py
+++ b/ledgehitch/daemon/place.py
@@ -1,4 +1,4 @@
-"""A daemon's place on disk: one directory, one process at a time, sockets and files nobody else may read."""
+"""The state directory of a daemon: locked by one process at a time, readable by its owner alone."""
 
 import fcntl
 import os
@@ -8,8 +8,11 @@
 
 
 class Place:
-    """`DIR/NAME.lock` is held for as long as the process lives and names it; a lock that nobody holds is what
-    a killed process left behind, and is taken over."""
+    """The state directory, locked for the life of the process.
+
+    `DIR/NAME.lock` contains the process id. A lock file that no process holds was left by a killed process
+    and is taken over.
+    """
 
     def __init__(self, directory: Path, name: str) -> None:
         self.directory, self.name = directory, name
@@ -17,14 +20,16 @@
             directory.mkdir(parents=True, exist_ok=True, mode=0o700)
             self._fd = os.open(directory / f"{name}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as problem:
-            raise BadInput(f"{directory}: no place for the daemon's state: {problem.strerror}") from None
-        self.stale = 0  # the process that held it last and did not let it go
+            raise BadInput(f"{directory}: cannot use the state directory: {problem.strerror}") from None
+        self.stale = 0  # id of the last process if it did not release the lock, else 0
         try:
             fcntl.flock(self._fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             pid = self._read()
             os.close(self._fd)
-            raise BadInput(f"{directory}: gateway {name} runs already, as process {pid or '?'}") from None
+            raise BadInput(
+                f"{directory}: gateway {name} is already running as process {pid or '?'}"
+            ) from None
         self.stale = self._read()
         self._write(str(os.getpid()))
 
@@ -38,10 +43,11 @@
 
     @property
     def admin(self) -> Path:
+        """The path of the admin socket."""
         return self.directory / f"{self.name}.admin"
 
     def release(self) -> None:
-        """At an orderly end: the next one finds nothing stale."""
+        """Releases the lock at a clean exit; the next process finds nothing stale."""
         if self._fd >= 0:
             self._write("")
             self.admin.unlink(missing_ok=True)
@@ -50,7 +56,7 @@
 
 
 def holder(directory: Path, name: str) -> int:
-    """The process that holds the place; 0 if none does."""
+    """Returns the id of the process that holds the lock, 0 if none does, -1 if it cannot be read."""
     try:
         fd = os.open(directory / f"{name}.lock", os.O_RDWR | os.O_CLOEXEC)
     except OSError:
--- a/ledgehitch/daemon/plans.py
+++ b/ledgehitch/daemon/plans.py
@@ -1,4 +1,4 @@
-"""The plan that the fleet carries out, as one gateway keeps it: what its owner left here last, on disk."""
+"""The copy of the fleet's plan on one gateway's disk: the last version that the owner of `restarts` sent."""
 
 from pathlib import Path
 from typing import Any
@@ -9,35 +9,40 @@
 from ledgehitch.daemon.facts import PlanMessage
 from ledgehitch.quality.keep import SnapshotStore
 
-VERSION = 1  # of the file
-MOST = 1 << 19  # bytes of a plan: ten thousand targets and more
+FILE_VERSION = 1
+MAX_PLAN_BYTES = 1 << 19  # enough for ten thousand targets and more
 log = structlog.get_logger("plans")
 
 
 class Plans:
+    """The stored plan of one gateway."""
+
     def __init__(self, path: Path) -> None:
         self.store = SnapshotStore(path, private=True, synced=True)
         self.held: PlanMessage | None = None
-        self.why = ""  # the file does not read
-        held = self.store.read()
-        if held is None:
+        self.error = ""  # why the stored plan could not be read
+        stored = self.store.read()
+        if stored is None:
             return
         try:
-            if held["version"] != VERSION:
-                raise ValueError(f"it is of version {held['version']!r}, this program keeps {VERSION}")
-            self.held = msgspec.convert(held["plan"], PlanMessage)
+            if stored["version"] != FILE_VERSION:
+                raise ValueError(f"it is of version {stored['version']!r}, this program keeps {FILE_VERSION}")
+            self.held = msgspec.convert(stored["plan"], PlanMessage)
         except (msgspec.ValidationError, KeyError, TypeError, ValueError) as wrong:
-            self.why = str(wrong)
-            log.error("the plan that was kept does not read, others may know it", why=self.why)
+            self.error = str(wrong)
+            log.error("stored plan is invalid, other gateways may have it", why=self.error)
 
     def accept(self, new: PlanMessage) -> bool:
-        """Whether this is later than what is held, and on disk now. Raises OSError where the disk does not
-        take it."""
+        """Stores a plan and returns True, or returns False if it is older than the stored one.
+
+        Raises OSError if it cannot be written to disk.
+        """
         if self.held is not None and new.order() < self.held.order():
             return False
-        self.store.write({"version": VERSION, "plan": msgspec.to_builtins(new)})
-        self.held, self.why = new, ""
+        self.store.write({"version": FILE_VERSION, "plan": msgspec.to_builtins(new)})
+        self.held, self.error = new, ""
         return True
 
     def state(self) -> dict[str, Any]:
-        return {"held": msgspec.to_builtins(self.held) if self.held is not None else None, "why": self.why}
+        """Returns the stored plan, and the error if it could not be read."""
+        return {"held": msgspec.to_builtins(self.held) if self.held is not None else None, "why": self.error}
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -1,4 +1,4 @@
-"""Runs a gateway as a daemon: carries out what its life decides, takes admin calls, runs anew in place."""
+"""Runs a gateway as a daemon: life cycle, admin API, signals, watchdog, and restart in the same process."""
 
 import gc
 import os
@@ -46,17 +46,17 @@
 from ledgehitch.owners.facts import BUDGETS, RESTARTS, VERDICTS
 from ledgehitch.quality.keep import SnapshotStore
 
-TICKET = "LEDGEHITCH_STARTED_BY"  # in the environment: the ticket of the restart that began this life
-LIST_WITHIN = 3.0  # seconds to wait for the list before serving with its last copy
-SIGN = 1.0
-PROOF = [sys.executable, "-m", "ledgehitch", "daemon", "--help"]
-PROVEN_WITHIN = 30.0
-STILL = 20.0  # seconds of CPU without a turn of the loop after which the process ends
+TICKET = "LEDGEHITCH_STARTED_BY"  # environment variable: ticket of the restart that began this process
+LIST_TIMEOUT_S = 3.0  # until the gateway serves with the last stored copy of the host list
+HEARTBEAT_INTERVAL_S = 1.0
+START_CHECK_COMMAND = [sys.executable, "-m", "ledgehitch", "daemon", "--help"]
+START_CHECK_TIMEOUT_S = 30.0
+STALL_LIMIT_CPU_S = 20.0  # CPU time without a turn of the event loop after which the process exits
 log = structlog.get_logger("daemon")
 
 
 class Daemon:
-    """`run` within a task; gives the exit code, and whether the process is to run anew."""
+    """One gateway process. Call `run` within a task; it returns the exit code and whether to restart."""
 
     def __init__(
         self,
@@ -72,40 +72,41 @@
         keys: Keys | None = None,
         restarts: "Callable[[Daemon], Work] | None" = None,
     ) -> None:
-        """`restarts`: what does the work of the duty of that name, from a floor above."""
+        """`restarts`: creates the work of the duty of that name, which a higher layer implements."""
         self.keys = keys
         self.loop, self.site, self.name, self.place, self.logfile = loop, site, name, place, logfile
         self.supervisor = Supervisor(environment)
         self.running = RunningGateway(loop, site, name, seed, place.directory, record)
         self.running.frontend.draining = True  # until it is ready
-        held = lambda: len(self.running.executor.viewings)  # noqa: E731
-        self.running.reloader = SiteReloader(loop, *source, self.running.apply_site, name, held)
+        viewing_count = lambda: len(self.running.executor.viewings)  # noqa: E731
+        self.running.reloader = SiteReloader(loop, *source, self.running.apply_site, name, viewing_count)
         self.life = Life(time.monotonic(), max(p.patience for p in site.packages))
-        self.stir = Pump(loop, self._pull).schedule  # something was told
-        self.admin = Admin(self.running, self.life, environment.get(TICKET, ""), self.stir)
-        self.carried = SnapshotStore(place.directory / f"{name}.carried", synced=True)
-        self.admin.carried = str(self.carried.read() or "")
+        self.wake = Pump(loop, self._pull).schedule  # after an input to `life`
+        self.admin = Admin(self.running, self.life, environment.get(TICKET, ""), self.wake)
+        self.restart_store = SnapshotStore(place.directory / f"{name}.carried", synced=True)
+        self.admin.carried = str(self.restart_store.read() or "")
         self.on_leave: Callable[[bool], None] = lambda back_soon: None
-        self.running.frontend.other_gateway = self._elsewhere
-        self.chance = random.Random(seed + 3)
-        self.over = Event(loop)
-        self.home = loop.current
-        self.membership = self._members(seed)
+        self.running.frontend.other_gateway = self._pick_other_gateway
+        self.rng = random.Random(seed + 3)
+        self.exited = Event(loop)
+        self.parent_task = loop.current
+        self.membership = self._join_membership(seed)
         self.budgeting: Budgeting | None = None
-        self.owning = self._owns(seed, restarts)
+        self.owning = self._start_owning(seed, restarts)
 
     def run(self) -> Exit:
+        """Serves until the life cycle ends, then closes everything; returns the last decision."""
         restore = self.loop.on_signals(
-            [signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGUSR2, signal.SIGHUP], self._on
+            [signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGUSR2, signal.SIGHUP], self._on_signal
         )
-        watchdog = Watchdog(STILL, lambda text: write_line(self.logfile, text))
-        admins = self._serve_admin()
+        watchdog = Watchdog(STALL_LIMIT_CPU_S, lambda text: write_line(self.logfile, text))
+        admin_servers = self._serve_admin()
         if self.place.stale:
-            log.warning("the last life was not ended in order", pid=self.place.stale)
-        self.loop.spawn(self._signs, watchdog, name="signs of life")
+            log.warning("the previous process did not exit cleanly", pid=self.place.stale)
+        self.loop.spawn(self._send_heartbeats, watchdog, name="heartbeats")
         self._wait_for_list()
         self.life.on_serving(time.monotonic())
-        self.stir()
+        self.wake()
         print_ready(str(self.running.server.at))
         log.info(
             "serves",
@@ -115,108 +116,111 @@
             pid=os.getpid(),
             started_by=self.admin.started_by,
         )
-        self.over.wait()
-        exit_as = self.over.value
+        self.exited.wait()
+        exit_as = self.exited.value
         assert isinstance(exit_as, Exit)
         watchdog.stop()
-        for admin in admins:
-            admin.close()
+        for server in admin_servers:
+            server.close()
         self.running.stop()
         if self.budgeting is not None:
             self.budgeting.close()
         if self.owning is not None:
             self.owning.close()
         if exit_as.restart:
-            self._note_carried()
+            self._record_restart()
         if self.membership is not None:
             self.membership.close()
         self.place.release()
         restore()
-        log.info("is over", again=exit_as.restart, why=self.life.why)
+        log.info("exits", again=exit_as.restart, why=self.life.why)
         return exit_as
 
-    def _note_carried(self) -> None:
-        """Guards against a second restart by the same plan where the new life is killed before it was seen:
-        whoever starts next here finds for which ticket the last life was ended."""
+    def _record_restart(self) -> None:
+        """Stores the ticket of the restart that is being carried out.
+
+        If the new process is killed before the restart is observed, the next one reports this ticket and
+        the same plan does not restart the gateway a second time.
+        """
         try:
-            self.carried.write(self.life.why)
+            self.restart_store.write(self.life.why)
         except OSError as problem:
-            log.error("not noted that the restart was carried out", why=problem.strerror)
+            log.error("cannot store the ticket of the restart", why=problem.strerror)
 
-    def _members(self, seed: int) -> Membership | None:
-        """Where the site gives this gateway a place in membership, and a key to the fleet."""
-        here = next(g for g in self.site.gateways if g.name == self.name)
+    def _join_membership(self, seed: int) -> Membership | None:
+        """Joins the membership, if the site has an address for this gateway and a fleet key."""
+        gateway = next(g for g in self.site.gateways if g.name == self.name)
         ring = read_peer_keys(self.site)
-        if not here.members_at or not ring:
+        if not gateway.members_at or not ring:
             return None
-        some = Membership(self.loop, self.site, self.name, ring, self.place.directory, seed + 4)
-        self.admin.members, self.on_leave = some.statuses, some.leave
-        return some
+        membership = Membership(self.loop, self.site, self.name, ring, self.place.directory, seed + 4)
+        self.admin.members, self.on_leave = membership.statuses, membership.leave
+        return membership
 
-    def _owns(self, seed: int, restarts: "Callable[[Daemon], Work] | None") -> Owning | None:
-        """The duties of the fleet, where this gateway has a part in membership."""
+    def _start_owning(self, seed: int, restarts: "Callable[[Daemon], Work] | None") -> Owning | None:
+        """Sets up the duties of the fleet, if this gateway is in the membership."""
         if self.membership is None:
             return None
         self.admin.plans = Plans(self.place.directory / f"{self.name}.plan")
-        own = Owning(self.loop, self.site, self.name, self.membership, self.place.directory, seed + 5)
-        own.is_serving = lambda: self.life.phase == "ready"
-        self.admin.owning = own
+        owning = Owning(self.loop, self.site, self.name, self.membership, self.place.directory, seed + 5)
+        owning.is_serving = lambda: self.life.phase == "ready"
+        self.admin.owning = owning
         if restarts is not None:
-            own.work[RESTARTS] = restarts(self)
-        doorman = self.running.executor.admission
-        if doorman is not None and lends(self.site):
-            self.budgeting = Budgeting(self.loop, self.site, own, self.membership, doorman, seed + 6)
-            self.admin.budgeting = own.work[BUDGETS] = self.budgeting
+            owning.work[RESTARTS] = restarts(self)
+        admission = self.running.executor.admission
+        if admission is not None and lends(self.site):
+            self.budgeting = Budgeting(self.loop, self.site, owning, self.membership, admission, seed + 6)
+            self.admin.budgeting = owning.work[BUDGETS] = self.budgeting
             self.running.on_limits_changed = self.budgeting.configure
         if self.site.owners.verdicts_to and self.running.reports is not None:
-            own.work[VERDICTS] = Verdicts(self.loop, self.site, self.name, own, self.running.reports)
-        return own
+            owning.work[VERDICTS] = Verdicts(self.loop, self.site, self.name, owning, self.running.reports)
+        return owning
 
-    def _elsewhere(self) -> str:
-        there = self.membership.is_alive if self.membership is not None else lambda name: True
-        return pick_gateway(self.name, self.site.gateways, there, self.chance)
+    def _pick_other_gateway(self) -> str:
+        is_alive = self.membership.is_alive if self.membership is not None else lambda name: True
+        return pick_gateway(self.name, self.site.gateways, is_alive, self.rng)
 
     def _serve_admin(self) -> list[Server]:
-        at = Endpoint(endpoint(f"unix:{self.place.admin}").family, str(self.place.admin))
-        before = os.umask(0o177)
+        address = Endpoint(endpoint(f"unix:{self.place.admin}").family, str(self.place.admin))
+        previous_umask = os.umask(0o177)
         try:
-            # Only who may write to the socket gets here: its owner, and root.
-            servers = [Server(self.loop, at, lambda request: self.admin.handle(request, "operate"))]
+            # Only processes that may write to the socket can connect: its owner's, and root's.
+            servers = [Server(self.loop, address, lambda request: self.admin.handle(request, "operate"))]
         finally:
-            os.umask(before)
-        here = next(g for g in self.site.gateways if g.name == self.name)
-        if here.admin_at and self.keys is not None:
+            os.umask(previous_umask)
+        gateway = next(g for g in self.site.gateways if g.name == self.name)
+        if gateway.admin_at and self.keys is not None:
             tls = tls_context(self.keys.ca, self.keys.directory / f"{self.name}.pem", True)
-            far = endpoint(here.admin_at.removeprefix(TLS))
-            servers.append(Server(self.loop, far, self._asked_from_afar, tls=tls))
+            address = endpoint(gateway.admin_at.removeprefix(TLS))
+            servers.append(Server(self.loop, address, self._on_remote_call, tls=tls))
         return servers
 
-    def _asked_from_afar(self, request: Request) -> Response:
+    def _on_remote_call(self, request: Request) -> Response:
         assert self.keys is not None
         try:
-            one = parse_certificate(request.certificate)
-            role = authorize(one, time.time(), ("operate", "look", "gateway"), self.keys.revoked())
+            certificate = parse_certificate(request.certificate)
+            role = authorize(certificate, time.time(), ("operate", "look", "gateway"), self.keys.revoked())
         except CertificateRejected as why:
-            log.warning("an operator is refused", why=str(why), peer=request.peer)
+            log.warning("admin call rejected", why=str(why), peer=request.peer)
             raise Refused(403, str(why)) from None
         return self.admin.handle(request, role)
 
     def _wait_for_list(self) -> None:
-        until = time.monotonic() + LIST_WITHIN
-        heard = self.running.list_client.host_list
-        while not self.running.executor.addresses and heard.version < 0 and time.monotonic() < until:
+        deadline = time.monotonic() + LIST_TIMEOUT_S
+        host_list = self.running.list_client.host_list
+        while not self.running.executor.addresses and host_list.version < 0 and time.monotonic() < deadline:
             self.loop.sleep(0.02)
 
-    def _signs(self, watchdog: Watchdog) -> None:
-        """That the loop turns: to our own watchdog, and to the supervisor's where it has one."""
-        every = min(SIGN, self.supervisor.every or SIGN)
+    def _send_heartbeats(self, watchdog: Watchdog) -> None:
+        """Reports that the event loop runs to the watchdog, and to the supervisor if it asks for that."""
+        interval = min(HEARTBEAT_INTERVAL_S, self.supervisor.every or HEARTBEAT_INTERVAL_S)
         while True:
-            watchdog.sign()
+            watchdog.heartbeat()
             if self.supervisor.every:
                 self.supervisor.notify("WATCHDOG=1")
-            self.loop.sleep(every)
+            self.loop.sleep(interval)
 
-    def _on(self, number: int) -> None:
+    def _on_signal(self, number: int) -> None:
         name = signal.Signals(number).name
         now = time.monotonic()
         if number in (signal.SIGTERM, signal.SIGINT):
@@ -225,28 +229,28 @@
             self.life.drain(now, 1e9, "stay", name)
         elif number == signal.SIGUSR2:
             self.logfile.reopen()
-            log.info("the log file is opened anew")
+            log.info("log file reopened")
         elif self.running.reloader is not None:
             self.supervisor.notify(f"RELOADING=1\nMONOTONIC_USEC={int(now * 1e6)}")
             self.running.reloader.reload()
             self.supervisor.notify("READY=1")
-        self.stir()
+        self.wake()
 
-    def _prove(self) -> None:
-        """Runs the program that is installed now, as far as it needs none of what this process holds."""
-        child = Child(self.loop, PROOF, "proof", subprocess.DEVNULL, subprocess.DEVNULL)
+    def _check_start(self) -> None:
+        """Runs the installed program with a command that needs no resource of this process."""
+        child = Child(self.loop, START_CHECK_COMMAND, "proof", subprocess.DEVNULL, subprocess.DEVNULL)
         try:
-            with self.loop.deadline(PROVEN_WITHIN):
+            with self.loop.deadline(START_CHECK_TIMEOUT_S):
                 code = child.wait()
         except TimedOut:
             code = child.terminate(0.5) or -1
         why = "" if code == 0 else f"the program that is installed does not start (exit code {code})"
         if why:
-            log.error("not restarted, this life goes on", why=why)
+            log.error("restart cancelled: this process continues to serve", why=why)
         self.life.on_start_check(time.monotonic(), code == 0, why)
-        self.stir()
+        self.wake()
 
-    # ---- the life ------------------------------------------------------------------------------------------
+    # ---- life cycle ----------------------------------------------------------------------------------------
 
     def _pull(self) -> float | None:
         now = time.monotonic()
@@ -256,23 +260,24 @@
                 case Admit(open):
                     self.running.set_draining(not open)
                     if not open and self.owning is not None:
-                        self.owning.resign()  # before it is gone: a successor is named
+                        self.owning.resign()  # so that successors are elected before it is gone
                 case EndAllViewings():
-                    log.info("ends what still plays", viewings=len(self.running.executor.viewings))
+                    log.info("ending the remaining viewings", viewings=len(self.running.executor.viewings))
                     self.running.executor.end_all()
                 case AnnounceLeave(back_soon):
                     self.on_leave(back_soon)
                 case CheckStart():
-                    self.loop.spawn(self._prove, name="prove", owner=self.home)
+                    self.loop.spawn(self._check_start, name="prove", owner=self.parent_task)
                 case NotifySupervisor(text):
                     self.supervisor.notify(text)
                 case Exit() as exit_as:
-                    self.over.set(exit_as)
+                    self.exited.set(exit_as)
         wake = self.life.wake_at()
         return None if wake is None else max(wake, now + 0.005)
 
 
 def write_line(file: LogFile, text: str) -> None:
+    """Writes one line to the log file."""
     file.write(text + "\n")
 
 
@@ -287,7 +292,7 @@
     keys: Keys | None = None,
     restarts: Callable[[Daemon], Work] | None = None,
 ) -> int:
-    """Runs until the life is over. A restart does not come back: the process runs anew in its place."""
+    """Runs a gateway and returns its exit code. A restart does not return: it executes the program anew."""
     place = Place(state_dir, name)
     gc.collect()
     gc.freeze()
@@ -312,12 +317,12 @@
     if exit_as.restart:
         os.environ[TICKET] = ticket
         sys.stdout.flush()
-        os.execv(sys.executable, [sys.executable, *_own_words()])
+        os.execv(sys.executable, [sys.executable, *_own_arguments()])
     return int(exit_as.code)
 
 
-def _own_words() -> list[str]:
-    """The words after the interpreter with which this process was started."""
+def _own_arguments() -> list[str]:
+    """Returns the arguments after the interpreter with which this process was started."""
     return sys.orig_argv[1:]
 
 
--- a/ledgehitch/daemon/verdicts.py
+++ b/ledgehitch/daemon/verdicts.py
@@ -1,9 +1,9 @@
-"""The work of the duty `verdicts`: the fleet's quality, worked out once and handed to the receiver that the
-site names.
+"""The work of the duty `verdicts`: sends the verdict on the fleet's quality to the receiver of the site.
 
-One verdict a window of the wall clock. Before its first one an owner says its term to the receiver and hears
-which window was told last: it goes on after that one, so that no window gets two that contradict each other.
-What was not answered is told again in the same words, until the answer comes or the term ends.
+There is one verdict per window of the wall clock. An owner first sends its term to the receiver, which
+answers with the last window that it has. The owner continues after that window, so that no window gets two
+contradicting verdicts. A request without an answer is repeated unchanged until it is answered or the term
+ends.
 """
 
 import time
@@ -19,71 +19,85 @@
 from ledgehitch.loop import Loop, TimedOut
 from ledgehitch.owners.facts import VERDICTS
 
-WITHIN = 2.0  # seconds for the receiver's answer
-AGAIN = 1.0  # seconds until what was not answered is told again
+REQUEST_TIMEOUT_S = 2.0
+RETRY_INTERVAL_S = 1.0
 log = structlog.get_logger("verdicts")
 
 
 class Verdicts:
+    """Sends verdicts to the receiver while this gateway owns the duty."""
+
     def __init__(self, loop: Loop, site: Site, name: str, owning: Owning, reports: ReportService) -> None:
         self.loop, self.name, self.owning, self.reports = loop, name, owning, reports
-        self.at, self.every = site.owners.verdicts_to, site.owners.verdicts_every
+        self.receiver, self.window_s = site.owners.verdicts_to, site.owners.verdicts_every
         self.client = Client(loop)
-        self.last: int | None = None  # the window that the receiver has
-        self.trouble = ""
+        self.last_window: int | None = None  # the last window that the receiver has
+        self.error = ""
 
     def doing(self) -> str:
-        word = "hears what the receiver has" if self.last is None else f"told window {self.last}"
-        return f"{word}; {self.trouble}" if self.trouble else word
+        """Returns the progress for operators."""
+        progress = (
+            "hears what the receiver has" if self.last_window is None else f"told window {self.last_window}"
+        )
+        return f"{progress}; {self.error}" if self.error else progress
 
     def run(self, term: int) -> None:
-        self.last, self.trouble = None, ""
-        while self.last is None:
-            self._told(term, {"window": None})
+        """Sends a verdict for each window until cancelled at the end of the term."""
+        self.last_window, self.error = None, ""
+        while self.last_window is None:
+            self._send(term, {"window": None})
         while True:
-            self.loop.sleep(max(0.01, (max(self.last, self._window() - 1) + 2) * self.every - time.time()))
-            window = self._window() - 1  # the last whole one
-            if window <= self.last:
+            self.loop.sleep(
+                max(0.01, (max(self.last_window, self._window() - 1) + 2) * self.window_s - time.time())
+            )
+            window = self._window() - 1  # the last complete one
+            if window <= self.last_window:
                 continue
             verdict = msgspec.to_builtins(self.reports.judge.verdict)
-            words = {"window": window, "seconds": self.every, "verdict": verdict}
-            while self.last < window:
-                self._told(term, words)
+            message = {"window": window, "seconds": self.window_s, "verdict": verdict}
+            while self.last_window < window:
+                self._send(term, message)
 
     def _window(self) -> int:
-        return int(time.time() // self.every)
+        return int(time.time() // self.window_s)
+
+    def _send(self, term: int, message: dict[str, Any]) -> None:
+        """Sends one request and applies the answer; returns after a pause if it failed.
 
-    def _told(self, term: int, words: dict[str, Any]) -> None:
-        """One try. Whoever is not owner any more is ended at the wait that follows."""
+        If this gateway is no longer the owner, the task is cancelled during that pause.
+        """
         if self.owning.owned_term(VERDICTS) != term:
-            self.loop.sleep(AGAIN)
+            self.loop.sleep(RETRY_INTERVAL_S)
             return
-        body = msgspec.json.encode({"duty": VERDICTS, "term": term, "owner": self.name, **words})
+        body = msgspec.json.encode({"duty": VERDICTS, "term": term, "owner": self.name, **message})
         try:
-            with self.loop.deadline(WITHIN):
-                answer = self.client.request(self.at, "POST", "/verdicts", None, body)
+            with self.loop.deadline(REQUEST_TIMEOUT_S):
+                answer = self.client.request(self.receiver, "POST", "/verdicts", None, body)
         except (TimedOut, ConnectFailed, Interrupted, ValueError) as why:
-            self.trouble = f"the receiver does not answer: {why}"
-            self.loop.sleep(AGAIN)
+            self.error = f"the receiver does not answer: {why}"
+            self.loop.sleep(RETRY_INTERVAL_S)
             return
         known = answer.header("known-term") or ""
         if answer.status == 409 and known.isdigit() and int(known) > term:
             self.owning.on_effect_refused(VERDICTS, term, int(known), "receiver")
-            self.loop.sleep(AGAIN)
+            self.loop.sleep(RETRY_INTERVAL_S)
             return
-        last = self._last_in(answer.body) if answer.status == 200 else None
+        last = self._parse_last_window(answer.body) if answer.status == 200 else None
         if last is None:
-            # Guards against a receiver that answers nonsense: nothing counts as told, and it is said.
-            self.trouble = f"the receiver's answer does not count: {answer.status} {answer.body[:80]!r}"
-            log.warning("not told", why=self.trouble)
-            self.loop.sleep(AGAIN)
+            # An invalid answer does not count as an acknowledgement.
+            self.error = f"the receiver's answer does not count: {answer.status} {answer.body[:80]!r}"
+            log.warning("verdict not acknowledged", why=self.error)
+            self.loop.sleep(RETRY_INTERVAL_S)
             return
-        self.trouble, self.last = "", max(last, self.last if self.last is not None else last)
+        self.error, self.last_window = (
+            "",
+            max(last, self.last_window if self.last_window is not None else last),
+        )
 
-    def _last_in(self, body: bytes) -> int | None:
+    def _parse_last_window(self, body: bytes) -> int | None:
         try:
             last = msgspec.json.decode(body, type=dict[str, Any]).get("last")
         except msgspec.MsgspecError:
             return None
-        # One that names a window of the future would silence the duty: it does not count.
+        # A window in the future is rejected, since no verdict would be sent until then.
         return last if isinstance(last, int) and -1 <= last <= self._window() else None
--- a/ledgehitch/daemon/why.py
+++ b/ledgehitch/daemon/why.py
@@ -1,4 +1,4 @@
-"""What was decided on a viewing and what it was decided on, in plain words from the flight recorder."""
+"""Explains a viewing from the flight record: its inputs and decisions as text for operators."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -7,43 +7,46 @@
 from ledgehitch.gateway.record import read_entries, segment_paths
 from ledgehitch.interface import Outcome
 
-KINDS = {1: "share delivered", 2: "rung in force", 3: "use of the link", 4: "use of the uplink"}
+REPORT_KINDS = {1: "share delivered", 2: "rung in force", 3: "use of the link", 4: "use of the uplink"}
 
 
 def explain_viewing(path: Path, viewing_id: int) -> list[str]:
-    """Lines of a record on one viewing, oldest first; the first line says when it asked."""
-    found: list[str] = []
+    """Returns the lines of a record on one viewing, oldest first; the first one is its request."""
+    lines: list[str] = []
     for segment in segment_paths(path):
-        found += explain_entries(read_entries(segment), viewing_id)
-    return found
+        lines += explain_entries(read_entries(segment), viewing_id)
+    return lines
 
 
-def explain_entries(some: Iterable[list[Any]], viewing_id: int) -> list[str]:
-    out = []
-    for name, *args in some:
+def explain_entries(entries: Iterable[list[Any]], viewing_id: int) -> list[str]:
+    """Returns a line with its time for each entry on one viewing."""
+    lines = []
+    for name, *args in entries:
         if name == "pulled":
-            out += [f"{args[0]:.3f}  {word}" for d in args[1] if (word := _decided(d, viewing_id))]
+            lines += [
+                f"{args[0]:.3f}  {text}" for d in args[1] if (text := _describe_decision(d, viewing_id))
+            ]
         elif len(args) > 1 and args[1] == viewing_id:
-            word = _happened(name, args)
-            if word:
-                out.append(f"{args[0]:.3f}  {word}")
-    return out
+            text = _describe_input(name, args)
+            if text:
+                lines.append(f"{args[0]:.3f}  {text}")
+    return lines
 
 
-def _decided(decision: list[Any], viewing_id: int) -> str:
+def _describe_decision(decision: list[Any], viewing_id: int) -> str:
     match decision:
         case ["TuneIn", n, host, within] if n == viewing_id:
             return f"-> tune in at {host}, answer wanted within {within:.3f} s"
         case ["SetRung", n, rung] if n == viewing_id:
             return f"-> rung {rung}"
-        case ["Block", n, stay_away] if n == viewing_id:
-            return "-> blocked" + (f", come again in {stay_away:.1f} s" if stay_away else "")
+        case ["Block", n, retry_after] if n == viewing_id:
+            return "-> blocked" + (f", come again in {retry_after:.1f} s" if retry_after else "")
         case ["Abort", n] if n == viewing_id:
             return "-> aborted"
     return ""
 
 
-def _happened(name: str, args: list[Any]) -> str:
+def _describe_input(name: str, args: list[Any]) -> str:
     match name, args[2:]:
         case "asked", [package, title, first, spread, top, patience]:
             return (
@@ -53,7 +56,7 @@
         case "opened", [host, number, latency]:
             return f"tune-in {number + 1} at {host} plays after {latency:.3f} s"
         case "told", [host, kind, value]:
-            return f"{host} says: {KINDS.get(kind, f'kind {kind}')} {value:g}"
+            return f"{host} says: {REPORT_KINDS.get(kind, f'kind {kind}')} {value:g}"
         case "ended", [closed, code, host, latency, number, *_]:
             how = Outcome(code).name.lower().replace("_", " ") if code in list(Outcome) else f"code {code}"
             what = "the viewing ended" if closed else f"tune-in {number + 1} failed"
--- a/ledgehitch/keys/judge.py
+++ b/ledgehitch/keys/judge.py
@@ -37,7 +37,7 @@
     try:
         cert = x509.load_der_x509_certificate(der)
     except ValueError:
-        raise CertificateRejected("malformed certificate: not valid DER") from None
+        raise CertificateRejected("what was shown is no certificate") from None
     names = cert.subject.get_attributes_for_oid(NameOID.COMMON_NAME)
     issuers = cert.issuer.get_attributes_for_oid(NameOID.COMMON_NAME)
     try:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -165,7 +165,7 @@
     assert place.stale == 0 and holder(tmp_path / "state", "g0") == os.getpid()
     words = [sys.executable, "-c", TAKES_IT, str(tmp_path / "state")]
     second = subprocess.run(words, capture_output=True, text=True, cwd=ROOT)
-    assert second.returncode == 1 and f"runs already, as process {os.getpid()}" in second.stderr
+    assert second.returncode == 1 and f"is already running as process {os.getpid()}" in second.stderr
     place.release()
     killed = subprocess.run(words, capture_output=True, text=True, cwd=ROOT)
     assert killed.returncode == 0 and holder(tmp_path / "state", "g0") == 0
@@ -198,7 +198,7 @@
     (tmp_path / "log").rename(tmp_path / "log.2")
     (tmp_path / "log").mkdir()
     file.reopen()
-    assert "not opened anew" in (tmp_path / "log.2").read_text(), "the old one goes on"
+    assert "not reopened" in (tmp_path / "log.2").read_text(), "the old one goes on"
 
 
 def test_a_loop_that_stands_still_ends_with_the_place_where_it_stood() -> None:
@@ -647,7 +647,7 @@
     other = Plans(tmp_path / "g0.plan")
     other.store.write({"version": 2, "plan": {}})
     strange = Plans(tmp_path / "g0.plan")
-    assert strange.held is None and "it is of version 2" in strange.why
+    assert strange.held is None and "it is of version 2" in strange.error
 
 
 def test_who_was_restarted_by_somebody_else_is_not_touched_and_who_stays_away_stops_the_plan() -> None:
