--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -15,12 +15,12 @@
 from ledgehitch.platform.bounds import limits_for
 from ledgehitch.platform.carry import Controller
 from ledgehitch.platform.configuration import Configuration, parse_configuration, parse_host_list
+from ledgehitch.platform.failure_detector import FailureDetector
 from ledgehitch.platform.front import ViewerServer
 from ledgehitch.platform.hosts import HostConnections
 from ledgehitch.platform.journal import JournalClient
 from ledgehitch.platform.life import Lifecycle
 from ledgehitch.platform.log import log
-from ledgehitch.platform.lost import FailureDetector
 from ledgehitch.platform.peers import PeerChannel
 from ledgehitch.platform.sessions import SessionTable
 from ledgehitch.send_guard import SendGuard
--- a/ledgehitch/platform/hosts.py
+++ b/ledgehitch/platform/hosts.py
@@ -13,9 +13,9 @@
 from ledgehitch.loop.kernel import Cancelled, Loop, Task, TimedOut
 from ledgehitch.loop.sockets import Stream, connect, endpoint
 from ledgehitch.platform.buffered_writer import BufferedWriter
+from ledgehitch.platform.failure_detector import FailureDetector
 from ledgehitch.platform.lines import choose, eviction_candidate, expired
 from ledgehitch.platform.log import log
-from ledgehitch.platform.lost import FailureDetector
 
 READ_BYTES = 16384  # of one read
 MAX_RECENT = 64  # ids with an outcome that a connection remembers
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -17,8 +17,8 @@
 from ledgehitch.facts import ConnectionSettings
 from ledgehitch.loop import Listener, Loop, TimedOut, endpoint
 from ledgehitch.platform.__main__ import RunningGateway, load_configuration
+from ledgehitch.platform.failure_detector import FailureDetector
 from ledgehitch.platform.hosts import HostConnections
-from ledgehitch.platform.lost import FailureDetector
 from tests.test_crossings import (
     BlockedListener,
     Paused,
