--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -19,7 +19,7 @@
 from ledgehitch.platform.front import ViewerServer
 from ledgehitch.platform.hosts import HostConnections
 from ledgehitch.platform.journal import JournalClient
-from ledgehitch.platform.life import Lifecycle
+from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.log import log
 from ledgehitch.platform.peers import PeerChannel
 from ledgehitch.platform.sessions import SessionTable
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -15,7 +15,7 @@
 from ledgehitch.loop.sockets import Listener, Stream
 from ledgehitch.platform.bounds import ResourceLimits
 from ledgehitch.platform.buffered_writer import BufferedWriter
-from ledgehitch.platform.life import Lifecycle
+from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.log import log
 from ledgehitch.platform.sessions import Release, Response, SessionTable
 from ledgehitch.platform.throttle import (
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -25,7 +25,7 @@
 from ledgehitch.platform.failure_detector import FailureDetector
 from ledgehitch.platform.front import ViewerServer
 from ledgehitch.platform.hosts import HostConnection, HostConnections
-from ledgehitch.platform.life import Lifecycle
+from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.sessions import SessionTable
 from ledgehitch.platform.throttle import IDLE_TIMEOUT_S, MESSAGE_TIMEOUT_S
 from tests.test_platform import SETTINGS
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -18,7 +18,7 @@
 from ledgehitch.platform.bounds import limits_for
 from ledgehitch.platform.configuration import parse_configuration, parse_host_list
 from ledgehitch.platform.failure_detector import FailureDetector, HostLost, OpenConnection
-from ledgehitch.platform.life import Lifecycle
+from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.sessions import Release, Response, SessionTable
 from ledgehitch.platform.throttle import (
     FIRST_REQUEST_GRACE_S,
