--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
     for item in items:
         entry = known_red.find(known, item.nodeid)
         if entry is not None:
-            item.add_marker(pytest.mark.xfail(reason=f"{entry.cause} ({entry.issue})", strict=False))
+            item.add_marker(pytest.mark.xfail(reason=entry.describe(), strict=False))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,12 @@
 """Reads `KNOWN-RED.txt` at the root, which lists tests that may fail because of a known fault.
 
-Each line has this form:
+Each line has one of these forms:
 
     tests/test_file.py::test_name | cause | issue 12
+    tests/test_file.py::test_name | cause | issue 12 | command | seed | what was seen
+
+The last three fields record how to reproduce the failure; a line has all of them or none. No field may be
+empty.
 
 The failure of a listed test does not fail the run, and is printed. A listed test that passes is printed as to
 be struck from the list. An invalid list fails the run; see `read`.
@@ -16,16 +20,34 @@
 
 NAME = "KNOWN-RED.txt"
 MAX_LINES = 3
+SEPARATOR = "|"
+FORMAT = "test | cause | issue N"
+FORMAT_WITH_REPRODUCTION = f"{FORMAT} | command | seed | what was seen"
+FIELD_COUNTS = tuple(form.count(SEPARATOR) + 1 for form in (FORMAT, FORMAT_WITH_REPRODUCTION))
 ISSUE = re.compile(r"(?:issue )?#?[0-9]+\Z")
 
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """A line of the list. `test` is file and name; brackets after it name a single case."""
+    """A line of the list. `test` is file and name; brackets after it name a single case.
+
+    `command`, `seed` and `observed` say how to reproduce the failure and what was seen then. They are empty
+    in a line of three fields.
+    """
 
     test: str
     cause: str
     issue: str
+    command: str = ""
+    seed: str = ""
+    observed: str = ""
+
+    def describe(self) -> str:
+        """Returns cause and issue, with the seed and what was seen where the line has them."""
+        description = f"{self.cause} ({self.issue})"
+        if self.seed:
+            description += f"; seed {self.seed}: {self.observed}"
+        return description
 
 
 class BadList(ValueError):
@@ -41,7 +63,7 @@
 def read(root: Path) -> list[KnownFailure]:
     """Returns the listed tests; none without the file.
 
-    Raises `BadList` for a line that lacks test, cause or issue, for a test that does not exist or occurs
+    Raises `BadList` for a line that has neither of the two forms, for a test that does not exist or occurs
     twice, and for more than `MAX_LINES` lines.
     """
     path = root / NAME
@@ -52,16 +74,18 @@
     if len(lines) > MAX_LINES:
         raise BadList(f"{NAME}: {len(lines)} lines, {MAX_LINES} at most")
     for number, line in enumerate(lines, 1):
-        test, cause, issue, *more = [part.strip() for part in line.split("|")] + ["", ""]
-        if not (test and cause and ISSUE.match(issue)) or any(more):
-            raise BadList(f"{NAME}:{number}: a line is: test | cause | issue N")
+        fields = [field.strip() for field in line.split(SEPARATOR)]
+        if len(fields) not in FIELD_COUNTS or not all(fields) or not ISSUE.match(fields[2]):
+            raise BadList(f"{NAME}:{number}: a line is: {FORMAT}, or: {FORMAT_WITH_REPRODUCTION}")
+        entry = KnownFailure(*fields)
+        test = entry.test
         file, _, name = test.partition("::")
         module = root / file
         if not file.endswith(".py") or not module.is_file() or name.split("[")[0] not in _test_names(module):
             raise BadList(f"{NAME}:{number}: no test {test}")
-        if test in [entry.test for entry in known]:
+        if test in [earlier.test for earlier in known]:
             raise BadList(f"{NAME}:{number}: {test} twice")
-        known.append(KnownFailure(test, cause, issue))
+        known.append(entry)
     return known
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -7,6 +7,8 @@
 
 import pytest
 
+from tests import known_red
+
 HERE = Path(__file__).parent
 TEST_FILE = """import pytest
 
@@ -22,6 +24,7 @@
 """
 FAILING = "tests/test_small.py::test_red | the sky | issue 7"
 FAILING_CASE = "tests/test_small.py::test_cases[2] | half of it | 8"
+REPRODUCED = f"{FAILING} | pytest -k red | 9042 | it rained twice"
 
 
 def run_tests(root: Path, listing: str | None) -> tuple[int, str]:
@@ -50,6 +53,26 @@
     assert "KNOWN-RED.txt: tests/test_small.py::test_cases[2]: passed over" in output
 
 
+def test_seed_and_what_was_seen_are_printed_with_the_failure(tmp_path: Path) -> None:
+    code, output = run_tests(tmp_path, f"{REPRODUCED}\n{FAILING_CASE}\n")
+    assert code == 0 and "2 passed, 2 xfailed" in output
+    line = "test_red: passed over, known red: the sky (issue 7); seed 9042: it rained twice\n"
+    assert f"KNOWN-RED.txt: tests/test_small.py::{line}" in output
+    assert "test_cases[2]: passed over, known red: half of it (8)\n" in output
+
+
+def test_all_six_fields_are_read(tmp_path: Path) -> None:
+    (tmp_path / "tests").mkdir()
+    (tmp_path / "tests" / "test_small.py").write_text(TEST_FILE)
+    (tmp_path / known_red.NAME).write_text(f"{REPRODUCED}\n{FAILING_CASE}\n")
+    assert known_red.read(tmp_path) == [
+        known_red.KnownFailure(
+            "tests/test_small.py::test_red", "the sky", "issue 7", "pytest -k red", "9042", "it rained twice"
+        ),
+        known_red.KnownFailure("tests/test_small.py::test_cases[2]", "half of it", "8", "", "", ""),
+    ]
+
+
 def test_unlisted_failure_fails_the_run_and_listed_test_that_passes_is_printed(tmp_path: Path) -> None:
     code, output = run_tests(tmp_path, "tests/test_small.py::test_cases | both of it | issue 8")
     assert code == 1 and "1 failed" in output and "FAILED tests/test_small.py::test_red" in output
@@ -64,6 +87,13 @@
         ("tests/test_small.py::test_red | the sky | some day", "a line is"),
         ("tests/test_small.py::test_red | the sky | 7 | more", "a line is"),
         (" | the sky | 7", "a line is"),
+        (f"{FAILING} | pytest -k red | 9042", "a line is"),
+        (f"{REPRODUCED} | more", "a line is"),
+        (f"{REPRODUCED} |", "a line is"),
+        (f"{FAILING} | pytest -k red | | it rained twice", "a line is"),
+        (f"{FAILING} | | 9042 | it rained twice", "a line is"),
+        (f"{FAILING} | pytest -k red | 9042 |", "a line is"),
+        (REPRODUCED.replace("issue 7", "some day"), "a line is"),
         ("tests/test_small.py::test_blue | the sky | 7", "no test"),
         ("tests/test_none.py::test_red | the sky | 7", "no test"),
         ("tests/test_small.py | the sky | 7", "no test"),
