--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -246,6 +246,16 @@
     assert crowd.most_owners == 1 and not crowd.backwards
 
 
+def test_no_term_is_won_twice_by_seed_9042() -> None:
+    """Plays one seed of the scenario above, which its own examples do not contain.
+
+    During a partition, two of the three members on the majority side lose their disks one after the other;
+    afterwards a term that was won during the partition is won again.
+    """
+    scenario: Any = test_whatever_dies_parts_stops_or_comes_back_empty_no_moment_has_two_owners
+    scenario.hypothesis.inner_test(9042)
+
+
 # ---- one member --------------------------------------------------------------------------------------------
 
 
