--- a/ledgehitch/platform/__init__.py
+++ b/ledgehitch/platform/__init__.py
@@ -2,5 +2,5 @@
 
 Which media host and rung a viewing gets, and which viewer is refused, is decided in `brain.py` alone.
 `carry.py` connects that module with the network. `sessions`, `failure_detector`, `lines`, `throttle`,
-`bounds` and `lifecycle` hold the decisions that only this platform needs, free of I/O.
+`resource_limits` and `lifecycle` hold the decisions that only this platform needs, free of I/O.
 """
--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -12,7 +12,6 @@
 from ledgehitch.interface import Row
 from ledgehitch.loop.kernel import Event, Loop
 from ledgehitch.loop.sockets import Listener, endpoint
-from ledgehitch.platform.bounds import limits_for
 from ledgehitch.platform.carry import Controller
 from ledgehitch.platform.configuration import Configuration, parse_configuration, parse_host_list
 from ledgehitch.platform.failure_detector import FailureDetector
@@ -22,6 +21,7 @@
 from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.log import log
 from ledgehitch.platform.peers import PeerChannel
+from ledgehitch.platform.resource_limits import limits_for
 from ledgehitch.platform.sessions import SessionTable
 from ledgehitch.send_guard import SendGuard
 
--- a/ledgehitch/platform/front.py
+++ b/ledgehitch/platform/front.py
@@ -13,10 +13,10 @@
 from ledgehitch.interface import Fleet, Ladder, Package
 from ledgehitch.loop.kernel import Loop, Task, TimedOut
 from ledgehitch.loop.sockets import Listener, Stream
-from ledgehitch.platform.bounds import ResourceLimits
 from ledgehitch.platform.buffered_writer import BufferedWriter
 from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.log import log
+from ledgehitch.platform.resource_limits import ResourceLimits
 from ledgehitch.platform.sessions import Release, Response, SessionTable
 from ledgehitch.platform.throttle import (
     IDLE_TIMEOUT_S,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,10 +15,10 @@
 from ledgehitch.interface import UNPLACED, Package, Row
 from ledgehitch.platform import lines
 from ledgehitch.platform.__main__ import main as platform
-from ledgehitch.platform.bounds import limits_for
 from ledgehitch.platform.configuration import parse_configuration, parse_host_list
 from ledgehitch.platform.failure_detector import FailureDetector, HostLost, OpenConnection
 from ledgehitch.platform.lifecycle import Lifecycle
+from ledgehitch.platform.resource_limits import limits_for
 from ledgehitch.platform.sessions import Release, Response, SessionTable
 from ledgehitch.platform.throttle import (
     FIRST_REQUEST_GRACE_S,
