--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -76,12 +76,10 @@
             case ["viewings", resource, "layer"]:
                 self._require_method(request, "POST")
                 self._viewing(resource)
-                raise Refused(
-                    409, "the gateway sets the rate of a viewing; limit it with ?top=N in the offer"
-                )
+                raise Refused(409, "the gateway sets the rate of this viewing; ask with ?top=N for less")
             case ["viewings", _, "reports"] | ["quality", "tables" | "report"] if self.reports_at:
                 location = f"{self.reports_at}{request.target}"
-                raise Refused(307, "another process takes reports", [("Location", location)])
+                raise Refused(307, "reports are taken beside", [("Location", location)])
             case ["viewings", _, "reports"] | ["quality", "tables" | "report"] if self.reports is not None:
                 return self.reports.handle(request)
             case ["quality", "playing"]:
@@ -93,15 +91,13 @@
             case ["state"]:
                 self._require_method(request, "GET", "HEAD")
                 return _json(200, self.state())
-        raise Refused(404, f"no resource at {request.path[:100]!r}")
+        raise Refused(404, f"nothing at {request.path[:100]!r}")
 
     @staticmethod
     def _require_method(request: Request, *methods: str) -> None:
         if request.method not in methods:
             allowed = ", ".join(methods)
-            raise Refused(
-                405, f"method {request.method} is not allowed here, only {allowed}", [("Allow", allowed)]
-            )
+            raise Refused(405, f"{request.method} is not done here, {allowed} is", [("Allow", allowed)])
 
     # ---- offers --------------------------------------------------------------------------------------------
 
@@ -116,9 +112,9 @@
         if cells is None:
             raise Refused(404, f"no title {title!r}")
         if request.media_type() != SDP:
-            raise Refused(415, f"the content type of an offer must be {SDP}", [("Accept-Post", SDP)])
+            raise Refused(415, f"an offer is {SDP}", [("Accept-Post", SDP)])
         if not _accepts(request.headers.get("accept"), SDP):
-            raise Refused(406, f"the answer can only be {SDP}")
+            raise Refused(406, f"the answer is {SDP}")
         token = _bearer_token(request)
         offer = self._parse_offer(request, method)
         top = self._highest_rung(request, offer)
@@ -127,8 +123,8 @@
             other = self.other_gateway()
             if other:
                 location = [("Location", f"http://{other}{request.target}"), *_cors_headers()]
-                raise Refused(307, "this gateway is draining; use the one in Location", location)
-            raise Refused(503, "this gateway is draining", [("Retry-After", "0")])
+                raise Refused(307, "this gateway drains, another takes it", location)
+            raise Refused(503, "this gateway drains", [("Retry-After", "0")])
         conn, viewing_id = next(self._connection_numbers), next(self._viewing_ids)
         digest = blake3()
         for part in (method, package, title, token, str(top)):
@@ -164,7 +160,7 @@
         except UnicodeDecodeError as error:
             raise Refused(400, f"the offer is not UTF-8 at byte {error.start}") from None
         except BadSdp as error:
-            raise Refused(400, f"invalid SDP in the offer: {error}") from None
+            raise Refused(400, f"the offer does not parse: {error}") from None
         unfit = "sendonly" if method == "whep" else "recvonly"
         for number, media in enumerate(offer.media):
             if media.direction == unfit:
@@ -179,7 +175,7 @@
             if not requested.isdigit():
                 raise Refused(
                     400,
-                    f"top must be the number of a rung, 0 to {len(self.rung_rates) - 1}, not {requested!r}",
+                    f"top is the number of a rung, 0 to {len(self.rung_rates) - 1}, not {requested!r}",
                 )
             return min(int(requested), len(self.rung_rates) - 1)
         kb = offer.max_kb()
@@ -193,9 +189,7 @@
         if entry is None or result is None:
             # The viewing ended before this repeated offer could be answered.
             self.executor.registry.on_answer_sent(self.loop.now, conn)
-            return problem(
-                502, "the viewing ended while it was set up", kind=ABORTED_PROBLEM, answer="aborted"
-            )
+            return problem(502, "the viewing ended as it was set up", kind=ABORTED_PROBLEM, answer="aborted")
         if result.kind == "plays":
             path = f"/viewings/{entry.resource}"
             events = f'; events="{",".join(EVENT_NAMES)}"'
@@ -222,9 +216,7 @@
         elif result.kind == "blocked":
             fields = [("Retry-After", str(math.ceil(result.advice)))] if result.advice > 0 else []
             fields += [("Return-Ticket", result.ticket)] if result.ticket else []
-            why = (
-                f"not admitted: {result.why}" if result.why else "no media host has capacity for this viewing"
-            )
+            why = f"not let in: {result.why}" if result.why else "no media host has room for this viewing"
             response = problem(503, why, [*fields, *_cors_headers()], BLOCKED_PROBLEM, answer="blocked")
         else:
             response = problem(
@@ -268,14 +260,12 @@
             self.executor.wake()
             return Response(200)
         if request.media_type() != FRAGMENT:
-            raise Refused(
-                415, f"the content type of a PATCH must be {FRAGMENT}", [("Accept-Patch", FRAGMENT)]
-            )
+            raise Refused(415, f"a PATCH is {FRAGMENT}", [("Accept-Patch", FRAGMENT)])
         viewing = self._viewing(resource)
         try:
             fragment = parse_fragment(request.body.decode("utf-8"))
         except (UnicodeDecodeError, BadSdp) as error:
-            raise Refused(400, f"invalid SDP fragment: {error}") from None
+            raise Refused(400, f"the fragment does not parse: {error}") from None
         registry = self.executor.registry
         status = registry.on_patch(resource, request.headers.get("if-match"), fragment.ufrag)
         if status in (404, 412, 428):
@@ -283,7 +273,7 @@
         headers = [("Content-Type", FRAGMENT), ("If-Match", request.headers["if-match"])]
         answer = self.executor.forward_patch(viewing, headers, request.body)
         if answer is None or answer.status >= 400:
-            raise Refused(502, "the media host did not accept the PATCH")
+            raise Refused(502, "the media host did not take it")
         if status == 204:
             return Response(204, _cors_headers())
         entry = registry.by_resource(resource)
@@ -297,7 +287,7 @@
             try:
                 wanted = msgspec.json.decode(request.body or b"[]", type=list[str])
             except msgspec.MsgspecError as error:
-                raise Refused(400, f"expected a JSON list of event names: {error}") from None
+                raise Refused(400, f"a list of names of events is meant: {error}") from None
             query = ",".join(name for name in wanted if name in EVENT_NAMES)
             return Response(201, [("Location", f"/viewings/{resource}/events?of={query}"), *_cors_headers()])
         only = set((request.query("of") or ",".join(EVENT_NAMES)).split(","))
@@ -352,13 +342,11 @@
     scheme, _, token = request.headers.get("authorization", "").partition(" ")
     token = token.strip()
     if scheme.lower() != "bearer" or not token:
-        raise Refused(
-            401, "a bearer token that identifies the viewer is required", [("WWW-Authenticate", "Bearer")]
-        )
+        raise Refused(401, "a viewer is named by a bearer token", [("WWW-Authenticate", "Bearer")])
     if len(token) > MAX_TOKEN_LENGTH:
         raise Refused(
             401,
-            f"a bearer token may have at most {MAX_TOKEN_LENGTH} characters",
+            f"a token has at most {MAX_TOKEN_LENGTH} characters",
             [("WWW-Authenticate", "Bearer")],
         )
     return token
@@ -372,8 +360,8 @@
             try:
                 wait = float(value.strip().strip('"'))
             except ValueError:
-                raise Refused(400, f"Prefer: wait must be a number of seconds, not {value[:20]!r}") from None
+                raise Refused(400, f"Prefer: wait takes seconds, not {value[:20]!r}") from None
             if not 0 <= wait < math.inf:
-                raise Refused(400, f"Prefer: wait must be finite and not negative, not {value[:20]!r}")
+                raise Refused(400, f"Prefer: wait takes seconds from 0 up, not {value[:20]!r}")
             return wait
     return math.inf
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -162,19 +162,19 @@
             case "GET", ["quality", "report"]:
                 return self.report()
             case _, ["viewings", _, "reports"] | ["quality", "tables" | "report"]:
-                raise Refused(405, f"method {request.method} is not allowed here")
-        raise Refused(404, f"no resource at {request.path[:100]!r}")
+                raise Refused(405, f"{request.method} is not done here")
+        raise Refused(404, f"nothing at {request.path[:100]!r}")
 
     def post(self, request: Request, resource: str) -> Response:
         scheme, _, token = request.headers.get("authorization", "").partition(" ")
         now = time.time()
         try:
             if scheme.lower() != "bearer":
-                raise InvalidToken("a report needs the Report-Token of its viewing's answer as bearer token")
+                raise InvalidToken("a report comes with the token of its viewing's answer")
             seen = self.check(now, token.strip(), resource)
         except InvalidToken as why:
             self.refused += 1
-            raise Refused(401, f"invalid token: {why}", [("WWW-Authenticate", "Bearer")]) from None
+            raise Refused(401, f"the token is refused: {why}", [("WWW-Authenticate", "Bearer")]) from None
         try:
             good, bad = parse_reports(request.body)
         except ValueError as error:
@@ -182,7 +182,7 @@
         wait = self.limits.acquire(now, resource, len(good) + len(bad))
         if wait:
             raise Refused(
-                429, "report rate limit of this client exceeded", [("Retry-After", str(math.ceil(wait)))]
+                429, "more reports than one client may send", [("Retry-After", str(math.ceil(wait)))]
             )
         became: dict[str, int] = {}
         for report in sorted(good, key=lambda r: r.sn):
@@ -191,7 +191,7 @@
         if bad:
             return problem(
                 422,
-                f"{len(bad)} of {len(good) + len(bad)} reports are invalid and not counted",
+                f"{len(bad)} of {len(good) + len(bad)} reports are not counted",
                 errors=bad,
                 became=became,
             )
--- a/ledgehitch/gateway/versions.py
+++ b/ledgehitch/gateway/versions.py
@@ -144,7 +144,7 @@
         return found
     last_good = load_last_good(last_good_path)
     if last_good is None:
-        raise BadInput("\n".join(found.mistakes) or f"{source}: holds no site")
+        raise BadInput("\n".join(found.mistakes) or f"{source}: nothing there")
     log.error(
         "THE SITE FILES HAVE MISTAKES, starting with the last good version",
         digest=last_good.digest[:16],
@@ -180,7 +180,7 @@
     if source.suffix != ".json":
         loaded = load(source)
         if loaded.mistakes or loaded.site is None:
-            return CompiledSite(mistakes=[m.told() for m in loaded.mistakes] or [f"{source}: holds no site"])
+            return CompiledSite(mistakes=[m.told() for m in loaded.mistakes] or [f"{source}: nothing there"])
         return CompiledSite(loaded.digest(), loaded.data, loaded.site)
     try:
         site = read_site(source)
