--- a/ledgehitch/platform/hosts.py
+++ b/ledgehitch/platform/hosts.py
@@ -1,6 +1,7 @@
 """Connections to media hosts: opened when needed, shared by set-ups, closed when idle.
 
-Messages are passed on to the controller at once. Which connection takes a set-up is decided in `lines.py`.
+Messages are passed on to the controller at once. Which connection takes a set-up is decided in
+`connection_choice.py`.
 """
 
 import errno
@@ -13,8 +14,8 @@
 from ledgehitch.loop.kernel import Cancelled, Loop, Task, TimedOut
 from ledgehitch.loop.sockets import Stream, connect, endpoint
 from ledgehitch.platform.buffered_writer import BufferedWriter
+from ledgehitch.platform.connection_choice import choose, eviction_candidate, expired
 from ledgehitch.platform.failure_detector import FailureDetector
-from ledgehitch.platform.lines import choose, eviction_candidate, expired
 from ledgehitch.platform.log import log
 
 READ_BYTES = 16384  # of one read
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 from ledgehitch.brain import Gateway
 from ledgehitch.facts import InvalidSetting, nest_pairs, read_connection_settings, read_settings
 from ledgehitch.interface import UNPLACED, Package, Row
-from ledgehitch.platform import lines
+from ledgehitch.platform import connection_choice
 from ledgehitch.platform.__main__ import main as platform
 from ledgehitch.platform.configuration import parse_configuration, parse_host_list
 from ledgehitch.platform.failure_detector import FailureDetector, HostLost, OpenConnection
@@ -337,7 +337,7 @@
 
 
 class FakeConnection:
-    """The part of a connection to a media host that `lines` uses."""
+    """The part of a connection to a media host that `connection_choice` uses."""
 
     def __init__(
         self,
@@ -359,24 +359,24 @@
         FakeConnection(0, 1),
         FakeConnection(0, suspect=True),
     )
-    assert lines.choose([opening, busy, free, suspect], 32, 1.0, 30.0) is free
-    assert lines.choose([opening, busy, free, suspect], 2, 1.0, 30.0) is free
-    assert lines.choose([opening, busy, free, suspect], 1, 1.0, 30.0) is opening
-    assert lines.choose([suspect, busy], 2, 1.0, 30.0) is None
+    assert connection_choice.choose([opening, busy, free, suspect], 32, 1.0, 30.0) is free
+    assert connection_choice.choose([opening, busy, free, suspect], 2, 1.0, 30.0) is free
+    assert connection_choice.choose([opening, busy, free, suspect], 1, 1.0, 30.0) is opening
+    assert connection_choice.choose([suspect, busy], 2, 1.0, 30.0) is None
 
 
 def test_no_set_up_goes_where_the_host_may_close_or_a_duplicate_outcome_may_come() -> None:
     for idle in (0.2, 1.0, 2.0, 30.0):
-        usable = lines.usable_for(idle)
+        usable = connection_choice.usable_for(idle)
         assert usable <= idle * 0.9 and usable <= max(idle - 0.25, idle / 2)
         unused, used = FakeConnection(10.0), FakeConnection(10.0, 1)
-        assert lines.choose([unused], 32, 10.0 + usable - 0.01, idle) is unused
-        assert lines.choose([unused], 32, 10.01 + usable, idle) is None
-        assert lines.choose([unused, used], 32, 10.01 + usable, idle) is used
-        assert lines.expired(10.01 + usable, [unused, used], 0, idle) == [unused]
+        assert connection_choice.choose([unused], 32, 10.0 + usable - 0.01, idle) is unused
+        assert connection_choice.choose([unused], 32, 10.01 + usable, idle) is None
+        assert connection_choice.choose([unused, used], 32, 10.01 + usable, idle) is used
+        assert connection_choice.expired(10.01 + usable, [unused, used], 0, idle) == [unused]
     had, other = FakeConnection(0.0, recent="a"), FakeConnection(0.0, 1)
-    assert lines.choose([had, other], 32, 0.0, 30.0, "a") is other
-    assert lines.choose([had, other], 32, 0.0, 30.0, "b") is had
+    assert connection_choice.choose([had, other], 32, 0.0, 30.0, "a") is other
+    assert connection_choice.choose([had, other], 32, 0.0, 30.0, "b") is had
 
 
 def test_suspect_or_idle_connections_are_closed_but_never_the_last_one_needed() -> None:
@@ -386,17 +386,17 @@
         FakeConnection(0.0, 1),
         FakeConnection(0.0, established=False),
     )
-    assert lines.eviction_candidate([old, older, busy, opening]) is older
-    assert lines.eviction_candidate([busy, opening]) is None
-    assert lines.expired(100.0, [old, older, busy, opening], 0, 30.0) == [old, older]
+    assert connection_choice.eviction_candidate([old, older, busy, opening]) is older
+    assert connection_choice.eviction_candidate([busy, opening]) is None
+    assert connection_choice.expired(100.0, [old, older, busy, opening], 0, 30.0) == [old, older]
     assert (
-        lines.expired(100.0, [old, older], 1, 30.0) == [old]
-        and lines.expired(20.0, [old, older], 1, 30.0) == []
+        connection_choice.expired(100.0, [old, older], 1, 30.0) == [old]
+        and connection_choice.expired(20.0, [old, older], 1, 30.0) == []
     )
     suspect = FakeConnection(99.5, suspect=True)
-    assert lines.expired(100.0, [suspect], 1, 30.0) == [] and lines.expired(101.0, [suspect], 1, 30.0) == [
-        suspect
-    ]
+    assert connection_choice.expired(100.0, [suspect], 1, 30.0) == [] and connection_choice.expired(
+        101.0, [suspect], 1, 30.0
+    ) == [suspect]
 
 
 # ---- throttle and lifecycle --------------------------------------------------------------------------------
