--- a/tests/explore_owners.py
+++ b/tests/explore_owners.py
@@ -216,17 +216,17 @@
         stated = tuple(str(i) for i in range(n))
         if held is not None and self.fault == "majority of the new list only":
             held = {**held, "current": list(stated), "former": []}
-        promise = LEASE * FAST if self.fault != "no allowance for clock drift" else LEASE
+        vote_seconds = LEASE * FAST if self.fault != "no allowance for clock drift" else LEASE
         if max(scenario.rates) == 1.0:
-            promise = LEASE
+            vote_seconds = LEASE
         self.lives[me] += 1
-        m = DurableState(self.clock(me), str(me), stated, (DUTY,), LEASE, held, self.lives[me], promise)
+        m = DurableState(self.clock(me), str(me), stated, (DUTY,), LEASE, held, self.lives[me], vote_seconds)
         if self.fault == "voting at once after a restart":
             m.voters[DUTY].bound_until = -1e18
         if self.fault == "fence forgotten at a restart":
             m.fence = Fence()
         if self.fault == "a lost file counts as intact":
-            m.intact, m.confirmed, m.may_vote_from = True, True, self.clock(me) + promise
+            m.intact, m.confirmed, m.may_vote_from = True, True, self.clock(me) + vote_seconds
         # If all members restart with their own file, greetings only add states and are left out.
         if not scenario.stale_restarts and not scenario.empty_restarts:
             m.confirmed, m.may_vote_from = True, min(m.may_vote_from, self.clock(me))
--- a/tests/explore_regions.py
+++ b/tests/explore_regions.py
@@ -239,18 +239,24 @@
         disk = {} if empty else self.disks[me]
         if not disk:
             self.disks[me] = {}
-        promise = LEASE * (
+        vote_seconds = LEASE * (
             FAST if max(scenario.rates) > 1 and self.fault != "no allowance for clock drift" else 1.0
         )
         scopes = {
             FLEET: self._make_state(
-                me, (FLEET,), NAMES, disk.get(FLEET), regions_digest(regions), "", promise
+                me, (FLEET,), NAMES, disk.get(FLEET), regions_digest(regions), "", vote_seconds
             )
         }
         # Without regions, the regional duty belongs to the fleet and is stored with its duties.
         file = REGIONAL if regions else f"{REGIONAL} of all"
         scopes[REGIONAL] = self._make_state(
-            me, (REGIONAL,), region.gateways, disk.get(file), regions_digest(regions), region.name, promise
+            me,
+            (REGIONAL,),
+            region.gateways,
+            disk.get(file),
+            regions_digest(regions),
+            region.name,
+            vote_seconds,
         )
         m = scopes[FLEET]
         waits = bool(m.lists.former) and m.lists.regions != regions_digest(regions)
@@ -264,7 +270,9 @@
         if shares is not None and self.fault == "no remembered version counts as settled":
             shares.former_unused = shares.former_unused or held is None
         over = (
-            (LEASE + LOAN) * promise / LEASE if self.fault != "raised before former loans have ended" else 0
+            (LEASE + LOAN) * vote_seconds / LEASE
+            if self.fault != "raised before former loans have ended"
+            else 0
         )
         m.set_shares(now, shares, over - vote_duration(LEASE))  # `set_shares` adds a lease
         self.gateways[me] = Gateway(scopes, {FLEET: None, REGIONAL: None}, region.name)
@@ -281,10 +289,12 @@
         held: Any,
         regions: str,
         scope: str,
-        promise: float,
+        vote_seconds: float,
     ) -> DurableState:
         now = self.clock(me)
-        m = DurableState(now, str(me), names, duties, LEASE, held, 0, promise, regions=regions, scope=scope)
+        m = DurableState(
+            now, str(me), names, duties, LEASE, held, 0, vote_seconds, regions=regions, scope=scope
+        )
         if not m.intact and self.gateways:
             # As greetings do, it learns the terms of other members; it votes after waiting.
             for gateway in self.gateways:
@@ -413,7 +423,7 @@
 def _add_gateway(world: World, me: int) -> None:
     regions = world.scenario.versions[0]
     region = next((r for r in regions if str(me) in r.gateways), Region("", WHOLE, NAMES))
-    promise = LEASE * (
+    vote_seconds = LEASE * (
         FAST if max(world.scenario.rates) > 1 and world.fault != "no allowance for clock drift" else 1.0
     )
     scopes = {}
@@ -426,7 +436,7 @@
             LEASE,
             None,
             0,
-            promise,
+            vote_seconds,
             regions=regions_digest(regions),
             scope=scope,
         )
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -43,10 +43,10 @@
 
 @pytest.mark.parametrize("fault", INJECTED_FAULTS)
 def test_each_injected_fault_is_detected_and_its_path_is_safe_without_it(fault: str) -> None:
-    corner, way = INJECTED_FAULTS[fault]
-    found = explore(20_000, SCENARIOS[corner], fault, way)
+    scenario, path = INJECTED_FAULTS[fault]
+    found = explore(20_000, SCENARIOS[scenario], fault, path)
     assert found.unsafe is not None and found.breach.endswith("of the whole are in force")
-    assert explore(min(found.states, 2000), SCENARIOS[corner], "", way).unsafe is None
+    assert explore(min(found.states, 2000), SCENARIOS[scenario], "", path).unsafe is None
 
 
 # ---- division ----------------------------------------------------------------------------------------------
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -198,10 +198,10 @@
 # ---- checks of tapes ---------------------------------------------------------------------------------------
 
 
-Told = list[tuple[float, str, dict[str, Any]]]
+Events = list[tuple[float, str, dict[str, Any]]]
 
 
-def make_tape(lines: Told) -> list[Line]:
+def make_tape(lines: Events) -> list[Line]:
     out = []
     for number, (t, ev, more) in enumerate(sorted(lines, key=lambda x: x[0])):
         line = Line({"t": t, "ev": ev, **more})
@@ -210,7 +210,7 @@
     return out
 
 
-def set_up_events(number: int, t: float, over: float) -> Told:
+def set_up_events(number: int, t: float, over: float) -> Events:
     key = f"g{number % 3}.b.{number}.0"
     begun = {
         "id": number,
@@ -226,7 +226,7 @@
 
 def loan_events(
     who: str, t: float, number: int, share: float, life: int = 1, by: str = "g9", term: int = 1
-) -> Told:
+) -> Events:
     """Returns the events of a loan: request, answer, and a later request that confirms it."""
     ask = {"who": who, "to": by, "term": term, "life": life}
     return [
@@ -250,16 +250,16 @@
 
 
 LIMITS = FleetLimits({"recorded": 10.0}, 4.0, 3, 3.0, {f"g{n}": [WHOLE // 30] for n in range(3)})
-FAULTY_TAPES: dict[str, Told] = {
+FAULTY_TAPES: dict[str, Events] = {
     "rates are kept": [x for n in range(60) for x in set_up_events(n, n / 20, n / 20 + 0.01)],
     "set-ups at once are kept": [x for n in range(5) for x in set_up_events(n, n / 5, 9.0)],
     "parts are within the whole": [*loan_events("g0", 1.0, 1, 0.6), *loan_events("g1", 2.0, 2, 0.4)],
 }
 
 
-@pytest.mark.parametrize("promise", FAULTY_TAPES)
-def test_each_check_fails_on_a_faulty_tape(promise: str) -> None:
-    assert [b.invariant for b in check_budgets(make_tape(FAULTY_TAPES[promise]), LIMITS)] == [promise]
+@pytest.mark.parametrize("invariant", FAULTY_TAPES)
+def test_each_check_fails_on_a_faulty_tape(invariant: str) -> None:
+    assert [b.invariant for b in check_budgets(make_tape(FAULTY_TAPES[invariant]), LIMITS)] == [invariant]
     good = [x for n in range(60) for x in set_up_events(n, n / 9, n / 9 + 0.3)]
     good += [
         *loan_events("g0", 1.0, 1, 0.6),
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -38,11 +38,11 @@
 
 @pytest.mark.parametrize("fault", INJECTED_FAULTS)
 def test_each_injected_fault_is_detected_and_its_path_is_safe_without_it(fault: str) -> None:
-    corner, way = INJECTED_FAULTS[fault]
-    found = explore(60_000, SCENARIOS[corner], fault, way)
+    scenario, path = INJECTED_FAULTS[fault]
+    found = explore(60_000, SCENARIOS[scenario], fault, path)
     assert found.unsafe is not None
     assert found.breach.startswith(("two owners", "an effect of term"))
-    assert explore(min(found.states, 3000), SCENARIOS[corner], "", way).unsafe is None
+    assert explore(min(found.states, 3000), SCENARIOS[scenario], "", path).unsafe is None
 
 
 def test_expired_lease_is_not_revived_by_late_grant_or_clock_jumping_back() -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -51,11 +51,11 @@
 
 @pytest.mark.parametrize("fault", INJECTED_FAULTS)
 def test_each_injected_fault_is_detected_and_its_path_is_safe_without_it(fault: str) -> None:
-    corner, way = INJECTED_FAULTS[fault]
-    found = explore(30_000, SCENARIOS[corner], fault, way)
+    scenario, path = INJECTED_FAULTS[fault]
+    found = explore(30_000, SCENARIOS[scenario], fault, path)
     assert found.unsafe is not None
     assert found.breach.startswith(("two owners of", "regions have"))
-    assert explore(min(found.states, 1500), SCENARIOS[corner], "", way).unsafe is None
+    assert explore(min(found.states, 1500), SCENARIOS[scenario], "", path).unsafe is None
 
 
 NORTH = Region("north", WHOLE // 2, ("g0", "g2", "g4"))
--- a/tests/test_whole_units.py
+++ b/tests/test_whole_units.py
@@ -78,10 +78,10 @@
     parts = [b - a for a, b in zip(edges, edges[1:], strict=False)]
     assert sum(whole_units(p, whole) for p in parts) <= whole
     for each in range(0, whole, max(1, whole // 7)):
-        told = BudgetShare(0.0)
-        told.update(0.0, {}, 0.0, {SET_UPS: each * parts_per_unit(whole) / WHOLE})
+        part = BudgetShare(0.0)
+        part.update(0.0, {}, 0.0, {SET_UPS: each * parts_per_unit(whole) / WHOLE})
         if whole <= MAX_COUNTED:
-            assert told.whole_units(T, SET_UPS, whole) == each, "a whole unit counts as one"
+            assert part.whole_units(T, SET_UPS, whole) == each, "a whole unit counts as one"
             assert parts_used(count(whole), each / whole) >= each * parts_per_unit(whole)
             assert parts_wanted(count(whole), each / whole) >= each * parts_per_unit(whole)
 
