--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -400,7 +400,7 @@
     def day(rig: Rig) -> None:
         service = rig.gateway.executor.admission
         assert service is not None
-        admission = service.door
+        admission = service.controller
         assert isinstance(admission, AdmissionController)
         admission.limit = FixedLimit(2.0)
         got: list[tuple[str, Response]] = []
@@ -433,15 +433,15 @@
 def test_a_client_that_disconnects_while_queued_is_never_set_up() -> None:
     def day(rig: Rig) -> None:
         service = rig.gateway.executor.admission
-        assert service is not None and isinstance(service.door, AdmissionController)
-        service.door.limit = FixedLimit(0.0)
+        assert service is not None and isinstance(service.controller, AdmissionController)
+        service.controller.limit = FixedLimit(0.0)
         stream = connect(rig.loop, endpoint(rig.at))
         stream.send(request(rig.at, token="t"))
         rig.loop.sleep(0.1)
         assert rig.gateway.state()["door"]["waiting"] == 1
         stream.close()
         rig.loop.sleep(0.1)
-        service.door.limit = FixedLimit(5.0)
+        service.controller.limit = FixedLimit(5.0)
         rig.loop.sleep(0.6)
         assert rig.gateway.state()["door"]["waiting"] == 0 and rig.set_ups == []
         assert rig.offer(2, token="u").status == 201
@@ -584,12 +584,12 @@
 
 def test_the_admission_snapshot_survives_a_damaged_file(tmp_path: Path) -> None:
     first = AdmissionService(door(1), SnapshotStore(tmp_path / "g0.door", private=True))
-    assert isinstance(first.door, AdmissionController)
-    ticket = first.door.tickets.issue(1e6, b"client-1")
+    assert isinstance(first.controller, AdmissionController)
+    ticket = first.controller.tickets.issue(1e6, b"client-1")
     first.save()
     later = AdmissionService(door(2), SnapshotStore(tmp_path / "g0.door", private=True))
-    assert isinstance(later.door, AdmissionController)
-    assert later.secret == first.secret and later.door.tickets.redeem(1e6, ticket, b"client-1")
+    assert isinstance(later.controller, AdmissionController)
+    assert later.secret == first.secret and later.controller.tickets.redeem(1e6, ticket, b"client-1")
     newest = max(tmp_path.iterdir(), key=lambda p: p.stat().st_mtime_ns)
     newest.write_bytes(newest.read_bytes()[:-7])
     torn = AdmissionService(door(3), SnapshotStore(tmp_path / "g0.door", private=True))
@@ -645,7 +645,7 @@
 def test_a_repeated_offer_gets_the_answer_of_the_first() -> None:
     def day(rig: Rig) -> None:
         service = rig.gateway.executor.admission
-        assert service is not None and isinstance(service.door, AdmissionController)
+        assert service is not None and isinstance(service.controller, AdmissionController)
         service.set_limits(0.5, 1.0, {}, 0.0)  # the second would exceed its rate
         first, second = rig.ask(1, token="a"), rig.ask(1, token="a")
         both = [answer(first), answer(second)]
@@ -654,6 +654,6 @@
         assert len(rig.set_ups) == 1
         refused, again = rig.ask(2, token="a"), rig.ask(2, token="a")
         assert [answer(refused).status, answer(again).status] == [503, 503]
-        assert service.door.counts["over_rate"] == 1, "admission control saw it once"
+        assert service.controller.counts["over_rate"] == 1, "admission control saw it once"
 
     Rig(door={"on": True}).run(day)
