--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -12,8 +12,8 @@
 from ledgehitch.interface import Row
 from ledgehitch.loop.kernel import Event, Loop
 from ledgehitch.loop.sockets import Listener, endpoint
-from ledgehitch.platform.carry import Controller
 from ledgehitch.platform.configuration import Configuration, parse_configuration, parse_host_list
+from ledgehitch.platform.controller import Controller
 from ledgehitch.platform.failure_detector import FailureDetector
 from ledgehitch.platform.front import ViewerServer
 from ledgehitch.platform.hosts import HostConnections
--- a/ledgehitch/platform/journal.py
+++ b/ledgehitch/platform/journal.py
@@ -10,8 +10,8 @@
 
 from ledgehitch.http import Client, ConnectFailed, Interrupted, parse_events
 from ledgehitch.loop.kernel import Loop, Task, TimedOut
-from ledgehitch.platform.carry import Controller
 from ledgehitch.platform.configuration import parse_host_list
+from ledgehitch.platform.controller import Controller
 from ledgehitch.platform.log import log
 
 SILENCE_TIMEOUT_S = 1.7  # without a byte until a new call is made: a comment is due each second
