--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -15,7 +15,6 @@
 from ledgehitch.platform.configuration import Configuration, parse_configuration, parse_host_list
 from ledgehitch.platform.controller import Controller
 from ledgehitch.platform.failure_detector import FailureDetector
-from ledgehitch.platform.front import ViewerServer
 from ledgehitch.platform.hosts import HostConnections
 from ledgehitch.platform.journal import JournalClient
 from ledgehitch.platform.lifecycle import Lifecycle
@@ -23,6 +22,7 @@
 from ledgehitch.platform.peers import PeerChannel
 from ledgehitch.platform.resource_limits import limits_for
 from ledgehitch.platform.sessions import SessionTable
+from ledgehitch.platform.viewer_server import ViewerServer
 from ledgehitch.send_guard import SendGuard
 
 SWEEP_INTERVAL_S = 0.25  # between two sweeps for connections to close
--- a/ledgehitch/platform/controller.py
+++ b/ledgehitch/platform/controller.py
@@ -16,10 +16,10 @@
 from ledgehitch.loop.pump import Pump
 from ledgehitch.loop.timers import Timer
 from ledgehitch.platform.failure_detector import FailureDetector, OpenConnection
-from ledgehitch.platform.front import ViewerServer
 from ledgehitch.platform.hosts import HostConnection, HostConnections
 from ledgehitch.platform.log import log
 from ledgehitch.platform.sessions import Release, Response, SessionTable
+from ledgehitch.platform.viewer_server import ViewerServer
 from ledgehitch.send_guard import SendForbidden, SendGuard
 
 # By the cause that a media host gives.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,12 +22,12 @@
 from ledgehitch.loop import Listener, Loop, Stream, TimedOut, endpoint
 from ledgehitch.platform.__main__ import RunningGateway, load_configuration
 from ledgehitch.platform.failure_detector import FailureDetector
-from ledgehitch.platform.front import ViewerServer
 from ledgehitch.platform.hosts import HostConnection, HostConnections
 from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.resource_limits import limits_for
 from ledgehitch.platform.sessions import SessionTable
 from ledgehitch.platform.throttle import IDLE_TIMEOUT_S, MESSAGE_TIMEOUT_S
+from ledgehitch.platform.viewer_server import ViewerServer
 from tests.test_platform import SETTINGS
 from tests.test_platform_sockets import (
     BLOB,
