--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -191,6 +191,21 @@
     assert gateway.hosts["h0"].uplink.value != 0.0 and gateway.uplink_use(NOW, gateway.hosts["h0"]) >= before
 
 
+def test_short_delivery_in_an_unlisted_rack_does_not_break_placement_without_a_stated_uplink() -> None:
+    """With no uplink size and no host of the rack in service, the rack's rate is zero.
+
+    A report of short delivery then sets the size of its uplink to zero, and a placement divides by that size
+    once a host of the rack is back in service.
+    """
+    gateway = make_gateway(fleet=replace(FLEET, uplink_kb=0), hosts=1)
+    gateway.on_viewing_handover(NOW, 1, "plain", "t1", 0, 6, 3, "h0")
+    gateway.on_host_list(NOW, "incr", rows(1, "terminating"))
+    gateway.on_report(NOW, 1, "h0", 1, 0.9)
+    gateway.on_host_list(NOW, "incr", rows(1))
+    request(gateway, NOW, 2)
+    assert gateway.decide(NOW) is not None
+
+
 def test_full_host_is_avoided_and_suspended_holders_are_used_when_all_are_suspended() -> None:
     gateway = make_gateway(hosts=2)
     request(gateway, NOW, 1)
