--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -15,7 +15,7 @@
 from ledgehitch.platform.configuration import Configuration, parse_configuration, parse_host_list
 from ledgehitch.platform.controller import Controller
 from ledgehitch.platform.failure_detector import FailureDetector
-from ledgehitch.platform.hosts import HostConnections
+from ledgehitch.platform.host_connections import HostConnections
 from ledgehitch.platform.journal import JournalClient
 from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.log import log
--- a/ledgehitch/platform/controller.py
+++ b/ledgehitch/platform/controller.py
@@ -16,7 +16,7 @@
 from ledgehitch.loop.pump import Pump
 from ledgehitch.loop.timers import Timer
 from ledgehitch.platform.failure_detector import FailureDetector, OpenConnection
-from ledgehitch.platform.hosts import HostConnection, HostConnections
+from ledgehitch.platform.host_connections import HostConnection, HostConnections
 from ledgehitch.platform.log import log
 from ledgehitch.platform.sessions import Release, Response, SessionTable
 from ledgehitch.platform.viewer_server import ViewerServer
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from ledgehitch.loop import Listener, Loop, Stream, TimedOut, endpoint
 from ledgehitch.platform.__main__ import RunningGateway, load_configuration
 from ledgehitch.platform.failure_detector import FailureDetector
-from ledgehitch.platform.hosts import HostConnection, HostConnections
+from ledgehitch.platform.host_connections import HostConnection, HostConnections
 from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.resource_limits import limits_for
 from ledgehitch.platform.sessions import SessionTable
--- a/tests/test_final_answers.py
+++ b/tests/test_final_answers.py
@@ -18,7 +18,7 @@
 from ledgehitch.loop import Listener, Loop, TimedOut, endpoint
 from ledgehitch.platform.__main__ import RunningGateway, load_configuration
 from ledgehitch.platform.failure_detector import FailureDetector
-from ledgehitch.platform.hosts import HostConnections
+from ledgehitch.platform.host_connections import HostConnections
 from tests.test_crossings import (
     BlockedListener,
     Paused,
