--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -16,7 +16,7 @@
 from ledgehitch.platform.controller import Controller
 from ledgehitch.platform.failure_detector import FailureDetector
 from ledgehitch.platform.host_connections import HostConnections
-from ledgehitch.platform.journal import JournalClient
+from ledgehitch.platform.journal_client import JournalClient
 from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.log import log
 from ledgehitch.platform.peers import PeerChannel
