--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -19,7 +19,7 @@
 from ledgehitch.platform.journal_client import JournalClient
 from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.log import log
-from ledgehitch.platform.peers import PeerChannel
+from ledgehitch.platform.peer_channel import PeerChannel
 from ledgehitch.platform.resource_limits import limits_for
 from ledgehitch.platform.sessions import SessionTable
 from ledgehitch.platform.viewer_server import ViewerServer
