--- a/ledgehitch/platform/__main__.py
+++ b/ledgehitch/platform/__main__.py
@@ -12,17 +12,17 @@
 from ledgehitch.interface import Row
 from ledgehitch.loop.kernel import Event, Loop
 from ledgehitch.loop.sockets import Listener, endpoint
-from ledgehitch.platform.bounds import limits_for
-from ledgehitch.platform.carry import Controller
-from ledgehitch.platform.desk import SessionTable
-from ledgehitch.platform.front import ViewerServer
-from ledgehitch.platform.hosts import HostConnections
-from ledgehitch.platform.journal import JournalClient
-from ledgehitch.platform.life import Lifecycle
+from ledgehitch.platform.configuration import Configuration, parse_configuration, parse_host_list
+from ledgehitch.platform.controller import Controller
+from ledgehitch.platform.failure_detector import FailureDetector
+from ledgehitch.platform.host_connections import HostConnections
+from ledgehitch.platform.journal_client import JournalClient
+from ledgehitch.platform.lifecycle import Lifecycle
 from ledgehitch.platform.log import log
-from ledgehitch.platform.lost import FailureDetector
-from ledgehitch.platform.peers import PeerChannel
-from ledgehitch.platform.told import Configuration, parse_configuration, parse_host_list
+from ledgehitch.platform.peer_channel import PeerChannel
+from ledgehitch.platform.resource_limits import limits_for
+from ledgehitch.platform.sessions import SessionTable
+from ledgehitch.platform.viewer_server import ViewerServer
 from ledgehitch.send_guard import SendGuard
 
 SWEEP_INTERVAL_S = 0.25  # between two sweeps for connections to close
