--- a/ledgehitch/fleet/__init__.py
+++ b/ledgehitch/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Many gateways at once: asked truthfully, drained, restarted and changed in measured steps.
+"""Status queries and rolling changes (drain, restart, reload, retire) over many gateways.
 
-It never guesses what it was not told and never touches a gateway twice for one plan. Start reading at
-`plan.py` and `found.py`, which are free of I/O; `journal.py` keeps what must outlive the tool.
+A gateway that does not answer is reported as such, and no plan acts on a gateway twice. Start reading at
+`plan.py` and `found.py`, which are free of I/O; `journal.py` stores what must survive a restart of the tool.
 """
--- a/ledgehitch/fleet/carry.py
+++ b/ledgehitch/fleet/carry.py
@@ -1,4 +1,4 @@
-"""Carries out what a plan decides: questions and calls go out, each with its deadline; the journal first."""
+"""Carries out the decisions of a plan: queries and calls, each with a deadline, and the journal."""
 
 import time
 from collections.abc import Callable, Mapping, Sequence
@@ -23,22 +23,22 @@
 from ledgehitch.keys.store import Keys
 from ledgehitch.loop import Event, Loop, TimedOut
 
-ANSWER_TIMEOUT_S = 1.5  # seconds for one gateway's answer
-MAX_CONCURRENT_QUERIES = 256  # questions on their way
-JOIN_SAMPLE_INTERVAL_S = 2.0  # seconds between two looks at all gateways, for the joins
+ANSWER_TIMEOUT_S = 1.5  # for one gateway's answer
+MAX_CONCURRENT_QUERIES = 256  # limit of pending queries
+JOIN_SAMPLE_INTERVAL_S = 2.0  # between two queries to all gateways for join statistics
 
 
 class Caller:
-    """Calls gateways by the admin call."""
+    """Sends queries and calls to the admin interface of gateways."""
 
     def __init__(self, loop: Loop, within: float = ANSWER_TIMEOUT_S, client: Client | None = None) -> None:
         self.loop, self.within, self.client = loop, within, client or Client(loop)
 
     def ask(self, target: Target) -> QueryResult:
-        began = time.monotonic()
+        started = time.monotonic()
 
         def took() -> float:
-            return time.monotonic() - began
+            return time.monotonic() - started
 
         try:
             with self.loop.deadline(self.within):
@@ -56,49 +56,53 @@
         return self.client.request(target.at, "GET", "/v1/state")
 
     def ask_all(self, targets: Sequence[Target]) -> list[QueryResult]:
-        """All of them, some at a time, in the order in which they were named."""
+        """Queries the gateways concurrently, up to a limit; returns the results in the order of `targets`."""
         found: dict[str, QueryResult] = {}
-        left = list(targets)[::-1]
+        waiting = list(targets)[::-1]
 
-        def some() -> None:
-            while left:
-                target = left.pop()
+        def query_next() -> None:
+            while waiting:
+                target = waiting.pop()
                 found[target.name] = self.ask(target)
 
-        tasks = [self.loop.spawn(some, name="ask") for _ in range(min(MAX_CONCURRENT_QUERIES, len(targets)))]
+        tasks = [
+            self.loop.spawn(query_next, name="ask") for _ in range(min(MAX_CONCURRENT_QUERIES, len(targets)))
+        ]
         for task in tasks:
             task.wait()
         return [found[t.name] for t in targets]
 
     def call(self, target: Target, call: CallGateway, within: float) -> tuple[int, str]:
-        """The status, 0 without an answer, and what it says."""
-        what: Reload | Drain | None = None
+        """Returns the status, 0 without an answer, and the body or the reason."""
+        message: Reload | Drain | None = None
         path = "drain"
         if call.action == "reload":
-            path, what = "reload", Reload(call.ticket, call.if_boot)
+            path, message = "reload", Reload(call.ticket, call.if_boot)
         elif call.action == "undrain":
             path = "undrain"
         else:
             then: Any = {"restart": "restart", "retire": "leave"}.get(call.action, "stay")
-            what = Drain(within, then, call.ticket, call.if_boot)
+            message = Drain(within, then, call.ticket, call.if_boot)
         try:
-            answer = self.post(target, path, what)
+            answer = self.post(target, path, message)
         except (TimedOut, ConnectFailed, Interrupted, ValueError) as why:
             return 0, str(why)
         return answer.status, answer.body.decode("utf-8", "replace")
 
-    def post(self, target: Target, path: str, what: Reload | Fenced | None) -> Response:
-        body = msgspec.json.encode(what) if what is not None else b""
+    def post(self, target: Target, path: str, message: Reload | Fenced | None) -> Response:
+        body = msgspec.json.encode(message) if message is not None else b""
         with self.loop.deadline(self.within):
             return self.client.request(target.at, "POST", f"/v1/{path}", None, body)
 
 
 def verifying_client(loop: Loop, keys: Keys, certificate: Path, names: Mapping[str, str]) -> Client:
-    """A client that shows this certificate and takes gateways' own alone. `names`: by address, who must
-    answer there."""
+    """Returns a client that presents this certificate and accepts only the certificates of gateways.
 
-    def judge(address: str, shown_der: bytes) -> None:
-        """Guards against an impostor at a gateway's address: it must show that gateway's certificate."""
+    `names`: by address, the gateway whose certificate is expected there.
+    """
+
+    def check_peer(address: str, shown_der: bytes) -> None:
+        """Rejects a connection unless the peer presents the certificate of the gateway expected there."""
         try:
             authorize(
                 parse_certificate(shown_der),
@@ -110,17 +114,17 @@
         except CertificateRejected as why:
             raise ConnectFailed(str(why)) from None
 
-    return Client(loop, tls_context(keys.ca, certificate, False), judge)
+    return Client(loop, tls_context(keys.ca, certificate, False), check_peer)
 
 
 class LineSink(Protocol):
-    """A journal, or what stands in its place."""
+    """A journal, or a replacement for it."""
 
     def append(self, line: Mapping[str, Any]) -> None: ...
 
 
 class PlanRunner:
-    """One plan at work. `tell` gets each line of the journal, for people."""
+    """Runs one plan. `report` is called with each journal line, to display it."""
 
     def __init__(
         self,
@@ -128,15 +132,21 @@
         caller: Caller,
         journal: LineSink,
         rolling: RollingChange,
-        tell: Callable[[dict[str, Any]], None],
+        report: Callable[[dict[str, Any]], None],
     ) -> None:
-        self.loop, self.caller, self.journal, self.rolling, self.tell = loop, caller, journal, rolling, tell
+        self.loop, self.caller, self.journal, self.rolling, self.report = (
+            loop,
+            caller,
+            journal,
+            rolling,
+            report,
+        )
         self.targets = {t.name: t for t in rolling.plan.targets}
-        self.news = Event(loop)
+        self.changed = Event(loop)
 
     def run(self) -> Finished:
-        self._measure()
-        watching = self.loop.spawn(self._watch, name="joins")
+        self._measure_baseline()
+        watch_task = self.loop.spawn(self._watch_joins, name="joins")
         try:
             while True:
                 now = time.monotonic()
@@ -144,50 +154,50 @@
                     match decision:
                         case AppendLine(line):
                             self.journal.append({**line, "t": round(time.time(), 3)})
-                            self.tell(dict(line))
+                            self.report(dict(line))
                         case QueryGateway(name):
-                            self.loop.spawn(self._ask, name, name=f"ask {name}")
+                            self.loop.spawn(self._query, name, name=f"ask {name}")
                         case CallGateway() as call:
                             self.loop.spawn(self._call, call, name=f"call {call.name}")
-                        case Finished() as over:
-                            return over
+                        case Finished() as result:
+                            return result
                 wake = self.rolling.wake_at(now)
                 try:
                     with self.loop.deadline(max(0.01, (wake if wake is not None else now + 0.5) - now)):
-                        self.news.wait()
+                        self.changed.wait()
                 except TimedOut:
                     pass
-                self.news = Event(self.loop)
+                self.changed = Event(self.loop)
         finally:
-            watching.cancel()
+            watch_task.cancel()
 
-    def _measure(self) -> None:
-        """What joins are like before the first step."""
+    def _measure_baseline(self) -> None:
+        """Takes the join statistics before the first step."""
         if self.rolling.baseline is not None:
             return
         joins = JoinStatistics()
         targets = list(self.targets.values())
-        for look in range(2):
+        for sample in range(2):
             for found in self.caller.ask_all(targets):
                 joins.add(found)
                 self.rolling.joins.add(found)
-            if look == 0:
+            if sample == 0:
                 self.loop.sleep(min(JOIN_SAMPLE_INTERVAL_S, self.rolling.plan.terms.settle))
         self.rolling.on_baseline_measured(joins)
 
-    def _watch(self) -> None:
+    def _watch_joins(self) -> None:
         while True:
             self.loop.sleep(JOIN_SAMPLE_INTERVAL_S)
             for found in self.caller.ask_all(list(self.targets.values())):
                 self.rolling.joins.add(found)
 
-    def _ask(self, name: str) -> None:
+    def _query(self, name: str) -> None:
         found = self.caller.ask(self.targets[name])
         self.rolling.on_query_result(time.monotonic(), found)
-        self.news.set()
+        self.changed.set()
 
     def _call(self, call: CallGateway) -> None:
         within = self.rolling.plan.terms.within
         status, why = self.caller.call(self.targets[call.name], call, within)
         self.rolling.on_call_result(time.monotonic(), call.name, status, why)
-        self.news.set()
+        self.changed.set()
--- a/ledgehitch/fleet/found.py
+++ b/ledgehitch/fleet/found.py
@@ -1,6 +1,6 @@
-"""What a gateway turned out to be when it was asked. Free of I/O.
+"""Classifies the answers of gateways to a status query. Free of I/O.
 
-Who does not answer is not left out and nothing is guessed: each one asked for stands in the result, once.
+Each gateway that was queried has exactly one result, also if it did not answer.
 """
 
 from collections.abc import Sequence
@@ -11,11 +11,11 @@
 from ledgehitch.daemon.facts import VERSION, State
 
 Kind = Literal["answered", "draining", "slow", "refused", "silent", "impostor", "wrong version", "unknown"]
-SLOW_SHARE = 0.5  # part of the deadline after which an answer counts as slow
+SLOW_SHARE = 0.5  # share of the deadline after which an answer counts as slow
 
 
 class Target(msgspec.Struct, frozen=True):
-    """One gateway of the fleet, as the site names it."""
+    """One gateway of the fleet, as named in the site."""
 
     name: str
     at: str  # unix:PATH, or HOST:PORT over TLS
@@ -24,7 +24,10 @@
 
 
 class QueryResult(msgspec.Struct, frozen=True):
-    """`why` in words for people; `state` where it told one that can be believed."""
+    """Result of querying one gateway.
+
+    `why`: the reason, for operators; `state`: None unless a valid one came; `took`: seconds.
+    """
 
     name: str
     kind: Kind
@@ -36,20 +39,20 @@
 def classify_answer(
     target: Target, took: float, within: float, status: int, version: str, body: bytes
 ) -> QueryResult:
-    """An answer came."""
+    """Classifies an HTTP answer that took `took` of `within` seconds."""
     if status in (401, 403):
         return QueryResult(target.name, "refused", "it does not take this certificate", took)
     if version != VERSION:
-        spoken = f"version {version}" if version else "no version"
+        actual = f"version {version}" if version else "no version"
         return QueryResult(
-            target.name, "wrong version", f"its admin call has {spoken}, this tool {VERSION}", took
+            target.name, "wrong version", f"its admin call has {actual}, this tool {VERSION}", took
         )
     if status != 200:
         return QueryResult(target.name, "unknown", f"it answers {status}", took)
     try:
         state = msgspec.json.decode(body, type=State)
-    except msgspec.MsgspecError as wrong:
-        return QueryResult(target.name, "unknown", f"its state does not read: {wrong}", took)
+    except msgspec.MsgspecError as error:
+        return QueryResult(target.name, "unknown", f"its state does not read: {error}", took)
     if state.name != target.name:
         return QueryResult(target.name, "impostor", f"{state.name} answers at its address", took)
     if state.phase != "ready":
@@ -62,17 +65,17 @@
 
 
 def no_answer(
-    target: Target, how: Literal["refused", "silent", "unknown"], why: str, took: float
+    target: Target, kind: Literal["refused", "silent", "unknown"], why: str, took: float
 ) -> QueryResult:
-    """No answer came: nobody listens, nothing came in time, or what came is no HTTP."""
-    return QueryResult(target.name, how, why, took)
+    """Returns the result for a gateway without an answer: connection refused, time-out, or invalid HTTP."""
+    return QueryResult(target.name, kind, why, took)
 
 
 def count_by_kind(found: Sequence[QueryResult]) -> dict[str, int]:
-    """How many of each kind, the usual first."""
+    """Returns the number of results of each kind, in the order of `Kind`."""
     out: dict[str, int] = {}
     for kind in get_args(Kind):
-        n = sum(f.kind == kind for f in found)
-        if n:
-            out[kind] = n
+        count = sum(f.kind == kind for f in found)
+        if count:
+            out[kind] = count
     return out
--- a/ledgehitch/fleet/held.py
+++ b/ledgehitch/fleet/held.py
@@ -1,4 +1,4 @@
-"""The plan that the fleet holds: which word on it is the latest, what an operator's word makes of it. Free of
+"""The plan that a majority of the gateways stores: its latest version, and operators' commands on it. Free of
 I/O."""
 
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 
 
 class CommandRefused(Exception):
-    """Why an operator's word is not taken, and the status that says so."""
+    """An operator's command cannot be carried out. `status`: the HTTP status of the answer."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -20,7 +20,7 @@
 
 
 def latest_plan(words: Iterable[PlanMessage | None]) -> PlanMessage | None:
-    """Of what several gateways hold."""
+    """Returns the latest of the plans stored by several gateways, None if there is none."""
     return max((w for w in words if w is not None), key=PlanMessage.order, default=None)
 
 
@@ -29,8 +29,10 @@
 
 
 def apply_command(held: PlanMessage | None, call: PlanCall, known: Mapping[str, Target]) -> PlanMessage:
-    """The words that are to lie with a majority now; the same that are held where nothing changes. `known`:
-    gateways of the site that the owner runs. Raises `NotNow`."""
+    """Returns the plan to store at a majority after a command; `held` itself if nothing changes.
+
+    `known`: the gateways of the owner's site. Raises `CommandRefused`.
+    """
     if call.do == "begin":
         return _begin(held, call.plan, known)
     if held is None or held.word not in ("go", "stopped"):
@@ -44,17 +46,17 @@
 def _begin(held: PlanMessage | None, raw: Any, known: Mapping[str, Target]) -> PlanMessage:
     try:
         plan = msgspec.convert(raw, Plan)
-    except msgspec.ValidationError as wrong:
-        raise CommandRefused(400, f"the plan does not read: {wrong}") from None
+    except msgspec.ValidationError as error:
+        raise CommandRefused(400, f"the plan does not read: {error}") from None
     if plan.action != "restart" or not plan.targets:
         raise CommandRefused(400, "the fleet carries out restarts, of one gateway at least")
-    strange = [t.name for t in plan.targets if t.name not in known]
-    if strange:
-        raise CommandRefused(400, f"no gateway {strange[0]!r} in the site that the owner runs")
+    unknown = [t.name for t in plan.targets if t.name not in known]
+    if unknown:
+        raise CommandRefused(400, f"no gateway {unknown[0]!r} in the site that the owner runs")
     if held is not None and plan_id_of(held) == plan.id:
-        return held  # said twice: the answer had been lost
+        return held  # a repeated command whose answer was lost
     if held is not None and held.word in ("go", "stopped"):
         raise CommandRefused(409, f"{plan_id_of(held)} is not at its end: resume it or give it up first")
-    # Where others call a gateway is the owner's to know, not the tool's machine's.
+    # The addresses come from the owner's site: those of the tool's machine may not be reachable from it.
     plan = msgspec.structs.replace(plan, targets=[known[t.name] for t in plan.targets])
     return PlanMessage(held.version if held is not None else 0, "go", msgspec.to_builtins(plan))
--- a/ledgehitch/fleet/journal.py
+++ b/ledgehitch/fleet/journal.py
@@ -1,7 +1,7 @@
-"""What a plan has done, on disk before it is done: appended, checksummed in a chain, synced.
+"""Write-ahead journal of a plan: lines with chained checksums, synced before the step is carried out.
 
-The first line is the plan. A line that was cut off by a kill or a full disk is dropped, since nothing was
-done on its word; one that is wrong in the middle is an error, since what follows cannot be believed.
+The first line is the plan. An incomplete last line (the tool was killed, or the disk was full) is dropped,
+since its step was not carried out. A damaged line before the end is an error, as the rest cannot be trusted.
 """
 
 import fcntl
@@ -21,7 +21,10 @@
 
 
 class Journal:
-    """Opened for writing: one tool at a time for each fleet (`lock` says of which)."""
+    """A journal open for writing. `lock`: file that lets one tool at a time change a fleet.
+
+    Raises `BadInput` if another tool holds the lock or the journal is damaged.
+    """
 
     def __init__(self, path: Path, lock: Path) -> None:
         self.path = path
@@ -30,32 +33,37 @@
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            who = os.pread(self._lock, 200, 0).decode("utf-8", "replace").strip()
+            holder = os.pread(self._lock, 200, 0).decode("utf-8", "replace").strip()
             os.close(self._lock)
-            raise BadInput(f"another tool works on this fleet: {who or 'unknown'}") from None
+            raise BadInput(f"another tool is changing this fleet: {holder or 'unknown'}") from None
         os.ftruncate(self._lock, 0)
         os.pwrite(self._lock, f"process {os.getpid()}, journal {path}".encode(), 0)
         self._fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        self.lines, self._sum, whole = _decode(os.pread(self._fd, os.fstat(self._fd).st_size, 0), path)
-        os.ftruncate(self._fd, whole)  # a line that was cut off
-        self._size = whole
+        self.lines, self._last_checksum, valid_size = _decode(
+            os.pread(self._fd, os.fstat(self._fd).st_size, 0), path
+        )
+        os.ftruncate(self._fd, valid_size)  # an incomplete last line
+        self._size = valid_size
 
     def append(self, line: Mapping[str, Any]) -> None:
-        """The line is on disk when this returns; else it is not there, and nothing may be done on it."""
+        """Appends and syncs a line.
+
+        Raises `BadInput` if it is not on disk; its step must not be carried out then.
+        """
         text = json.dumps(line, sort_keys=True, separators=(",", ":"))
-        new = _checksum(self._sum, text)
-        data = f"{new} {text}\n".encode()
+        checksum = _checksum(self._last_checksum, text)
+        data = f"{checksum} {text}\n".encode()
         try:
             written = os.pwrite(self._fd, data, self._size)
             if written != len(data):
                 raise OSError(28, "No space left on device")
             os.fsync(self._fd)
-        except OSError as problem:
+        except OSError as error:
             os.ftruncate(self._fd, self._size)
             raise BadInput(
-                f"{self.path}: the journal cannot be written, nothing more is done: {problem.strerror}"
+                f"{self.path}: cannot write the journal, no further step is carried out: {error.strerror}"
             ) from None
-        self._sum, self._size = new, self._size + len(data)
+        self._last_checksum, self._size = checksum, self._size + len(data)
         self.lines.append(dict(line))
 
     def close(self) -> None:
@@ -64,40 +72,40 @@
         os.close(self._lock)
 
 
-def _checksum(before: str, text: str) -> str:
-    return blake3(f"{before} {text}".encode()).hexdigest()[:CHECKSUM_DIGITS]
+def _checksum(previous: str, text: str) -> str:
+    return blake3(f"{previous} {text}".encode()).hexdigest()[:CHECKSUM_DIGITS]
 
 
 def _decode(data: bytes, path: Path) -> tuple[list[dict[str, Any]], str, int]:
-    """Lines, the sum of the last and where it ends."""
+    """Returns the lines, the checksum of the last and the offset of its end."""
     lines: list[dict[str, Any]] = []
-    last, at = "", 0
+    checksum, offset = "", 0
     for raw in data.splitlines(keepends=True):
         text = raw.decode("utf-8", "replace")
         found, _, rest = text.rstrip("\n").partition(" ")
-        if not text.endswith("\n") or found != _checksum(last, rest):
-            if at + len(raw) >= len(data):
-                break  # cut off as it was written
-            raise BadInput(f"{path}:{len(lines) + 1}: the line does not fit its checksum, it is damaged")
+        if not text.endswith("\n") or found != _checksum(checksum, rest):
+            if offset + len(raw) >= len(data):
+                break  # incomplete last line
+            raise BadInput(f"{path}:{len(lines) + 1}: checksum mismatch, the line is damaged")
         lines.append(json.loads(rest))
-        last, at = found, at + len(raw)
-    return lines, last, at
+        checksum, offset = found, offset + len(raw)
+    return lines, checksum, offset
 
 
 def read_lines(path: Path) -> list[dict[str, Any]]:
-    """The whole lines of a journal, for reading alone."""
+    """Returns the complete lines of a journal without opening it for writing."""
     try:
         return _decode(path.read_bytes(), path)[0]
-    except OSError as problem:
-        raise BadInput(f"{path}: no journal: {problem.strerror}") from None
+    except OSError as error:
+        raise BadInput(f"{path}: cannot read the journal: {error.strerror}") from None
 
 
 def plan_at_head(lines: list[dict[str, Any]], path: Path) -> Plan:
-    """The plan at its head."""
+    """Returns the plan in the first line of a journal."""
     try:
         return msgspec.convert(lines[0]["plan"], Plan)
-    except (IndexError, KeyError, msgspec.ValidationError) as wrong:
-        raise BadInput(f"{path}: no plan at its head: {wrong}") from None
+    except (IndexError, KeyError, msgspec.ValidationError) as error:
+        raise BadInput(f"{path}: no plan in the first line: {error}") from None
 
 
 def head_line(plan: Plan) -> dict[str, Any]:
@@ -105,7 +113,7 @@
 
 
 def unfinished_journals(directory: Path) -> list[Path]:
-    """Journals of plans that are not at their end, newest last."""
+    """Returns the journals of plans that have not ended, newest last."""
     found = []
     for path in sorted(directory.glob("*.journal")):
         lines = read_lines(path)
--- a/ledgehitch/fleet/onduty.py
+++ b/ledgehitch/fleet/onduty.py
@@ -1,8 +1,8 @@
-"""The work of the duty `restarts`: the fleet's own rolling change, carried on by whoever owns it.
+"""The duty `restarts`: a rolling restart that the fleet carries out itself, run by the owner of the duty.
 
-The plan lies with a majority of the gateways. A new owner first says its term to all of them, so that no step
-of a former one arrives any more, takes the latest plan that a majority knows of, leaves it there under its
-own term, and goes on: what was done it learns from the gateways. It looks at its lease before each call.
+The plan is stored at a majority of the gateways. A new owner first announces its term to all of them, so that
+calls of a former owner are refused. It reads the latest plan from a majority, stores it again under its own
+term, recovers the progress from the gateways and continues. It checks its lease before each call.
 """
 
 import time
@@ -25,32 +25,35 @@
 from ledgehitch.loop import Event, Loop, TimedOut
 from ledgehitch.owners.facts import RESTARTS, majority
 
-RETRY_INTERVAL_S = 0.5  # seconds until those who did not answer are asked again
-MAJORITY_TIMEOUT_S = 3.0  # seconds that an operator's word may take to be with a majority
+RETRY_INTERVAL_S = 0.5  # until gateways that did not answer are called again
+MAJORITY_TIMEOUT_S = 3.0  # for an operator's command to be stored at a majority
 log = structlog.get_logger("restarts")
 
 
 class NotOwner(Exception):
-    """The term is over; the task that hears it ends."""
+    """The term is over; the task that gets this exception must end."""
 
 
 class TermCaller(Caller):
-    """Asks and calls under a term: nothing goes out once the lease is over, and a gateway that knows a higher
-    term ends it."""
+    """Queries and calls under a term.
+
+    Nothing is sent after the lease has ended, and an answer with a higher term ends this one. Methods raise
+    `NotOwner`.
+    """
 
     def __init__(self, loop: Loop, client: Client, owning: Owning, term: int) -> None:
         super().__init__(loop, client=client)
         self.owning, self.term = owning, term
 
-    def post(self, target: Target, path: str, what: Reload | Fenced | None) -> Response:
+    def post(self, target: Target, path: str, message: Reload | Fenced | None) -> Response:
         if self.owning.owned_term(RESTARTS) != self.term:
             raise NotOwner
-        assert isinstance(what, Fenced)  # all that the fleet itself does is
-        what = msgspec.structs.replace(what, duty=RESTARTS, term=self.term, owner=self.owning.name)
-        answer = super().post(target, path, what)
-        known = answer.header("known-term") or ""
-        if answer.status == 409 and known.isdigit() and int(known) > self.term:
-            self.owning.on_effect_refused(RESTARTS, self.term, int(known), target.name)
+        assert isinstance(message, Fenced)  # each message of this duty is fenced by its term
+        message = msgspec.structs.replace(message, duty=RESTARTS, term=self.term, owner=self.owning.name)
+        answer = super().post(target, path, message)
+        known_term = answer.header("known-term") or ""
+        if answer.status == 409 and known_term.isdigit() and int(known_term) > self.term:
+            self.owning.on_effect_refused(RESTARTS, self.term, int(known_term), target.name)
             raise NotOwner
         return answer
 
@@ -77,150 +80,160 @@
         self.loop, self.name, self.owning, self.client = loop, name, owning, client
         self.targets = targets
         self.term = 0
-        self.words: PlanMessage | None = None  # as it lies with a majority
-        self.known = False  # whether a majority has told what it knows
+        self.stored_plan: PlanMessage | None = None  # as stored at a majority
+        self.plan_known = False  # whether a majority has answered with its stored plan
         self.rolling: RollingChange | None = None
-        self.news = Event(loop)
-        self._changing: Event | None = None
+        self.changed = Event(loop)
+        self._store_in_progress: Event | None = None
         self._version = 0
 
     def doing(self) -> str:
-        if not self.known:
+        if not self.plan_known:
             return "asks a majority for the plan"
-        words = self.words
-        if words is None:
+        stored_plan = self.stored_plan
+        if stored_plan is None:
             return "no plan"
-        if self.rolling is None or words.word != "go":
-            return f"{plan_id_of(words)}: {words.word}" + (f", {words.why}" if words.why else "")
-        told = ", ".join(f"{n} {step}" for step, n in sorted(self.rolling.count_by_step().items()))
-        return f"{plan_id_of(words)}: {told}"
+        if self.rolling is None or stored_plan.word != "go":
+            return f"{plan_id_of(stored_plan)}: {stored_plan.word}" + (
+                f", {stored_plan.why}" if stored_plan.why else ""
+            )
+        steps = ", ".join(f"{n} {step}" for step, n in sorted(self.rolling.count_by_step().items()))
+        return f"{plan_id_of(stored_plan)}: {steps}"
 
     # ---- a term --------------------------------------------------------------------------------------------
 
     def run(self, term: int) -> None:
-        self.term, self.words, self.known, self.rolling = term, None, False, None
-        self._changing, self._version = None, 0
+        self.term, self.stored_plan, self.plan_known, self.rolling = term, None, False, None
+        self._store_in_progress, self._version = None, 0
         caller = TermCaller(self.loop, self.client, self.owning, term)
         try:
-            self._learn(caller)
+            self._recover_plan(caller)
             while True:
-                if self.words is not None and self.words.word == "go":
-                    self._carry(caller)
+                if self.stored_plan is not None and self.stored_plan.word == "go":
+                    self._run_plan(caller)
                 else:
-                    self.news.wait()
-                self.news = Event(self.loop)
+                    self.changed.wait()
+                self.changed = Event(self.loop)
         except NotOwner:
-            log.info("gives up, another may own it", term=term)
+            log.info("term over, another gateway may own the duty", term=term)
+
+    def _recover_plan(self, caller: TermCaller) -> None:
+        """Reads the latest plan from a majority and stores it again under this term.
 
-    def _learn(self, caller: TermCaller) -> None:
-        """The latest plan that a majority knows of, left there again under this term: a former owner's word
-        that comes later is refused by each of them."""
-        heard: dict[str, PlanMessage | None] = {}
-        while len(heard) < majority(len(self.targets)):
+        Each of them then refuses a late message of a former owner.
+        """
+        stored_plans: dict[str, PlanMessage | None] = {}
+        while len(stored_plans) < majority(len(self.targets)):
             for target in self.targets:
-                if target.name not in heard:
-                    self._hear(caller, target, heard)
-            if len(heard) < majority(len(self.targets)):
+                if target.name not in stored_plans:
+                    self._query_stored_plan(caller, target, stored_plans)
+            if len(stored_plans) < majority(len(self.targets)):
                 self.loop.sleep(RETRY_INTERVAL_S)
-        last = latest_plan(heard.values())
+        last = latest_plan(stored_plans.values())
         if last is not None:
-            self._leave(caller, lambda _: last)
-        self.known = True
+            self._store(caller, lambda _: last)
+        self.plan_known = True
 
-    def _hear(self, caller: TermCaller, target: Target, heard: dict[str, PlanMessage | None]) -> None:
+    def _query_stored_plan(
+        self, caller: TermCaller, target: Target, stored_plans: dict[str, PlanMessage | None]
+    ) -> None:
         try:
             if caller.state(target).status != 200:
                 return
             with self.loop.deadline(caller.within):
                 answer = self.client.request(target.at, "GET", f"/v1/plans?owner={self.name}")
             held = msgspec.json.decode(answer.body, type=dict[str, Any]).get("held")
-            heard[target.name] = msgspec.convert(held, PlanMessage) if held is not None else None
+            stored_plans[target.name] = msgspec.convert(held, PlanMessage) if held is not None else None
         except (TimedOut, ConnectFailed, Interrupted, ValueError) as why:
-            log.debug("not heard", gateway=target.name, why=str(why))
-
-    def _leave(self, caller: TermCaller, change: Callable[[PlanMessage | None], PlanMessage]) -> None:
-        """With a majority, on their disks, before anything is done on it; tried until it is. One change at a
-        time, each with a version of its own: one that was cut off may lie with some."""
-        while self._changing is not None:
-            self._changing.wait()
-        self._changing = done = Event(self.loop)
+            log.debug("stored plan not received", gateway=target.name, why=str(why))
+
+    def _store(self, caller: TermCaller, change: Callable[[PlanMessage | None], PlanMessage]) -> None:
+        """Stores a change of the plan on disk at a majority, before it takes effect; retries until done.
+
+        One change at a time, each with its own version: an interrupted one may be stored at a minority.
+        """
+        while self._store_in_progress is not None:
+            self._store_in_progress.wait()
+        self._store_in_progress = done = Event(self.loop)
         try:
-            self._spread(caller, change(self.words))
+            self._store_at_majority(caller, change(self.stored_plan))
         finally:
-            self._changing = None
+            self._store_in_progress = None
             done.set()
 
-    def _spread(self, caller: TermCaller, words: PlanMessage) -> None:
-        self._version = max(self._version, words.version) + 1
-        new = msgspec.structs.replace(words, version=self._version)
-        left: set[str] = set()
+    def _store_at_majority(self, caller: TermCaller, stored_plan: PlanMessage) -> None:
+        self._version = max(self._version, stored_plan.version) + 1
+        new = msgspec.structs.replace(stored_plan, version=self._version)
+        stored_by: set[str] = set()
 
-        def one(target: Target) -> None:
+        def store_at(target: Target) -> None:
             try:
                 if caller.post(target, "plans", new).status == 200:
-                    left.add(target.name)
+                    stored_by.add(target.name)
             except (TimedOut, ConnectFailed, Interrupted, ValueError) as why:
-                log.debug("not left", gateway=target.name, why=str(why))
+                log.debug("plan not stored", gateway=target.name, why=str(why))
 
         while True:
             tasks = [
-                self.loop.spawn(self._unless_over, one, t, name=f"leave {t.name}")
+                self.loop.spawn(self._ignore_lost_term, store_at, t, name=f"leave {t.name}")
                 for t in self.targets
-                if t.name not in left
+                if t.name not in stored_by
             ]
             for task in tasks:
                 task.wait()
-            if len(left) >= majority(len(self.targets)):
+            if len(stored_by) >= majority(len(self.targets)):
                 break
             if self.owning.owned_term(RESTARTS) != self.term:
                 raise NotOwner
             self.loop.sleep(RETRY_INTERVAL_S)
-        self.words = new
+        self.stored_plan = new
 
-    def _unless_over(self, call: Callable[[Target], None], target: Target) -> None:
+    def _ignore_lost_term(self, call: Callable[[Target], None], target: Target) -> None:
         try:
             call(target)
         except NotOwner:
-            return  # who waits for it looks at the lease itself
-
-    def _carry(self, caller: TermCaller) -> None:
-        words = self.words
-        assert words is not None
-        plan = msgspec.convert(words.plan, Plan)
-        before = [] if words.share is None else [{"ev": "baseline", "share": words.share}]
-        self.rolling = RollingChange(time.monotonic(), plan, before, learnt=True)
-        work = PlanRunner(self.loop, caller, _BaselineSink(self, caller), self.rolling, self._tell)
-        ends: list[Finished] = []
-        news = self.news  # one that is cancelled later must not wake what comes after
-
-        def carry() -> None:
+            return  # the waiting task checks the lease itself
+
+    def _run_plan(self, caller: TermCaller) -> None:
+        stored_plan = self.stored_plan
+        assert stored_plan is not None
+        plan = msgspec.convert(stored_plan.plan, Plan)
+        before = [] if stored_plan.share is None else [{"ev": "baseline", "share": stored_plan.share}]
+        self.rolling = RollingChange(time.monotonic(), plan, before, without_journal=True)
+        work = PlanRunner(self.loop, caller, _BaselineSink(self, caller), self.rolling, self._log_step)
+        results: list[Finished] = []
+        changed = self.changed  # the event of this run: a task cancelled late must not set that of the next
+
+        def run_plan() -> None:
             try:
-                ends.append(work.run())
+                results.append(work.run())
             finally:
-                news.set()
+                changed.set()
 
-        task = self.loop.spawn(carry, name="plan")
-        news.wait()
-        if not ends:
-            task.cancel()  # an operator's word: what is under way comes back by itself
+        task = self.loop.spawn(run_plan, name="plan")
+        changed.wait()
+        if not results:
+            task.cancel()  # an operator's command: gateways under way come back by themselves
             return
-        result = ends[0]
+        result = results[0]
         if self.owning.owned_term(RESTARTS) != self.term:
             raise NotOwner
         word: Any = "ended" if result.ended else "stopped"
-        self._leave(caller, lambda now: msgspec.structs.replace(now or words, word=word, why=result.why))
-        log.info("the plan", id=plan.id, word=word, why=result.why)
+        self._store(
+            caller, lambda now: msgspec.structs.replace(now or stored_plan, word=word, why=result.why)
+        )
+        log.info("plan finished", id=plan.id, word=word, why=result.why)
 
-    def _tell(self, line: Mapping[str, Any]) -> None:
+    def _log_step(self, line: Mapping[str, Any]) -> None:
         log.info("step", what=format_line(line), term=self.term)
 
-    # ---- an operator's word --------------------------------------------------------------------------------
+    # ---- an operator's commands ----------------------------------------------------------------------------
 
-    def planned(self, call: PlanCall) -> dict[str, Any]:
-        """Answered once it lies with a majority; raises `Refused`."""
-        if not self.known:
+    def on_plan_call(self, call: PlanCall) -> dict[str, Any]:
+        """Carries out an operator's command, returns once it is stored at a majority. Raises `Refused`."""
+        if not self.plan_known:
             raise Refused(503, "the owner does not know the plan yet: come again", [("Retry-After", "1")])
-        held = self.words
+        held = self.stored_plan
         try:
             new = apply_command(held, call, {t.name: t for t in self.targets})
         except CommandRefused as why:
@@ -230,7 +243,7 @@
         caller = TermCaller(self.loop, self.client, self.owning, self.term)
         try:
             with self.loop.deadline(MAJORITY_TIMEOUT_S):
-                self._leave(caller, lambda _: new)
+                self._store(caller, lambda _: new)
         except NotOwner:
             raise Refused(409, "this gateway owns restarts no longer", [("Owner", "")]) from None
         except TimedOut:
@@ -239,35 +252,45 @@
                 "no majority has taken it yet, it may still come into force: see the status",
                 [("Retry-After", "1")],
             ) from None
-        self.news.set()
-        assert self.words is not None
-        return {"word": self.words.word, "id": plan_id_of(self.words)}
+        self.changed.set()
+        assert self.stored_plan is not None
+        return {"word": self.stored_plan.word, "id": plan_id_of(self.stored_plan)}
 
 
 class _BaselineSink:
-    """In the journal's place: what must outlive the owner lies with the gateways, or can be learned there."""
+    """Replaces the journal: stores the baseline with the plan.
+
+    The progress of the gateways is recovered from themselves.
+    """
 
     def __init__(self, work: RestartsDuty, caller: TermCaller) -> None:
         self.work, self.caller = work, caller
 
     def append(self, line: Mapping[str, Any]) -> None:
-        if line.get("ev") == "baseline" and self.work.words is not None:
-            words, share = self.work.words, float(line["share"])
-            self.work._leave(self.caller, lambda now: msgspec.structs.replace(now or words, share=share))
+        if line.get("ev") == "baseline" and self.work.stored_plan is not None:
+            stored_plan, share = self.work.stored_plan, float(line["share"])
+            self.work._store(
+                self.caller, lambda now: msgspec.structs.replace(now or stored_plan, share=share)
+            )
 
 
 def create_restarts_duty(daemon: Daemon) -> RestartsDuty:
-    """The work at one daemon; gateways are called where the site says, or in the same state directory."""
+    """Creates the duty for one daemon.
+
+    Gateways are called at the address in the site, else at a socket in the daemon's state directory.
+    """
     site, directory = daemon.site, daemon.place.directory
     targets = []
-    for g in site.gateways:
-        at = g.admin_via or (TLS + g.admin_at.removeprefix(TLS) if g.admin_at else "")
-        targets.append(Target(g.name, at or f"unix:{directory / g.name}.admin", g.zone, g.rack))
+    for gateway in site.gateways:
+        at = gateway.admin_via or (TLS + gateway.admin_at.removeprefix(TLS) if gateway.admin_at else "")
+        targets.append(
+            Target(gateway.name, at or f"unix:{directory / gateway.name}.admin", gateway.zone, gateway.rack)
+        )
     client = Client(daemon.loop)
     if (keys := daemon.keys) is not None:
         names = {t.at: t.name for t in targets}
         client = verifying_client(daemon.loop, keys, keys.directory / f"{daemon.name}.pem", names)
     assert daemon.admin.owning is not None
     work = RestartsDuty(daemon.loop, daemon.name, targets, daemon.admin.owning, client)
-    daemon.admin.on_plan_call = work.planned
+    daemon.admin.on_plan_call = work.on_plan_call
     return work
--- a/ledgehitch/fleet/plan.py
+++ b/ledgehitch/fleet/plan.py
@@ -1,8 +1,8 @@
-"""The steps of a rolling change: who is touched next, when the next one may be, when to stop. Free of I/O.
+"""State machine of a rolling change: which gateway is next, when it may begin, when to stop. Free of I/O.
 
-Inputs say what was found and what came of a call; `decide` is pulled. What is decided on a gateway is a line
-for the journal first and a call second, so that a tool that was cut off between any two bytes can go on:
-`Rolling` takes the lines of the journal back in and asks before it touches anything.
+Inputs are query results and call results; the caller pulls decisions with `decide`. Each decision on a
+gateway is a journal line first and a call second, so that a tool that was killed at any point can resume:
+`RollingChange` replays the journal and queries a gateway before it acts on it.
 """
 
 import math
@@ -19,50 +19,50 @@
 Action = Literal["restart", "drain", "undrain", "reload", "retire"]
 Step = Literal["unseen", "planned", "intended", "sent", "back", "done", "failed", "skipped"]
 UNDER_WAY_STEPS = ("unseen", "intended", "sent", "back")
-MIN_JOINS_TO_JUDGE = 40  # viewings asked for since, from which on joins are judged
+MIN_JOINS_TO_JUDGE = 40  # requested viewings from which on the failure share is judged
 
 
 class Terms(msgspec.Struct, frozen=True):
-    """How a change is carried out. Times are seconds."""
+    """How a change is carried out. Times are in seconds."""
 
-    at_once: int = 1  # gateways under way at the same time, at most
-    share: float = 0.0  # or this part of the fleet, where that is less; 0: only the number counts
-    within: float = 30.0  # for what plays to end by itself
-    back_within: float = 60.0  # beyond that, for a gateway to serve again
-    settle: float = 1.0  # that it must have served before it counts as back
-    failures: int = 1  # that stop the plan
-    worse: float = 0.05  # by which blocked, aborted and turned away may rise, as a part of those asked for
-    one_hall: bool = True  # a hall is finished before the next begins
-    slow_ms: float = 0.0  # that the gateways' 99th percentiles of joins may come to, in the median; 0: any
+    at_once: int = 1  # maximum number of gateways under way at the same time
+    share: float = 0.0  # the same as a share of the fleet, if that is less; 0: only the number counts
+    within: float = 30.0  # drain time: for active viewings to end by themselves
+    back_within: float = 60.0  # after the drain time, for a gateway to serve again
+    settle: float = 1.0  # for which it must have been ready before it counts as back
+    failures: int = 1  # number of failed gateways that stops the plan
+    worse: float = 0.05  # allowed rise of blocked, aborted and turned away, as a share of requests
+    one_hall: bool = True  # finish a zone before the next one begins
+    slow_ms: float = 0.0  # limit of the median over gateways of the 99th percentile of join times; 0: none
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A whole change, as it stands at the head of its journal."""
+    """A whole change, as stored in the first line of its journal."""
 
     id: str
     action: Action
     targets: list[Target]
     terms: Terms = Terms()
-    digest: str = ""  # of the config that all are to run after a reload or a restart; empty: any
+    digest: str = ""  # of the config expected after a reload or a restart; empty: any
 
 
 @dataclass(frozen=True)
 class AppendLine:
-    """Keep this line on disk before anything else is done."""
+    """Append this line to the journal, on disk, before the next decision is carried out."""
 
     line: Mapping[str, Any]
 
 
 @dataclass(frozen=True)
 class QueryGateway:
-    """Find out what this gateway is now."""
+    """Query the current state of this gateway."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class CallGateway:
-    """Have this gateway do it. `if_boot`: only the life that was found; empty where that does not matter."""
+    """Have this gateway carry out the action. `if_boot`: only in this boot; empty for any boot."""
 
     name: str
     action: Action
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class Finished:
-    """The plan is at its end, or stopped: it may be resumed."""
+    """The plan has ended, or was stopped and may be resumed."""
 
     ended: bool
     why: str = ""
@@ -83,89 +83,89 @@
 
 @dataclass
 class GatewayProgress:
-    """What is known of one gateway of the plan."""
+    """Progress of one gateway of the plan."""
 
     target: Target
     step: Step = "planned"
-    boot: str = ""  # of the life that was to be ended
+    boot: str = ""  # the boot that the action is to end
     since: float = 0.0
-    served_from: float = math.inf  # seen to serve in its new life
+    ready_since: float = math.inf  # since when it is ready in its new boot
     why: str = ""
-    asking: bool = False  # a question is out
-    ask_at: float = 0.0
-    unsure: bool = False  # taken up from a journal: asked before it is touched
+    query_pending: bool = False
+    next_query_at: float = 0.0
+    uncertain: bool = False  # whether a call was carried out is unknown: query before acting
 
 
 def order_targets(targets: Sequence[Target]) -> list[Target]:
-    """By hall and rack, and within these by name: what fails together is touched together, one hall after the
-    other."""
+    """Returns the targets by zone, rack and name: those that share a failure domain are changed together, one
+    zone after the other."""
     return sorted(targets, key=lambda t: (t.zone, t.rack, t.name))
 
 
 @dataclass
 class JoinStatistics:
-    """Viewings asked for and those that were not let play, summed over the lives of gateways."""
+    """Counts of requested and failed viewings, summed over restarts of the gateways."""
 
-    asked: int = 0
-    bad: int = 0
-    seen: dict[str, tuple[str, int, int]] = field(default_factory=dict)
-    p99: dict[str, float] = field(default_factory=dict)  # by gateway, of its last minute
+    requested: int = 0
+    failed_joins: int = 0
+    last_counts: dict[str, tuple[str, int, int]] = field(default_factory=dict)
+    p99: dict[str, float] = field(default_factory=dict)  # join time in ms by gateway, over its last minute
 
     def add(self, found: QueryResult) -> None:
         if found.state is None:
             return
-        c, boot = found.state.counts, found.state.boot
+        counts, boot = found.state.counts, found.state.boot
         if "99" in found.state.joins_ms:
             self.p99[found.name] = found.state.joins_ms["99"]
-        bad = c.blocked + c.aborted + c.turned_away
-        before = self.seen.get(found.name)
+        failed_joins = counts.blocked + counts.aborted + counts.turned_away
+        before = self.last_counts.get(found.name)
         if before is not None:
             same = before[0] == boot
-            self.asked += max(0, c.asked - (before[1] if same else 0))
-            self.bad += max(0, bad - (before[2] if same else 0))
-        self.seen[found.name] = boot, c.asked, bad
+            self.requested += max(0, counts.asked - (before[1] if same else 0))
+            self.failed_joins += max(0, failed_joins - (before[2] if same else 0))
+        self.last_counts[found.name] = boot, counts.asked, failed_joins
 
     def failure_share(self) -> float | None:
-        return self.bad / self.asked if self.asked >= MIN_JOINS_TO_JUDGE else None
+        return self.failed_joins / self.requested if self.requested >= MIN_JOINS_TO_JUDGE else None
 
 
 class RollingChange:
-    ASKED_EVERY = 0.25  # seconds between two questions to one gateway that is under way
+    QUERY_INTERVAL_S = 0.25  # between two queries to one gateway that is under way
 
     def __init__(
-        self, now: float, plan: Plan, lines: Sequence[Mapping[str, Any]] = (), learnt: bool = False
+        self, now: float, plan: Plan, lines: Sequence[Mapping[str, Any]] = (), without_journal: bool = False
     ) -> None:
-        """`lines`: of the journal, where the plan is taken up again. `learnt`: there is none, what was done
-        is learned from the gateways: until one has answered it counts as under way."""
+        """`lines`: of the journal, if the plan is resumed. `without_journal`: what was done is recovered from
+        the gateways; each one counts as under way until it has answered."""
         self.plan = plan
         self.gateways = {t.name: GatewayProgress(t) for t in order_targets(plan.targets)}
         self.joins = JoinStatistics()
         self.baseline: float | None = None
-        self.stopped = ""
-        self.over = False
-        self._due: deque[Decision] = deque()
+        self.stop_reason = ""
+        self.finished = False
+        self._decisions: deque[Decision] = deque()
         resumed = False
         for line in lines:
-            resumed |= self._replayed(line)
-        # Who resumes has seen what had failed until then.
-        self._forgiven = sum(one.step == "failed" for one in self.gateways.values())
-        for one in self.gateways.values():
-            if learnt and one.step == "planned":
-                one.step = "unseen"
-            one.unsure = one.step in ("intended", "sent", "back")
-            one.since = now
+            resumed |= self._replay(line)
+        # Earlier failures are known to the operator who resumes, and do not stop the plan again.
+        self._earlier_failures = sum(progress.step == "failed" for progress in self.gateways.values())
+        for progress in self.gateways.values():
+            if without_journal and progress.step == "planned":
+                progress.step = "unseen"
+            progress.uncertain = progress.step in ("intended", "sent", "back")
+            progress.since = now
         if resumed:
-            self._due.append(AppendLine({"ev": "resumed"}))
+            self._decisions.append(AppendLine({"ev": "resumed"}))
 
-    def _replayed(self, line: Mapping[str, Any]) -> bool:
-        one = self.gateways.get(str(line.get("gateway", "")))
+    def _replay(self, line: Mapping[str, Any]) -> bool:
+        progress = self.gateways.get(str(line.get("gateway", "")))
         match line.get("ev"):
-            case "intended" if one is not None:
-                one.step, one.boot = "intended", str(line["boot"])
-            case "sent" if one is not None and one.step == "intended":
-                one.step = "sent"
-            case "done" | "failed" | "skipped" as step if one is not None:
-                one.step, one.why = step, str(line.get("why", ""))
+            case "intended" if progress is not None:
+                progress.step, progress.boot = "intended", str(line["boot"])
+            case "sent" if progress is not None and progress.step == "intended":
+                progress.step = "sent"
+            case "done" | "failed" | "skipped" as step if progress is not None:
+                progress.step, progress.why = step, str(line.get("why", ""))
             case "again":
                 for failed in [o for o in self.gateways.values() if o.step == "failed"]:
                     failed.step, failed.why = "planned", ""
@@ -176,71 +176,76 @@
     def ticket(self, name: str) -> str:
         return f"{self.plan.id}/{name}"
 
-    # ---- what happens --------------------------------------------------------------------------------------
+    # ---- inputs --------------------------------------------------------------------------------------------
 
     def on_query_result(self, now: float, found: QueryResult) -> None:
-        """What a gateway of the plan is now; also of those that are not under way, for the joins."""
+        """Takes the result of a query; also of gateways that are not under way, for the join statistics."""
         self.joins.add(found)
-        one = self.gateways.get(found.name)
-        if one is None:
+        progress = self.gateways.get(found.name)
+        if progress is None:
             return
-        one.asking = False
-        if one.step == "unseen":
-            self._learn(now, one, found)
-        elif one.step == "planned":
-            self._begin(now, one, found)
-        elif one.step in ("intended", "sent", "back"):
-            self._look(now, one, found)
+        progress.query_pending = False
+        if progress.step == "unseen":
+            self._recover_step(now, progress, found)
+        elif progress.step == "planned":
+            self._begin_gateway(now, progress, found)
+        elif progress.step in ("intended", "sent", "back"):
+            self._check_progress(now, progress, found)
 
     def on_call_result(self, now: float, name: str, status: int, why: str = "") -> None:
-        """What came of a call; status 0: no answer, it may have been carried out."""
-        one = self.gateways[name]
-        if one.step != "intended":
+        """Takes the result of a call. Status 0: no answer, so the call may have been carried out."""
+        progress = self.gateways[name]
+        if progress.step != "intended":
             return
         if status == 200:
-            self._to(now, one, "sent")
+            self._set_step(now, progress, "sent")
         elif status in (0, 412):
-            one.unsure = True  # asked before anything is done
+            progress.uncertain = True  # query before acting
         else:
-            self._to(now, one, "failed", f"answers {status}: {why}"[:200])
+            self._set_step(now, progress, "failed", f"answers {status}: {why}"[:200])
 
-    def _begin(self, now: float, one: GatewayProgress, found: QueryResult) -> None:
+    def _begin_gateway(self, now: float, progress: GatewayProgress, found: QueryResult) -> None:
         state = found.state
         if state is None:
-            self._to(now, one, "failed", f"{found.kind}: {found.why}" if found.why else found.kind)
+            self._set_step(now, progress, "failed", f"{found.kind}: {found.why}" if found.why else found.kind)
             return
-        if self._already(one, found):
-            self._to(now, one, "skipped", "nothing to do")
+        if self._is_already_done(progress, found):
+            self._set_step(now, progress, "skipped", "nothing to do")
             return
-        one.boot = state.boot
-        one.step, one.since = "intended", now
-        self._due.append(AppendLine({"ev": "intended", "gateway": one.target.name, "boot": one.boot}))
-        self._due.append(self._call(one))
-
-    def _learn(self, now: float, one: GatewayProgress, found: QueryResult) -> None:
-        """Guards against a second call to one that a former owner has called: its own words say how far it
-        is. One that does not answer may be between two lives, and holds its place until it is overdue."""
-        state, ticket = found.state, self.ticket(one.target.name)
+        progress.boot = state.boot
+        progress.step, progress.since = "intended", now
+        self._decisions.append(
+            AppendLine({"ev": "intended", "gateway": progress.target.name, "boot": progress.boot})
+        )
+        self._decisions.append(self._call_for(progress))
+
+    def _recover_step(self, now: float, progress: GatewayProgress, found: QueryResult) -> None:
+        """Recovers the step of a gateway from its state, so that it is not called a second time.
+
+        A former owner may have called it already. One that does not answer may be restarting, and counts as
+        under way until its time limit.
+        """
+        state, ticket = found.state, self.ticket(progress.target.name)
         if state is None:
-            if now - one.since > self._allowed():
+            if now - progress.since > self._time_limit():
                 why = f"{found.kind}: {found.why}" if found.why else found.kind
-                self._to(now, one, "failed", f"not seen in {self._allowed():g} s, {why}")
+                self._set_step(now, progress, "failed", f"not seen in {self._time_limit():g} s, {why}")
         elif ticket in (state.started_by, state.carried) and self.plan.action == "restart":
-            one.step, one.boot, one.since = "sent", "", now  # in its new life; it has yet to settle
-            self._look(now, one, found)
+            progress.step, progress.boot, progress.since = "sent", "", now  # in its new boot, not settled yet
+            self._check_progress(now, progress, found)
         elif state.phase != "ready" and state.why == ticket:
-            one.step, one.boot, one.since = "sent", state.boot, now
+            progress.step, progress.boot, progress.since = "sent", state.boot, now
         else:
-            one.step = "planned"
+            progress.step = "planned"
 
-    def _already(self, one: GatewayProgress, found: QueryResult) -> bool:
+    def _is_already_done(self, progress: GatewayProgress, found: QueryResult) -> bool:
         state = found.state
         assert state is not None
         match self.plan.action:
             case "retire":
                 return False
             case "restart":
-                return self.ticket(one.target.name) in (state.started_by, state.carried)
+                return self.ticket(progress.target.name) in (state.started_by, state.carried)
             case "drain":
                 return state.phase in ("draining", "drained", "ending")
             case "undrain":
@@ -249,52 +254,56 @@
                 return bool(self.plan.digest) and state.config.get("runs") == self.plan.digest
         return False
 
-    def _call(self, one: GatewayProgress) -> CallGateway:
-        return CallGateway(one.target.name, self.plan.action, one.boot, self.ticket(one.target.name))
+    def _call_for(self, progress: GatewayProgress) -> CallGateway:
+        return CallGateway(
+            progress.target.name, self.plan.action, progress.boot, self.ticket(progress.target.name)
+        )
 
-    def _look(self, now: float, one: GatewayProgress, found: QueryResult) -> None:
-        """A gateway that is under way answered, or did not."""
-        state, unsure = found.state, one.unsure
+    def _check_progress(self, now: float, progress: GatewayProgress, found: QueryResult) -> None:
+        """Handles the result of a query to a gateway that is under way."""
+        state, uncertain = found.state, progress.uncertain
         if state is not None:
-            one.unsure = False
-            if state.boot == one.boot:
+            progress.uncertain = False
+            if state.boot == progress.boot:
                 if self.plan.action == "restart":
-                    if not unsure and state.phase == "ready" and state.why and one.step == "sent":
-                        self._to(now, one, "failed", f"it goes on in its old life: {state.why}")
+                    if not uncertain and state.phase == "ready" and state.why and progress.step == "sent":
+                        self._set_step(now, progress, "failed", f"it goes on in its old life: {state.why}")
                         return
-                    if unsure and state.phase == "ready" and one.step in ("intended", "sent"):
-                        # The call did not get through, or was not carried out: this life still serves.
-                        one.step, one.since = "intended", now
-                        self._due.append(self._call(one))
+                    if uncertain and state.phase == "ready" and progress.step in ("intended", "sent"):
+                        # The call was lost or not carried out: the old boot still serves.
+                        progress.step, progress.since = "intended", now
+                        self._decisions.append(self._call_for(progress))
                         return
-                elif self._reached(one, found):
-                    self._to(now, one, "done")
+                elif self._has_reached_target(progress, found):
+                    self._set_step(now, progress, "done")
                     return
-                elif unsure and one.step == "intended":
-                    self._due.append(self._call(one))
+                elif uncertain and progress.step == "intended":
+                    self._decisions.append(self._call_for(progress))
                     return
             elif self.plan.action != "restart":
-                self._to(now, one, "failed", f"restarted in between, by {state.started_by or 'somebody'}")
+                self._set_step(
+                    now, progress, "failed", f"restarted in between, by {state.started_by or 'somebody'}"
+                )
                 return
-            elif self._served(now, one, found):
+            elif self._is_settled(now, progress, found):
                 if self.plan.digest and state.config.get("runs") != self.plan.digest:
                     runs = str(state.config.get("runs", ""))[:16] or "no config that it names"
-                    self._to(now, one, "failed", f"it came back with another config: {runs}")
+                    self._set_step(now, progress, "failed", f"it came back with another config: {runs}")
                     return
-                mine = self.ticket(one.target.name) in (state.started_by, state.carried)
-                word = "" if mine else f"restarted by {state.started_by or 'somebody else'}"
-                self._to(now, one, "done" if mine else "skipped", word)
+                by_this_plan = self.ticket(progress.target.name) in (state.started_by, state.carried)
+                reason = "" if by_this_plan else f"restarted by {state.started_by or 'somebody else'}"
+                self._set_step(now, progress, "done" if by_this_plan else "skipped", reason)
                 return
         else:
-            one.served_from = math.inf
-            if self.plan.action == "retire" and found.kind == "refused" and one.step != "intended":
-                self._to(now, one, "done")  # it is gone, as it was told to
+            progress.ready_since = math.inf
+            if self.plan.action == "retire" and found.kind == "refused" and progress.step != "intended":
+                self._set_step(now, progress, "done")  # it has left, as requested
                 return
-        if found.kind == "impostor" or now - one.since > self._allowed():
+        if found.kind == "impostor" or now - progress.since > self._time_limit():
             why = f"{found.kind}: {found.why}" if found.why else found.kind
-            self._to(now, one, "failed", f"not back in {self._allowed():g} s, {why}")
+            self._set_step(now, progress, "failed", f"not back in {self._time_limit():g} s, {why}")
 
-    def _reached(self, one: GatewayProgress, found: QueryResult) -> bool:
+    def _has_reached_target(self, progress: GatewayProgress, found: QueryResult) -> bool:
         state = found.state
         assert state is not None
         if self.plan.action == "reload" and self.plan.digest:
@@ -305,118 +314,124 @@
             return state.phase in ("draining", "drained", "ending")
         return state.phase == "ready"
 
-    def _served(self, now: float, one: GatewayProgress, found: QueryResult) -> bool:
-        """In its new life, ready for a while: one that falls again at once is not back."""
+    def _is_settled(self, now: float, progress: GatewayProgress, found: QueryResult) -> bool:
+        """Returns whether it has been ready in its new boot for the settle time.
+
+        One that fails again at once is not back.
+        """
         if found.state is None or found.state.phase != "ready":
-            one.served_from = math.inf
+            progress.ready_since = math.inf
             return False
-        one.served_from = min(one.served_from, now)
-        if one.step != "back":
-            one.step = "back"
-        return now - one.served_from >= self.plan.terms.settle
+        progress.ready_since = min(progress.ready_since, now)
+        if progress.step != "back":
+            progress.step = "back"
+        return now - progress.ready_since >= self.plan.terms.settle
 
-    def _allowed(self) -> float:
-        drains = self.plan.terms.within if self.plan.action in ("restart", "retire") else 0.0
-        return drains + self.plan.terms.back_within
+    def _time_limit(self) -> float:
+        drain_time = self.plan.terms.within if self.plan.action in ("restart", "retire") else 0.0
+        return drain_time + self.plan.terms.back_within
 
-    def _to(self, now: float, one: GatewayProgress, step: Step, why: str = "") -> None:
-        one.step, one.since, one.why = step, now, why
-        line = {"ev": step, "gateway": one.target.name}
-        self._due.append(AppendLine(line | ({"why": why} if why else {})))
+    def _set_step(self, now: float, progress: GatewayProgress, step: Step, why: str = "") -> None:
+        progress.step, progress.since, progress.why = step, now, why
+        line = {"ev": step, "gateway": progress.target.name}
+        self._decisions.append(AppendLine(line | ({"why": why} if why else {})))
 
-    # ---- what is decided -----------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
     def decide(self, now: float) -> Decision | None:
-        if not self._due and not self.over:
-            self._next(now)
-        return self._due.popleft() if self._due else None
-
-    def _next(self, now: float) -> None:
-        some = list(self.gateways.values())
-        moving = [o for o in some if o.step in UNDER_WAY_STEPS]
-        left = [o for o in some if o.step == "planned"]
-        if not self.stopped:
-            self.stopped = self._trouble(some)
-            if self.stopped:
-                self._due.append(AppendLine({"ev": "stopped", "why": self.stopped}))
-        if not moving and (self.stopped or not left):
-            self.over = True
-            if not self.stopped:
-                self._due.append(AppendLine({"ev": "ended"}))
-            self._due.append(Finished(not self.stopped, self.stopped))
+        if not self._decisions and not self.finished:
+            self._decide_next(now)
+        return self._decisions.popleft() if self._decisions else None
+
+    def _decide_next(self, now: float) -> None:
+        all_progress = list(self.gateways.values())
+        under_way = [o for o in all_progress if o.step in UNDER_WAY_STEPS]
+        waiting = [o for o in all_progress if o.step == "planned"]
+        if not self.stop_reason:
+            self.stop_reason = self._reason_to_stop(all_progress)
+            if self.stop_reason:
+                self._decisions.append(AppendLine({"ev": "stopped", "why": self.stop_reason}))
+        if not under_way and (self.stop_reason or not waiting):
+            self.finished = True
+            if not self.stop_reason:
+                self._decisions.append(AppendLine({"ev": "ended"}))
+            self._decisions.append(Finished(not self.stop_reason, self.stop_reason))
             return
-        for one in moving:
-            if not one.asking and now >= one.ask_at:
-                self._ask(now, one)
-        if self.stopped:
-            return  # what is under way is brought to its end, nothing new begins
-        hall = next((o.target.zone for o in (moving or left)), "")
-        beginning = sum(o.asking for o in left)
-        for one in left:
-            if len(moving) + beginning >= self._most():
+        for progress in under_way:
+            if not progress.query_pending and now >= progress.next_query_at:
+                self._query(now, progress)
+        if self.stop_reason:
+            return  # gateways under way are finished, no other begins
+        zone = next((o.target.zone for o in (under_way or waiting)), "")
+        starting = sum(o.query_pending for o in waiting)
+        for progress in waiting:
+            if len(under_way) + starting >= self._max_concurrent():
                 return
-            if self.plan.terms.one_hall and one.target.zone != hall:
+            if self.plan.terms.one_hall and progress.target.zone != zone:
                 return
-            if not one.asking:
-                beginning += 1
-                self._ask(now, one)
+            if not progress.query_pending:
+                starting += 1
+                self._query(now, progress)
 
-    def _most(self) -> int:
+    def _max_concurrent(self) -> int:
         terms = self.plan.terms
-        most = max(1, terms.at_once)
-        return max(1, min(most, int(terms.share * len(self.gateways)))) if terms.share > 0 else most
+        limit = max(1, terms.at_once)
+        return max(1, min(limit, int(terms.share * len(self.gateways)))) if terms.share > 0 else limit
 
-    def _ask(self, now: float, one: GatewayProgress) -> None:
-        one.asking, one.ask_at = True, now + self.ASKED_EVERY
-        self._due.append(QueryGateway(one.target.name))
+    def _query(self, now: float, progress: GatewayProgress) -> None:
+        progress.query_pending, progress.next_query_at = True, now + self.QUERY_INTERVAL_S
+        self._decisions.append(QueryGateway(progress.target.name))
 
-    def _trouble(self, some: Sequence[GatewayProgress]) -> str:
-        """Why nothing more is begun, empty if it may be."""
-        failed = [o for o in some if o.step == "failed"]
-        if len(failed) - self._forgiven >= max(1, self.plan.terms.failures):
+    def _reason_to_stop(self, all_progress: Sequence[GatewayProgress]) -> str:
+        """Returns why no further gateway may begin, empty if one may."""
+        failed = [o for o in all_progress if o.step == "failed"]
+        if len(failed) - self._earlier_failures >= max(1, self.plan.terms.failures):
             return f"{len(failed)} failed: " + "; ".join(f"{o.target.name}: {o.why}" for o in failed[:3])
         share = self.joins.failure_share()
         if share is not None and self.baseline is not None and share > self.baseline + self.plan.terms.worse:
             before = f"{100 * self.baseline:.1f}% before"
             return f"{100 * share:.1f}% of viewings are turned away or fail, {before}"
         joins = list(self.joins.p99.values())
-        most = self.plan.terms.slow_ms
-        if most and joins and (middle := median(joins)) > most:
-            return f"joins take {middle:.0f} ms at the 99th percentile, {most:g} are allowed"
+        limit = self.plan.terms.slow_ms
+        if limit and joins and (median_p99 := median(joins)) > limit:
+            return f"joins take {median_p99:.0f} ms at the 99th percentile, {limit:g} are allowed"
         return ""
 
     def on_baseline_measured(self, joins: JoinStatistics) -> None:
-        """What joins were like before the first step; kept, so that a resumed plan goes by the same."""
+        """Takes the join statistics from before the first step.
+
+        Their failure share is stored, so that a resumed plan uses the same.
+        """
         share = joins.failure_share()
         if self.baseline is None and share is not None:
             self.baseline = share
-            self._due.append(AppendLine({"ev": "baseline", "share": round(share, 6)}))
+            self._decisions.append(AppendLine({"ev": "baseline", "share": round(share, 6)}))
 
     def wake_at(self, now: float) -> float | None:
-        """When to ask again what is under way."""
-        if self._due:
+        """Returns when to call `decide` again, None if no query is due."""
+        if self._decisions:
             return now
-        moving = [o for o in self.gateways.values() if o.step in UNDER_WAY_STEPS]
-        asks = [o.ask_at for o in moving if not o.asking]
-        return min(asks, default=None)
+        under_way = [o for o in self.gateways.values() if o.step in UNDER_WAY_STEPS]
+        query_times = [o.next_query_at for o in under_way if not o.query_pending]
+        return min(query_times, default=None)
 
     def count_by_step(self) -> dict[str, int]:
-        """How many are at each step."""
+        """Returns the number of gateways at each step."""
         out: dict[str, int] = {}
-        for one in self.gateways.values():
-            out[one.step] = out.get(one.step, 0) + 1
+        for progress in self.gateways.values():
+            out[progress.step] = out.get(progress.step, 0) + 1
         return out
 
 
 def preview_groups(plan: Plan) -> list[list[str]]:
-    """Which gateways would be under way together, in order: what `--plan` shows."""
+    """Returns the groups of gateways that would be under way together, in order, as `--plan` prints them."""
     rolling = RollingChange(0.0, plan)
-    most = rolling._most()
+    limit = rolling._max_concurrent()
     groups: list[list[Target]] = []
     for target in order_targets(plan.targets):
         last = groups[-1] if groups else None
-        new_hall = plan.terms.one_hall and last is not None and last[-1].zone != target.zone
-        if last is None or len(last) >= most or new_hall:
+        new_zone = plan.terms.one_hall and last is not None and last[-1].zone != target.zone
+        if last is None or len(last) >= limit or new_zone:
             groups.append([target])
         else:
             last.append(target)
--- a/ledgehitch/fleet/screen.py
+++ b/ledgehitch/fleet/screen.py
@@ -1,7 +1,7 @@
-"""The terminal interface: halls, gateways, media hosts and a running plan, live; it only looks.
+"""Read-only terminal interface: zones, gateways, media hosts and a running plan, updated live.
 
-What is shown comes from a feed that asks in a process of its own, so that a gateway that stalls never holds
-up a key press; what is older than it should be is shown as such.
+The data comes from a feed that queries the gateways in a separate process, so that a stalled gateway does not
+delay key presses. Data older than a few periods is marked as old.
 """
 
 import asyncio
@@ -19,12 +19,12 @@
 from ledgehitch.fleet.found import QueryResult, count_by_kind
 from ledgehitch.fleet.show import KIND_COLOURS, host_lines, plan_summary, zone_rows
 
-STALE_AFTER_PERIODS = 3.0  # times the period after which what is shown is called old
+STALE_AFTER_PERIODS = 3.0  # periods without an update after which the data is marked as old
 Feed = Callable[[], Awaitable[tuple[list[QueryResult], list[dict[str, Any]]]]]
 
 
 class FleetScreen(App[None]):
-    """`feed` gives what each gateway was found to be, and the lines of the newest plan."""
+    """The application. `feed` returns the query results and the journal lines of the newest plan."""
 
     TITLE = "ledgehitch fleet"
     CSS = """
@@ -45,14 +45,14 @@
         self.feed, self.zones, self.every = feed, zones, every
         self.found: list[QueryResult] = []
         self.lines: list[dict[str, Any]] = []
-        self.asked_at = 0.0
+        self.updated_at = 0.0
         self.problem = ""
         self.only_trouble = False
-        self._asking: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
 
     def compose(self) -> ComposeResult:
         yield Header(show_clock=True)
-        yield Static("asking ...", id="news")
+        yield Static("querying ...", id="news")
         yield DataTable(id="halls", cursor_type="none")
         with Horizontal():
             with Vertical():
@@ -62,72 +62,83 @@
         yield Footer()
 
     def on_mount(self) -> None:
-        halls = ("hall", "gateways", "viewings", "asked", "not let play", "p99")
-        self.query_one("#halls", DataTable).add_columns(*halls)
+        zone_table = ("hall", "gateways", "viewings", "asked", "not let play", "p99")
+        self.query_one("#halls", DataTable).add_columns(*zone_table)
         names = ("gateway", "hall", "is", "viewings", "asked", "blocked", "p50", "p99", "up", "why")
         self.query_one("#gateways", DataTable).add_columns(*names)
         self.set_interval(self.every, self.action_now)
-        self.set_interval(0.5, self._say_age)
+        self.set_interval(0.5, self._show_status)
         self.action_now()
 
-    # ---- what comes ----------------------------------------------------------------------------------------
+    # ---- queries -------------------------------------------------------------------------------------------
 
     def action_now(self) -> None:
-        """Asks, unless it is asking already."""
-        if self._asking is None or self._asking.done():
-            self._asking = asyncio.get_running_loop().create_task(self._ask())
+        """Queries the gateways, unless a query is pending."""
+        if self._fetch_task is None or self._fetch_task.done():
+            self._fetch_task = asyncio.get_running_loop().create_task(self._fetch())
 
-    async def _ask(self) -> None:
+    async def _fetch(self) -> None:
         try:
             self.found, self.lines = await self.feed()
-            self.asked_at, self.problem = time.monotonic(), ""
-        except (OSError, ValueError, msgspec.MsgspecError) as wrong:
-            self.problem = str(wrong)
+            self.updated_at, self.problem = time.monotonic(), ""
+        except (OSError, ValueError, msgspec.MsgspecError) as error:
+            self.problem = str(error)
         self._show()
 
     def action_trouble(self) -> None:
         self.only_trouble = not self.only_trouble
         self._show()
 
-    # ---- what is shown -------------------------------------------------------------------------------------
+    # ---- display -------------------------------------------------------------------------------------------
 
-    def _say_age(self) -> None:
-        age = time.monotonic() - self.asked_at if self.asked_at else 0.0
+    def _show_status(self) -> None:
+        age = time.monotonic() - self.updated_at if self.updated_at else 0.0
         old = age > STALE_AFTER_PERIODS * self.every
-        word = ", ".join(f"{n} {kind}" for kind, n in count_by_kind(self.found).items()) or "asking ..."
+        status = ", ".join(f"{n} {kind}" for kind, n in count_by_kind(self.found).items()) or "querying ..."
         if self.problem:
-            word = f"{word}; not asked: {self.problem}"
+            status = f"{status}; query failed: {self.problem}"
         if old:
-            word = f"{word}; this is {age:.0f} s old"
-        self.query_one("#news", Static).update(Text(word, style="bold red" if old or self.problem else ""))
+            status = f"{status}; data is {age:.0f} s old"
+        self.query_one("#news", Static).update(Text(status, style="bold red" if old or self.problem else ""))
 
     def _show(self) -> None:
-        halls = self.query_one("#halls", DataTable)
-        halls.clear()
+        zone_table = self.query_one("#halls", DataTable)
+        zone_table.clear()
         for row in zone_rows(self.found, self.zones):
-            halls.add_row(*row)
+            zone_table.add_row(*row)
         table = self.query_one("#gateways", DataTable)
-        at = self._chosen()
+        selected = self._selected_name()
         table.clear()
-        shown = [f for f in self.found if not self.only_trouble or f.kind != "answered"]
-        for f in shown:
-            table.add_row(*self._row(f), key=f.name)
-        if at in [f.name for f in shown]:
-            table.move_cursor(row=[f.name for f in shown].index(at))
+        shown = [result for result in self.found if not self.only_trouble or result.kind != "answered"]
+        for result in shown:
+            table.add_row(*self._row_of(result), key=result.name)
+        if selected in [result.name for result in shown]:
+            table.move_cursor(row=[result.name for result in shown].index(selected))
         self.query_one("#plan", Static).update("\n".join(plan_summary(self.lines)))
-        self._show_one()
-        self._say_age()
-
-    def _row(self, f: QueryResult) -> Sequence[Any]:
-        kind = Text(f.kind, style=KIND_COLOURS.get(f.kind, "bold red"))
-        if f.state is None:
-            return f.name, self.zones.get(f.name, ""), kind, "-", "-", "-", "-", "-", "-", f.why
-        s, c = f.state, f.state.counts
+        self._show_selected()
+        self._show_status()
+
+    def _row_of(self, result: QueryResult) -> Sequence[Any]:
+        kind = Text(result.kind, style=KIND_COLOURS.get(result.kind, "bold red"))
+        if result.state is None:
+            return (
+                result.name,
+                self.zones.get(result.name, ""),
+                kind,
+                "-",
+                "-",
+                "-",
+                "-",
+                "-",
+                "-",
+                result.why,
+            )
+        s, c = result.state, result.state.counts
         joins = [f"{s.joins_ms[q]:.0f}" if q in s.joins_ms else "-" for q in ("50", "99")]
         figures = s.viewings, c.asked, c.blocked + c.turned_away, *joins, f"{s.up_s:.0f} s"
-        return f.name, self.zones.get(f.name, ""), kind, *figures, f.why
+        return result.name, self.zones.get(result.name, ""), kind, *figures, result.why
 
-    def _chosen(self) -> str:
+    def _selected_name(self) -> str:
         table = self.query_one("#gateways", DataTable)
         if not table.row_count or table.cursor_row >= table.row_count:
             return ""
@@ -135,20 +146,20 @@
         return str(key)
 
     def on_data_table_row_highlighted(self, _: DataTable.RowHighlighted) -> None:
-        self._show_one()
+        self._show_selected()
 
-    def _show_one(self) -> None:
-        """The gateway that is chosen: what it holds, whom it sees."""
-        name = self._chosen()
-        one = next((f for f in self.found if f.name == name), None)
+    def _show_selected(self) -> None:
+        """Shows the selected gateway: its process, the members it sees, its media hosts."""
+        name = self._selected_name()
+        selected = next((result for result in self.found if result.name == name), None)
         side = self.query_one("#side", Static)
-        if one is None:
+        if selected is None:
             side.update("")
             return
-        lines = [f"[b]{one.name}[/b]  {one.kind}", one.why]
-        if one.state is not None:
-            s = one.state
-            lines += [f"process {s.pid}, life {s.boot}", f"{s.phase} for {s.for_s:.0f} s"]
+        lines = [f"[b]{selected.name}[/b]  {selected.kind}", selected.why]
+        if selected.state is not None:
+            s = selected.state
+            lines += [f"process {s.pid}, boot {s.boot}", f"{s.phase} for {s.for_s:.0f} s"]
             lines += [f"started by {s.started_by}"] if s.started_by else []
             gone = [f"{n} {status}" for n, status in s.members.items() if status != "alive"]
             lines += ["", f"sees {len(s.members)} others" + (f": {', '.join(gone[:6])}" if gone else "")]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons and fleets: lives, places, journals, plans cut off anywhere, answers judged, daemons restarted."""
+"""Daemons and fleets: life cycle, state directories, journals, interrupted plans, restarts."""
 
 import asyncio
 import json
@@ -76,14 +76,14 @@
 """
 
 
-# ---- a life ------------------------------------------------------------------------------------------------
+# ---- life cycle of a daemon --------------------------------------------------------------------------------
 
 
 def pulled(life: Life, now: float) -> list[Any]:
     return list(iter(lambda: life.decide(now), None))
 
 
-def test_a_drain_waits_for_what_plays_and_ends_the_rest_at_its_limit() -> None:
+def test_drain_waits_for_viewings_and_ends_the_rest_at_its_limit() -> None:
     life = Life(T, 3.0)
     life.on_serving(T)
     assert pulled(life, T) == [Admit(True), NotifySupervisor("READY=1\nSTATUS=serves")]
@@ -91,7 +91,7 @@
     assert life.drain(T, 10.0, "restart", "plan-1/g0") and life.phase == "draining"
     assert pulled(life, T)[:1] == [Admit(False)] and pulled(life, T + 9.9) == []
     assert pulled(life, T + 10.0) == [EndAllViewings()] and str(life.phase) == "ending"
-    life.on_viewing_count(T + 10.05, 1)  # it was owed its answer when the limit passed
+    life.on_viewing_count(T + 10.05, 1)  # its answer was pending when the limit passed
     assert pulled(life, T + 10.2) == [EndAllViewings()]
     life.on_viewing_count(T + 10.3, 0)
     assert pulled(life, T + 10.4) == [CheckStart()] and str(life.phase) == "drained"
@@ -100,22 +100,24 @@
     assert not life.drain(T + 11, 0.0, "stop", "late") and pulled(life, T + 20) == []
 
 
-def test_a_drain_is_never_weakened_and_only_one_that_stays_is_taken_back() -> None:
+def test_drain_is_never_weakened_and_only_one_without_exit_can_be_undone() -> None:
     life = Life(T, 3.0)
     life.on_serving(T)
     life.on_viewing_count(T, 1)
     assert life.drain(T, 100.0, "stay", "an operator")
-    assert not life.drain(T, 200.0, "stay", "another"), "longer changes nothing"
+    assert not life.drain(T, 200.0, "stay", "another"), "a longer limit changes nothing"
     assert life.drain(T, 50.0, "stay", "shorter") and life.drain_deadline == T + 50.0
     assert life.undrain(T + 1) and life.phase == "ready" and pulled(life, T + 1)[-2:][0] == Admit(True)
     assert life.drain(T + 2, 9.0, "stop", "SIGTERM") and not life.undrain(T + 3)
     assert not life.drain(T + 3, 90.0, "restart", "weaker") and life.then == "stop"
-    assert life.drain(T + 4, 0.0, "stop", "SIGTERM again"), "a second one hurries"
+    assert life.drain(T + 4, 0.0, "stop", "SIGTERM again"), "a second signal ends it at once"
     assert EndAllViewings() in pulled(life, T + 4)
-    assert Exit(0, False) in pulled(life, T + 4 + 3.0 + 1.1), "one that never ends does not hold it for good"
+    assert Exit(0, False) in pulled(life, T + 4 + 3.0 + 1.1), (
+        "a viewing that never ends does not block the exit"
+    )
 
 
-def test_a_life_whose_successor_does_not_start_goes_on() -> None:
+def test_daemon_keeps_serving_if_its_successor_does_not_start() -> None:
     life = Life(T, 3.0)
     life.on_serving(T)
     life.drain(T, 0.0, "restart", "p/g0")
@@ -125,10 +127,10 @@
     assert life.drain(T + 2, 0.0, "restart", "again") and CheckStart() in pulled(life, T + 2)
     assert life.drain(T + 3, 0.0, "stop", "SIGTERM") and Exit(0, False) in pulled(life, T + 3)
     life.on_start_check(T + 4, True)
-    assert pulled(life, T + 4) == [], "it was told to stop meanwhile"
+    assert pulled(life, T + 4) == [], "it was stopped in the meantime"
 
 
-def test_a_drained_gateway_stays_and_takes_viewings_again() -> None:
+def test_drained_gateway_can_be_undrained() -> None:
     life = Life(T, 3.0)
     life.on_serving(T)
     life.drain(T, 5.0, "stay", "x")
@@ -139,7 +141,7 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_a_life_admits_only_while_ready_and_is_over_once(seed: int) -> None:
+def test_life_cycle_admits_only_while_ready_and_exits_once(seed: int) -> None:
     chance = random.Random(seed)
     life, now, admits, over, held = Life(T, 3.0), T, False, 0, 0
     for _ in range(80):
@@ -156,7 +158,7 @@
                 held = max(0, held + chance.choice([-2, -1, 1]) if admits else held - chance.randrange(2))
                 life.on_viewing_count(now, held)
         while (decision := life.decide(now)) is not None:
-            assert over == 0, "nothing after the end"
+            assert over == 0, "no decision after the exit"
             match decision:
                 case Admit(open):
                     admits = open
@@ -170,7 +172,7 @@
         assert admits == (life.phase == "ready")
 
 
-def test_a_place_is_one_processs_and_a_killed_ones_is_taken_over(tmp_path: Path) -> None:
+def test_state_directory_has_one_process_and_is_taken_over_after_a_kill(tmp_path: Path) -> None:
     place = Place(tmp_path / "state", "g0")
     assert place.stale == 0 and holder(tmp_path / "state", "g0") == os.getpid()
     words = [sys.executable, "-c", TAKES_IT, str(tmp_path / "state")]
@@ -185,7 +187,7 @@
     assert Place(tmp_path / "state", "g0").stale == 0
 
 
-def test_the_supervisor_is_told_by_datagrams_and_its_absence_harms_nobody(tmp_path: Path) -> None:
+def test_supervisor_is_notified_by_datagrams_and_may_be_absent(tmp_path: Path) -> None:
     with socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as sock:
         sock.bind(str(tmp_path / "notify"))
         there = Supervisor({"NOTIFY_SOCKET": str(tmp_path / "notify"), "WATCHDOG_USEC": "4000000"})
@@ -197,7 +199,7 @@
     assert Supervisor({"WATCHDOG_USEC": "4000000", "WATCHDOG_PID": "1"}).every == 0.0
 
 
-def test_a_log_file_that_was_moved_away_is_opened_anew(tmp_path: Path) -> None:
+def test_rotated_log_file_is_reopened(tmp_path: Path) -> None:
     file = LogFile(tmp_path / "log")
     file.write("one\n")
     (tmp_path / "log").rename(tmp_path / "log.1")
@@ -208,10 +210,10 @@
     (tmp_path / "log").rename(tmp_path / "log.2")
     (tmp_path / "log").mkdir()
     file.reopen()
-    assert "not opened anew" in (tmp_path / "log.2").read_text(), "the old one goes on"
+    assert "not opened anew" in (tmp_path / "log.2").read_text(), "the old file is still written"
 
 
-def test_a_loop_that_stands_still_ends_with_the_place_where_it_stood() -> None:
+def test_watchdog_ends_a_stuck_loop_and_prints_its_stack() -> None:
     code = """
 import sys
 from ledgehitch.daemon.watchdog import Watchdog
@@ -225,7 +227,7 @@
     assert ended.returncode == 70 and "in stuck" in ended.stdout
 
 
-def test_why_is_told_in_plain_words() -> None:
+def test_decisions_on_a_viewing_are_explained() -> None:
     entries = [
         ["asked", 1.0, 7, "recorded", "clip-1", 2, 3, 3, 4.0],
         ["asked", 1.0, 8, "live", "clip-2", 0, 1, 3, 4.0],
@@ -249,7 +251,7 @@
     assert explain_entries(entries, 8)[-1].endswith("-> blocked, come again in 2.0 s")
 
 
-# ---- what a gateway turned out to be -----------------------------------------------------------------------
+# ---- answers to status queries -----------------------------------------------------------------------------
 
 
 def state(name: str, boot: str = "b0", phase: str = "ready", started_by: str = "", **more: Any) -> State:
@@ -257,7 +259,7 @@
     return State(name, boot, "0", VERSION, 1, phase, "", 1.0, 1.0, started_by, 0, counts, {}, config, **more)
 
 
-def test_answers_are_judged_for_what_they_are() -> None:
+def test_answers_are_classified() -> None:
     target = Target("g0", "unix:x")
     good = msgspec.json.encode(state("g0"))
 
@@ -271,7 +273,7 @@
     assert kind(msgspec.json.encode(state("g0", phase="drained"))) == "draining"
 
 
-def test_each_gateway_is_reported_as_what_it_is_though_some_stall(tmp_path: Path) -> None:
+def test_each_gateway_is_classified_though_some_stall(tmp_path: Path) -> None:
     loop = Loop()
 
     def at(name: str) -> str:
@@ -306,7 +308,9 @@
         names = ["good", "fake", *stalled, "drips", "old", "dead"]
         began = time.monotonic()
         found = Caller(loop, 2.0).ask_all([Target(n, at(n)) for n in names])
-        assert time.monotonic() - began < 12.0, "those that stall are asked side by side, not for 18 s"
+        assert time.monotonic() - began < 12.0, (
+            "stalled gateways are queried concurrently, not for 18 s in total"
+        )
         return found
 
     found = {f.name: f.kind for f in loop.run(main)}
@@ -325,11 +329,11 @@
 TARGETS = [Target(f"g{n}", f"unix:{n}", f"hall-{n % 2}", f"r{n % 4}") for n in range(8)]
 
 
-def test_a_journal_cut_off_at_any_byte_gives_its_whole_lines(tmp_path: Path) -> None:
+def test_journal_truncated_at_any_byte_yields_its_complete_lines(tmp_path: Path) -> None:
     path, lock = tmp_path / "p.journal", tmp_path / "lock"
     plan = Plan("p", "restart", TARGETS)
     journal = Journal(path, lock)
-    with pytest.raises(BadInput, match=f"another tool works on this fleet: process {os.getpid()}"):
+    with pytest.raises(BadInput, match=f"another tool is changing this fleet: process {os.getpid()}"):
         Journal(path, lock)
     journal.append(head_line(plan))
     for n in range(4):
@@ -347,18 +351,16 @@
     assert plan_at_head(read_lines(path), path) == plan and unfinished_journals(tmp_path) == [path]
     for at in (5, ends[1] + 25):
         path.write_bytes(whole[:at] + b"?" + whole[at + 1 :])
-        with pytest.raises(BadInput, match="does not fit its checksum"):
+        with pytest.raises(BadInput, match="checksum mismatch, the line is damaged"):
             read_lines(path)
 
 
-def test_a_full_disk_stops_the_tool_before_it_touches_anything(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_full_disk_stops_the_tool_before_any_call(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     journal = Journal(tmp_path / "p.journal", tmp_path / "lock")
     journal.append(head_line(Plan("p", "restart", TARGETS)))
     real = os.pwrite
     monkeypatch.setattr(os, "pwrite", lambda fd, data, at: real(fd, data[:9], at))
-    with pytest.raises(BadInput, match="nothing more is done: No space left"):
+    with pytest.raises(BadInput, match="no further step is carried out: No space left"):
         journal.append({"ev": "intended", "gateway": "g0", "boot": "b"})
     monkeypatch.undo()
     assert [line["ev"] for line in read_lines(tmp_path / "p.journal")] == ["plan"]
@@ -368,14 +370,16 @@
 
 
 class Gateways:
-    """A fleet in miniature behind a plan: lives, restarts that take time, calls and answers that are lost."""
+    """A simulated fleet: restarts take time, calls and answers may be lost."""
 
     def __init__(self, chance: random.Random, lossy: float = 0.0) -> None:
         self.chance, self.lossy, self.now = chance, lossy, T
         self.lives = {t.name: 1 for t in TARGETS}
         self.by = {t.name: "" for t in TARGETS}
-        self.away: dict[str, float] = {}  # until when a restart takes
-        self.restarts: dict[str, list[str]] = {t.name: [] for t in TARGETS}  # tickets carried out
+        self.away: dict[str, float] = {}  # end of the restart, by gateway
+        self.restarts: dict[str, list[str]] = {
+            t.name: [] for t in TARGETS
+        }  # tickets of the restarts carried out
         self.broken: set[str] = set()
         self.blocked = 0
         self.most_away = 0
@@ -401,19 +405,19 @@
 
     def call(self, call: CallGateway) -> tuple[int, str]:
         if self.chance.random() < self.lossy:
-            return 0, "lost on its way"
+            return 0, "call lost"
         if self.now < self.away.get(call.name, 0.0) or call.name in self.broken:
             return 0, "nobody listens"
         if call.if_boot != self.boot(call.name):
-            return 412, "another life"
+            return 412, "another boot"
         self.restart(call.name, call.ticket)
-        return (0, "its answer was lost") if self.chance.random() < self.lossy else (200, "")
+        return (0, "answer lost") if self.chance.random() < self.lossy else (200, "")
 
 
 def rolled(
     gateways: Gateways, rolling: RollingChange, journal: Callable[[dict[str, Any]], None], steps: int = 4000
 ) -> Iterator[Any]:
-    """Carries a plan out; gives each decision before it is carried out, so that it can be cut off there."""
+    """Carries out a plan; yields each decision before it is carried out, so that a test can stop there."""
     for _ in range(steps):
         while (decision := rolling.decide(gateways.now)) is not None:
             yield decision
@@ -427,10 +431,10 @@
                 case Finished():
                     return
         gateways.now += 0.1
-    raise AssertionError("it never came to its end")
+    raise AssertionError("the plan did not end within the allowed steps")
 
 
-def test_a_restart_goes_hall_by_hall_and_never_over_its_number() -> None:
+def test_restart_goes_zone_by_zone_within_its_concurrency_limit() -> None:
     plan = Plan("p", "restart", TARGETS, Terms(at_once=3, settle=0.5))
     assert preview_groups(plan) == [["g0", "g4", "g2"], ["g6"], ["g1", "g5", "g3"], ["g7"]]
     gateways, lines = Gateways(random.Random(1)), list[dict[str, Any]]()
@@ -438,14 +442,14 @@
     assert last == Finished(True, "") and all(len(r) == 1 for r in gateways.restarts.values())
     assert gateways.most_away <= 3
     order = [line["gateway"] for line in lines if line["ev"] == "intended"]
-    assert {name[1] for name in order[:4]} == {"0", "2", "4", "6"}, "one hall after the other"
+    assert {name[1] for name in order[:4]} == {"0", "2", "4", "6"}, "one zone after the other"
     share = Terms(at_once=8, share=0.25)
     assert max(map(len, preview_groups(Plan("p", "restart", TARGETS, share)))) == 2
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_cut_off_anywhere_and_resumed_no_gateway_is_touched_twice_or_left_out(seed: int) -> None:
+def test_interrupted_and_resumed_plan_restarts_each_gateway_once(seed: int) -> None:
     chance = random.Random(seed)
     plan = Plan(
         "p",
@@ -460,9 +464,9 @@
         for number, decision in enumerate(rolled(gateways, rolling, lines.append)):
             if number == cut:
                 if isinstance(decision, CallGateway) and chance.random() < 0.5:
-                    gateways.call(decision)  # sent, and cut off before its answer was noted
+                    gateways.call(decision)  # sent, but stopped before the answer is recorded
                 break
-        if rolling.over:
+        if rolling.finished:
             break
         gateways.now += chance.choice([0.0, 1.0, 10.0])
     for name, tickets in gateways.restarts.items():
@@ -473,13 +477,13 @@
 
 
 class Fenced(Gateways):
-    """Gateways that hear terms: a step below the highest heard is refused, one that is late comes all the
-    same, and who drains says for which plan."""
+    """Gateways with fencing: calls below the highest known term are refused, late calls still arrive, and a
+    draining gateway names the ticket of its drain."""
 
     def __init__(self, chance: random.Random) -> None:
         super().__init__(chance)
         self.known = dict.fromkeys(self.lives, 0)
-        self.drains: dict[str, tuple[float, str]] = {}  # until when, for which ticket
+        self.drains: dict[str, tuple[float, str]] = {}  # end of the drain, ticket
         self.late: list[tuple[int, CallGateway]] = []
         self.most_under_way = 0
 
@@ -505,7 +509,7 @@
             return 409, "a higher term is known"
         self.known[call.name] = term
         if call.if_boot != self.boot(call.name):
-            return 412, "another life"
+            return 412, "another boot"
         self.drains.setdefault(call.name, (self.now + self.chance.uniform(0.0, 2.0), call.ticket))
         return 200, ""
 
@@ -520,15 +524,15 @@
 
 @settings(max_examples=120, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_owners_that_die_anywhere_restart_each_once_and_never_more_at_once(seed: int) -> None:
-    """Each owner knows nothing of the one before; calls of former ones arrive after the next has begun."""
+def test_owner_failover_restarts_each_gateway_once_within_the_limit(seed: int) -> None:
+    """Each owner starts without state; calls of former owners may arrive after the next one has begun."""
     chance = random.Random(seed)
     most = chance.randrange(1, 4)
     plan = Plan("p", "restart", TARGETS, Terms(at_once=most, settle=0.2, failures=9))
     gateways, term = Fenced(chance), 0
     while True:
         term += 1
-        rolling, cut = RollingChange(gateways.now, plan, (), learnt=True), chance.randrange(1, 120)
+        rolling, cut = RollingChange(gateways.now, plan, (), without_journal=True), chance.randrange(1, 120)
         for _ in range(cut):
             decision = rolling.decide(gateways.now)
             if decision is None:
@@ -540,34 +544,38 @@
                 rolling.on_query_result(gateways.now, gateways.told(decision.name, term))
             elif isinstance(decision, CallGateway):
                 if chance.random() < 0.3:
-                    gateways.late.append((term, decision))  # on its way when its owner dies
+                    gateways.late.append((term, decision))  # in flight when its owner dies
                     break
                 rolling.on_call_result(gateways.now, decision.name, *gateways.step(term, decision))
-            if rolling.over:
+            if rolling.finished:
                 break
-        if rolling.over:
+        if rolling.finished:
             break
         assert term < 200
     assert all(tickets == [f"p/{name}"] for name, tickets in gateways.restarts.items())
     assert gateways.most_under_way <= most and set(rolling.count_by_step()) == {"done"}
 
 
-def test_a_gateway_that_is_not_seen_holds_its_place_until_it_is_overdue() -> None:
+def test_gateway_without_answer_counts_as_under_way_until_its_time_limit() -> None:
     plan = Plan("p", "restart", TARGETS[:3], Terms(settle=0.0, within=0.0, back_within=5.0))
-    rolling, now, asked = RollingChange(T, plan, (), learnt=True), T, list[str]()
-    while not rolling.over and now < T + 20:
+    rolling, now, asked = RollingChange(T, plan, (), without_journal=True), T, list[str]()
+    while not rolling.finished and now < T + 20:
         while (decision := rolling.decide(now)) is not None:
-            assert not isinstance(decision, CallGateway), "one may be between two lives: no other is touched"
+            assert not isinstance(decision, CallGateway), "one may be restarting: no other may be called"
             if isinstance(decision, QueryGateway):
                 asked.append(decision.name)
                 there = decision.name != "g1"
                 found = QueryResult(decision.name, "answered", state=state(decision.name)) if there else None
                 rolling.on_query_result(now, found or QueryResult(decision.name, "silent", "nothing"))
         now += 0.1
-    assert rolling.stopped.startswith("1 failed: g1: not seen in 5 s") and set(asked) == {"g0", "g1", "g2"}
+    assert rolling.stop_reason.startswith("1 failed: g1: not seen in 5 s") and set(asked) == {
+        "g0",
+        "g1",
+        "g2",
+    }
 
 
-def test_who_owns_a_duty_is_told_as_what_it_is() -> None:
+def test_duty_ownership_is_classified() -> None:
     def says(name: str, owner: str = "", mine: bool = False, term: int = 3, **more: Any) -> OwnersAnswer:
         told = {
             "owner": owner,
@@ -609,7 +617,7 @@
     assert read_owners("g0", 409, b"").why == "it answers 409"
 
 
-def test_what_an_operators_word_makes_of_the_plan_that_is_held() -> None:
+def test_operator_commands_change_the_stored_plan() -> None:
     known = {t.name: msgspec.structs.replace(t, at=f"unix:via/{t.name}") for t in TARGETS}
     raw = msgspec.to_builtins(Plan("p", "restart", TARGETS[:2]))
 
@@ -623,7 +631,9 @@
         assert said(None, do) == (409, "no plan is under way")
     begun = said(None, "begin", raw)
     assert (begun.version, begun.word, plan_id_of(begun)) == (0, "go", "p")
-    assert [t["at"] for t in begun.plan["targets"]] == ["unix:via/g0", "unix:via/g1"], "the owner's ways"
+    assert [t["at"] for t in begun.plan["targets"]] == ["unix:via/g0", "unix:via/g1"], (
+        "addresses from the owner's site"
+    )
     assert said(begun, "begin", raw) is begun and said(begun, "resume") is begun
     assert said(begun, "begin", {**raw, "id": "q"})[0] == 409
     stopped = said(begun, "stop")
@@ -643,7 +653,7 @@
     assert latest_plan([None, *later]) == later[1] and latest_plan([None]) is None
 
 
-def test_a_plan_that_was_left_is_kept_and_an_older_or_strange_one_is_not(tmp_path: Path) -> None:
+def test_plan_is_stored_and_an_older_or_unknown_version_is_not(tmp_path: Path) -> None:
     plans = Plans(tmp_path / "g0.plan")
     words = PlanMessage(duty="restarts", term=4, owner="g1", version=2, word="go", plan={"id": "p"})
     assert plans.accept(words) and not plans.accept(msgspec.structs.replace(words, term=3, version=9))
@@ -660,28 +670,28 @@
     assert strange.held is None and "it is of version 2" in strange.why
 
 
-def test_who_was_restarted_by_somebody_else_is_not_touched_and_who_stays_away_stops_the_plan() -> None:
+def test_gateway_restarted_by_another_is_skipped_and_a_missing_one_stops_the_plan() -> None:
     plan = Plan("p", "restart", TARGETS, Terms(settle=0.2, back_within=5.0, within=0.0))
     gateways, lines = Gateways(random.Random(3)), list[dict[str, Any]]()
     rolling = RollingChange(T, plan)
     for decision in rolled(gateways, rolling, lines.append):
         if isinstance(decision, CallGateway) and decision.name == "g4":
-            gateways.restart("g4", "somebody")  # between what was found and the call
+            gateways.restart("g4", "somebody")  # between the query and the call
         if isinstance(decision, CallGateway) and decision.name == "g2":
             gateways.broken.add("g2")
     assert gateways.restarts["g4"] == ["somebody"] and rolling.gateways["g4"].step == "skipped"
-    assert rolling.gateways["g2"].step == "failed" and rolling.stopped.startswith(
+    assert rolling.gateways["g2"].step == "failed" and rolling.stop_reason.startswith(
         "1 failed: g2: not back in 5 s"
     )
-    assert sum(map(len, gateways.restarts.values())) < 4, "nothing new began"
+    assert sum(map(len, gateways.restarts.values())) < 4, "no further gateway began"
     gateways.broken.clear()
     again = RollingChange(gateways.now, plan, [*lines, {"ev": "again"}])
     assert list(rolled(gateways, again, lines.append))[-1] == Finished(True, "")
     assert all(len(r) == 1 for r in gateways.restarts.values())
 
 
-def test_who_comes_back_as_it_should_not_be_fails_with_the_reason() -> None:
-    """With an old config, an old version of the program, as another, or not letting the tool in any more."""
+def test_gateway_that_comes_back_wrong_fails_with_the_reason() -> None:
+    """Old config, old program version, another gateway at the address, or an expired certificate."""
     old = state("g0", "new", started_by="p/g0", config={"runs": "old"})
     odd = {
         "old config": QueryResult("g0", "answered", state=old),
@@ -693,7 +703,7 @@
     for what, found in odd.items():
         plan = Plan("p", "restart", TARGETS[:1], Terms(settle=0.0, back_within=1.0, within=0.0), digest="now")
         rolling, now, called = RollingChange(T, plan), T, 0
-        while not rolling.over:
+        while not rolling.finished:
             while (decision := rolling.decide(now)) is not None:
                 if isinstance(decision, QueryGateway):
                     first = QueryResult("g0", "answered", state=state("g0", config={"runs": "now"}))
@@ -710,7 +720,7 @@
     assert "refused: the certificate of 'ops' expired 3 s ago" in said["expired"]
 
 
-def test_joins_that_get_worse_stop_the_plan() -> None:
+def test_rising_share_of_failed_joins_stops_the_plan() -> None:
     plan = Plan("p", "restart", TARGETS, Terms(settle=2.0))
     gateways, lines = Gateways(random.Random(4)), list[dict[str, Any]]()
     rolling = RollingChange(T, plan)
@@ -727,11 +737,11 @@
             rolling.on_query_result(gateways.now, gateways.ask(t.name)) if rolling.gateways[
                 t.name
             ].step == "done" else None
-    assert "turned away or fail, 0.0% before" in rolling.stopped
+    assert "turned away or fail, 0.0% before" in rolling.stop_reason
     assert rolling.count_by_step().get("planned", 0) > 0
 
 
-def test_joins_that_get_slow_in_the_median_stop_the_plan() -> None:
+def test_slow_median_join_time_stops_the_plan() -> None:
     plan = Plan("p", "restart", TARGETS, Terms(settle=0.0, slow_ms=800.0))
     for p99s, stops in (((300.0, 400.0, 5000.0), False), ((300.0, 900.0, 950.0), True)):
         rolling = RollingChange(T, plan)
@@ -739,14 +749,14 @@
             told = msgspec.structs.replace(state(t.name), joins_ms={"99": p99})
             rolling.joins.add(QueryResult(t.name, "answered", state=told))
         rolling.decide(T)
-        assert (rolling.stopped == "joins take 900 ms at the 99th percentile, 800 are allowed") == stops
+        assert (rolling.stop_reason == "joins take 900 ms at the 99th percentile, 800 are allowed") == stops
 
 
-def test_a_reload_is_done_where_the_new_version_runs() -> None:
+def test_reload_is_done_when_the_new_config_runs() -> None:
     plan = Plan("p", "reload", TARGETS[:2], Terms(settle=0.0, back_within=2.0), digest="new")
     rolling, runs, calls = RollingChange(T, plan), {"g0": "new", "g1": "old"}, list[str]()
     now = T
-    while not rolling.over:
+    while not rolling.finished:
         while (decision := rolling.decide(now)) is not None:
             if isinstance(decision, QueryGateway):
                 told = state(decision.name, config={"runs": runs[decision.name]})
@@ -777,14 +787,14 @@
 
 
 class Daemons:
-    """Gateways of a small site as daemons on loopback, ended by their numbers."""
+    """Gateways of a small site as daemons on loopback, each ended through its process handle."""
 
     def __init__(self, directory: Path, gateways: int) -> None:
         self.directory = directory
         self.site = _site_of(gateways)
         (directory / "site.json").write_bytes(msgspec.json.encode(self.site))
         self.children: dict[str, subprocess.Popen[str]] = {}
-        self.root = ROOT  # whose program the daemons run
+        self.root = ROOT  # directory of the program that the daemons run
         words = [sys.executable, "-c", LISTS, self.site.list_at]
         self.lists = subprocess.Popen(words, stdout=subprocess.PIPE, text=True, cwd=ROOT)
         assert self.lists.stdout is not None and self.lists.stdout.readline()
@@ -859,7 +869,7 @@
     return site_of(msgspec.convert(raw, Day), 1, free_ports(1 + 3 * gateways))
 
 
-def test_real_daemons_are_restarted_once_each_and_told_truthfully(tmp_path: Path) -> None:
+def test_real_daemons_are_restarted_once_each(tmp_path: Path) -> None:
     daemons = Daemons(tmp_path, 3)
     try:
         for name in ("g0", "g1"):
@@ -876,7 +886,7 @@
         told = {f["name"]: f["state"] for f in json.loads(answer.stdout)}
         assert all(s["started_by"].endswith(f"restart/{n}") and s["pid"] == pids[n] for n, s in told.items())
         assert daemons.fleet("log").stdout.count("done") == 2
-        # One that is stopped is told as silent, and a plan that meets it stops and can be gone on with.
+        # A suspended gateway is reported as silent; a plan that meets it stops and can be resumed.
         daemons.children["g1"].send_signal(signal.SIGSTOP)
         stopped = daemons.fleet("--within", "3", "drain", "g0", "g1")
         assert stopped.returncode == 1 and "g1: silent" in stopped.stderr
@@ -893,7 +903,7 @@
     assert codes == {"g0": 0, "g1": 0}
 
 
-def test_a_restart_into_a_broken_release_leaves_the_old_life_at_work(tmp_path: Path) -> None:
+def test_restart_into_a_broken_release_keeps_the_old_process_serving(tmp_path: Path) -> None:
     without = shutil.ignore_patterns("__pycache__")
     shutil.copytree(ROOT / "ledgehitch", tmp_path / "ledgehitch", ignore=without)
     daemons = Daemons(tmp_path, 1)
@@ -916,7 +926,7 @@
         assert daemons.end() == {"g0": 0}
 
 
-def test_a_daemon_is_called_over_tls_by_who_may(tmp_path: Path) -> None:
+def test_admin_calls_over_tls_are_authorized_by_role(tmp_path: Path) -> None:
     keys = Keys(tmp_path / "keys")
     keys.new_authority("fleet", time.time())
     for name, role in (("g0", "gateway"), ("ops", "operate"), ("eyes", "look"), ("gone", "operate")):
@@ -962,7 +972,7 @@
         assert daemons.end() == {"g0": 0}
 
 
-def test_a_gateway_that_drains_sends_viewers_elsewhere_and_ends_what_plays_at_its_limit() -> None:
+def test_draining_gateway_redirects_viewers_and_ends_viewings_at_its_limit() -> None:
     def day(rig: Rig) -> None:
         rig.gateway.frontend.other_gateway = lambda: "127.0.0.1:9"
         place = str(rig.offer(1).header("location"))
@@ -1004,7 +1014,7 @@
 ]
 
 
-def test_what_is_shown_of_halls_hosts_and_plans() -> None:
+def test_rows_and_lines_of_zones_hosts_and_plans() -> None:
     assert zone_rows(SEEN, {"g0": "north", "g1": "north", "g2": "south"}) == [
         ("north", "1 of 2", "0", "100", "6.0%", "-"),
         ("south", "0 of 1", "0", "0", "-", "-"),
@@ -1019,7 +1029,7 @@
     assert plan_summary([]) == []
 
 
-def test_the_screen_goes_on_while_a_question_hangs_and_says_what_is_old() -> None:
+def test_screen_stays_responsive_while_a_query_hangs_and_marks_old_data() -> None:
     asked = 0
 
     async def feed() -> tuple[list[QueryResult], list[dict[str, Any]]]:
@@ -1042,26 +1052,26 @@
             assert table.row_count == 3 and asked == 1
             assert "1 answered, 1 draining, 1 silent" in str(screen.query_one("#news", Static).render())
             await pilot.press("down", "t")
-            assert table.row_count == 2, "only those in trouble"
+            assert table.row_count == 2, "only gateways with problems"
             await pilot.press("r")
             await pilot.pause(0.05)
-            assert "not asked: the site does not read" in str(screen.query_one("#news", Static).render())
+            assert "query failed: the site does not read" in str(screen.query_one("#news", Static).render())
             await pilot.press("r")
             await pilot.pause(0.05)
             assert asked == 3
             await pilot.press("t", "r")
-            assert table.row_count == 3 and asked == 3, "keys are heard; nothing is asked twice at once"
-            screen.asked_at -= 5 * 3600.0
-            screen._say_age()
+            assert table.row_count == 3 and asked == 3, "keys are handled; one query at a time"
+            screen.updated_at -= 5 * 3600.0
+            screen._show_status()
             assert "s old" in str(screen.query_one("#news", Static).render())
 
     asyncio.run(look())
 
 
-# ---- what comes spoilt -------------------------------------------------------------------------------------
+# ---- malformed input ---------------------------------------------------------------------------------------
 
 
-def test_spoilt_input_of_all_kinds_is_refused_and_leaves_nothing_behind() -> None:
+def test_malformed_input_is_refused_and_leaves_no_state() -> None:
     fed = Fed(random.Random(7))
     for _ in range(400):
         fed.datagram()
@@ -1075,7 +1085,7 @@
     assert len(fed.members._pending) < 100 and len(fed.members._indirect) < 400
 
 
-def test_a_call_that_does_not_read_is_answered_with_the_reason() -> None:
+def test_malformed_admin_call_is_answered_with_the_reason() -> None:
     def day(rig: Rig) -> None:
         life = Life(time.monotonic(), 3.0)
         admin = Admin(rig.gateway, life, "", lambda: None)
@@ -1120,7 +1130,7 @@
     Rig().run(day)
 
 
-def test_why_is_answered_from_the_record_while_the_gateway_serves() -> None:
+def test_decisions_are_explained_from_the_record_while_serving() -> None:
     def day(rig: Rig) -> None:
         rig.offer(1)
         admin = Admin(rig.gateway, Life(time.monotonic(), 3.0), "", lambda: None)
