--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -62,7 +62,7 @@
         self._disk_retry_at = 0.0
 
     def pull(self) -> None:
-        """Carries out all pending decisions and schedules the next call."""
+        """Carries state all pending decisions and schedules the next call."""
         owning = self.owning
         now = owning.now()
         owning.update_membership(self)
@@ -139,7 +139,7 @@
         self.owning.membership.send(send.recipient, encode(send.message))
 
     def finish_writing(self) -> None:
-        """Waits for the write in progress and stops the scope: no further decision is carried out."""
+        """Waits for the write in progress and stops the scope: no further decision is carried state."""
         while self.pending_write is not None:
             self.pending_write.wait()
         if self._timer is not None:
@@ -166,27 +166,34 @@
         self.regions = {g: r.name for r in regions for g in r.gateways}
         regional_duties = tuple(d for d in DUTIES if d in REGIONAL_DUTIES) if regions else ()
         store = SnapshotStore(directory / f"{name}.owners", private=True, synced=True)
-        held = self._read_votes(store, "")
+        stored = self._read_votes(store, "")
         global_duties = tuple(duty for duty in DUTIES if duty not in regional_duties)
         global_scope = self._new_scope(
-            site, "", stated(site), global_duties, store, held, regions, random.Random(seed)
+            site, "", stated(site), global_duties, store, stored, regions, random.Random(seed)
         )
         durable = global_scope.owners.durable
         loan_timeout = loan_duration(durable.lists.max_recorded_lease()) + max(
             p.patience for p in site.packages
         )
-        waits = bool(durable.lists.former) and durable.lists.regions != regions_digest(regions)
-        stored_shares = held.get("shares") if durable.intact and held is not None else None
-        shares = initial_shares(self.region, regions, stated(site), stored_shares, waits)
+        share_delayed = bool(durable.lists.former) and durable.lists.regions != regions_digest(regions)
+        stored_shares = stored.get("shares") if durable.intact and stored is not None else None
+        shares = initial_shares(self.region, regions, stated(site), stored_shares, share_delayed)
         durable.set_shares(self._boottime(), shares, vote_duration(loan_timeout))
         self.scopes = [global_scope]
         if regions:
-            inside = next(r.gateways for r in regions if r.name == self.region)
+            voters = next(r.gateways for r in regions if r.name == self.region)
             store = SnapshotStore(directory / f"{name}.owners-region", private=True, synced=True)
-            held = self._read_votes(store, self.region)
+            stored = self._read_votes(store, self.region)
             self.scopes.append(
                 self._new_scope(
-                    site, self.region, inside, regional_duties, store, held, regions, random.Random(seed + 1)
+                    site,
+                    self.region,
+                    voters,
+                    regional_duties,
+                    store,
+                    stored,
+                    regions,
+                    random.Random(seed + 1),
                 )
             )
         self._scopes_by_number = [self.scope_of(duty) for duty in DUTIES]
@@ -203,22 +210,22 @@
         self,
         site: Site,
         region: str,
-        names: tuple[str, ...],
+        voters: tuple[str, ...],
         duties: tuple[str, ...],
         store: SnapshotStore,
-        held: Any,
+        stored: Any,
         regions: Sequence[Region],
         rng: random.Random,
     ) -> Scope:
-        now, numbered = self._boottime(), tuple(self.membership.names)
-        gone = frozenset(set(numbered) - set(stated(site)))
+        now, gateway_names = self._boottime(), tuple(self.membership.names)
+        gone = frozenset(set(gateway_names) - set(stated(site)))
         durable = DurableState(
             now,
             self.name,
-            names,
+            voters,
             duties,
             site.owners.lease,
-            held,
+            stored,
             secrets.randbits(32),
             own_part=site.budgets.own_part,
             gone=gone,
@@ -226,11 +233,11 @@
             scope=region,
         )
         listed = set(durable.lists.current) | set(durable.lists.former)
-        members = [n for n, gateway in enumerate(numbered) if not region or gateway in listed]
+        members = [n for n, gateway in enumerate(gateway_names) if not region or gateway in listed]
         owners = Owners(
             now,
-            numbered.index(self.name),
-            numbered,
+            gateway_names.index(self.name),
+            gateway_names,
             durable,
             rng,
             members,
@@ -245,6 +252,7 @@
 
     @property
     def disk_error(self) -> str:
+        """The reason of the last failed write of any scope, else empty."""
         return next((scope.disk_error for scope in self.scopes if scope.disk_error), "")
 
     def scope_of(self, duty: str) -> Scope:
@@ -257,24 +265,25 @@
         return WHOLE if shares is None else shares.in_force()
 
     def share_to_lend(self) -> int:
-        """Returns the parts of that share that a lender of this region may lend out."""
+        """Returns the parts of that share that a lender of this region may lend state."""
         shares, lists = self.owners.durable.shares, self.scope_of(BUDGETS).owners.durable.lists
         return WHOLE if shares is None else shares.lendable(lists.max_own_part(), bool(lists.former))
 
     @staticmethod
     def _boottime() -> float:
+        """Returns the seconds since boot, time in suspension included."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def _read_votes(self, store: SnapshotStore, scope: str) -> Any:
         """Returns the stored record, or None if it is missing or invalid; an invalid one is logged."""
         try:
-            held = store.read()
-            if isinstance(held, dict):
+            stored = store.read()
+            if isinstance(stored, dict):
                 # The checksum does not cover the meaning: another version may have written other fields.
-                DurableState(0.0, self.name, (self.name,), DUTIES, 1.0, held, 0, scope=scope)
-                if held.get("shares") is not None:
-                    initial_shares("", (), (), held["shares"], False)
-                return held
+                DurableState(0.0, self.name, (self.name,), DUTIES, 1.0, stored, 0, scope=scope)
+                if stored.get("shares") is not None:
+                    initial_shares("", (), (), stored["shares"], False)
+                return stored
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as wrong:
             log.error("stored votes are invalid and treated as lost", why=repr(wrong))
         return None
@@ -308,7 +317,7 @@
         scope.pull()
 
     def pull(self) -> None:
-        """Carries out the pending decisions of all scopes."""
+        """Carries state the pending decisions of all scopes."""
         for scope in self.scopes:
             scope.pull()
 
@@ -357,7 +366,7 @@
         scope.pull()
 
     def accept_effect(self, duty: str, term: int, owner: str) -> int:
-        """Returns 0 if an effect received under `term` may be carried out, else the highest known term.
+        """Returns 0 if an effect received under `term` may be carried state, else the highest known term.
 
         The term is on disk before 0 is returned.
         """
@@ -388,7 +397,7 @@
             scope.pull()
 
     def close(self) -> None:
-        """Stops voting and all work of duties, and waits for the writes in progress."""
+        """Stops voting and all work of duties, and share_delayed for the writes in progress."""
         self.membership.on_other_message = None
         for scope in self.scopes:
             scope.finish_writing()
@@ -401,24 +410,24 @@
         If the site has regions, each regional duty names its region, and the voting state of the region is
         listed under `region`.
         """
-        now, out = self.now(), self.owners.state(self.now())
+        now, state = self.now(), self.owners.state(self.now())
         for scope in self.scopes[1:]:
-            inside = scope.owners.state(now)
-            duties = inside.pop("duties")
-            out["duties"] |= {duty: status | {"region": scope.region} for duty, status in duties.items()}
-            out["region"] = inside | {"name": scope.region, "disk": scope.disk_error}
+            region_state = scope.owners.state(now)
+            duties = region_state.pop("duties")
+            state["duties"] |= {duty: status | {"region": scope.region} for duty, status in duties.items()}
+            state["region"] = region_state | {"name": scope.region, "disk": scope.disk_error}
         shares = self.owners.durable.shares
         if shares is not None:
-            out["share"] = {
+            state["share"] = {
                 "in_force": shares.in_force(),
                 "stated": shares.stated_share(),
                 "whole": WHOLE,
                 "go_by_it": sorted(self.owners.durable.on_current),
             }
-        for duty, status in out["duties"].items():
+        for duty, status in state["duties"].items():
             status["doing"] = self.work[duty].doing() if status["mine"] and duty in self.work else ""
         frames = dict(self.membership.frames.rejected)
-        return out | {
+        return state | {
             "disk": self.disk_error,
             "bad_words": dict(self.rejected_messages),
             "lease": self.owners.lease,
