--- a/ledgehitch/standins/__init__.py
+++ b/ledgehitch/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for what a gateway meets: media hosts, list service, viewers, the network between gateways.
+"""Simulated peers of a gateway for tests: media hosts, list service, viewers, the network between gateways.
 
-They know nothing of a gateway's insides and decide nothing for it; each runs from one seed and takes faults
+They use only a gateway's public protocols. Each is seeded, so that a run can be repeated, and injects faults
 on command. Start reading at `world.py` and `viewers.py`; `links.py` and `places.py` are free of I/O.
 """
--- a/ledgehitch/standins/cuts.py
+++ b/ledgehitch/standins/cuts.py
@@ -1,7 +1,7 @@
-"""Which way between two gateways is open, and what happens to what goes over it. Free of I/O.
+"""Network partitions and message faults between gateways. Free of I/O.
 
-One definition for the wires of a rehearsal on loopback and for members in virtual time. Ways are one way:
-(who sends, who hears). What is said last about a way counts.
+Shared by the proxies of a rehearsal on loopback and by members in virtual time. Paths are directed:
+(sender, recipient). The last setting of a path applies.
 """
 
 import random
@@ -11,8 +11,10 @@
 
 @dataclass(frozen=True)
 class Bad:
-    """What a way does to messages: shares of them that are lost and doubled, seconds by which each is late
-    (drawn up to it, so that they overtake each other)."""
+    """Message faults of a path: shares of messages lost and duplicated, and the largest delay in seconds.
+
+    Each delay is drawn between 0 and `late`, so that messages are reordered.
+    """
 
     loss: float = 0.0
     doubled: float = 0.0
@@ -20,6 +22,8 @@
 
 
 class Cuts:
+    """The partitions and message faults that are set for all directed paths."""
+
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
         self.shut: set[tuple[str, str]] = set()
@@ -27,26 +31,28 @@
         self.everywhere = Bad()
 
     def cut(self, some: Iterable[str], others: Iterable[str], back: bool = True, there: bool = True) -> None:
-        """Nothing of what `some` send reaches `others` (`there`), and the reverse (`back`)."""
-        these, those = list(some), list(others)
-        for a in these:
-            for b in those:
+        """Blocks messages from `some` to `others` (`there`) and from `others` to `some` (`back`)."""
+        senders, recipients = list(some), list(others)
+        for a in senders:
+            for b in recipients:
                 if a != b:
                     self.shut |= {(a, b)} if there else set()
                     self.shut |= {(b, a)} if back else set()
 
     def heal(self) -> None:
+        """Removes all partitions and message faults."""
         self.shut, self.bad, self.everywhere = set(), {}, Bad()
 
     def open(self, sender: str, to: str) -> bool:
+        """Returns whether messages from `sender` can reach `to`."""
         return (sender, to) not in self.shut
 
     def arrives(self, sender: str, to: str) -> list[float]:
-        """After how many seconds each copy of a message arrives; empty where it is lost."""
+        """Returns the delay in seconds of each copy of a message; empty if the message is lost."""
         if not self.open(sender, to):
             return []
         bad = self.bad.get((sender, to), self.everywhere)
         if self.chance.random() < bad.loss:
             return []
-        times = 1 + (self.chance.random() < bad.doubled)
-        return [self.chance.uniform(0.0, bad.late) for _ in range(times)]
+        copies = 1 + (self.chance.random() < bad.doubled)
+        return [self.chance.uniform(0.0, bad.late) for _ in range(copies)]
--- a/ledgehitch/standins/faults.py
+++ b/ledgehitch/standins/faults.py
@@ -1,6 +1,6 @@
-"""What each kind of fault does to media hosts, links, the list and the network between gateways. Free of I/O.
+"""Fault injection for media hosts, links, the list service and the network between gateways. Free of I/O.
 
-One definition for the stand-ins on loopback and for the model: both are a `Stage` to it.
+Shared by the simulators on loopback and by the model; each implements `Stage`.
 """
 
 import random
@@ -10,14 +10,14 @@
 from ledgehitch.config import KINDS, Fault
 from ledgehitch.standins.links import Fabric, Link
 
-NOTICE = 1.0  # seconds after which the list notices a dead process; a silent machine takes four times that
+DETECTION_S = 1.0  # until the list service detects a dead process; a silent machine takes four times that
 
 
 class Troubles:
-    """What is wrong with one host now; each is switched on and off by the faults."""
+    """The faults that are active at one host."""
 
     def __init__(self) -> None:
-        self.silent = False  # vanished: nothing is answered, nothing is sent
+        self.silent = False  # vanished: answers and sends nothing
         self.hangs = False
         self.slower = 1.0
         self.errors = 0.0
@@ -27,6 +27,8 @@
 
 
 class Host(Protocol):
+    """A media host that faults act on."""
+
     name: str
     troubles: Troubles
 
@@ -37,6 +39,8 @@
 
 
 class List(Protocol):
+    """The list service; `later` is the delay in seconds that faults add."""
+
     delay: float
     later: float
 
@@ -45,12 +49,16 @@
 
 
 class Network(Protocol):
+    """The network between gateways; `lost_more` is the loss probability of the active fault."""
+
     lost_more: float
 
 
 class Stage(Protocol):
-    """What faults act on. `listed` tells the list service a host's state; `replace` swaps a drained host for
-    a cold successor."""
+    """The simulated fleet that faults act on.
+
+    `listed` reports a host's state to the list service. `replace` swaps a drained host for a cold successor.
+    """
 
     fabric: Fabric
 
@@ -68,86 +76,90 @@
 
 
 class Faults:
+    """Starts faults on a stage and schedules their ends."""
+
     def __init__(self, stage: Stage, chance: random.Random) -> None:
         self.stage, self.chance = stage, chance
 
     def begin(self, fault: Fault) -> list[str]:
-        """Starts a fault that ends by itself; whom it meets."""
+        """Starts a fault, which ends after its length, and returns the names of what it affects."""
         kind = KINDS[fault.kind]
         up = self.stage.in_service()
         if kind.whom in ("hosts", "links"):
-            met = self.chance.sample(up, max(1, round(fault.part * len(up)))) if up else []
+            affected = self.chance.sample(up, max(1, round(fault.part * len(up)))) if up else []
         elif kind.whom == "uplinks":
             racks = sorted(self.stage.fabric.uplinks)
-            met = [str(r) for r in self.chance.sample(racks, max(1, round(fault.part * len(racks))))]
+            affected = [str(r) for r in self.chance.sample(racks, max(1, round(fault.part * len(racks))))]
         else:
-            met = [kind.whom]
-        getattr(self, "_" + fault.kind)(met, fault)
-        return met
+            affected = [kind.whom]
+        getattr(self, "_" + fault.kind)(affected, fault)
+        return affected
 
     def _after(self, seconds: float, call: Callable[..., None], *args: Any) -> None:
         self.stage.after(seconds, lambda: call(*args))
 
     # ---- media hosts ---------------------------------------------------------------------------------------
 
-    def _crash(self, met: list[str], fault: Fault) -> None:
-        for name in met:
+    def _crash(self, affected: list[str], fault: Fault) -> None:
+        for name in affected:
             host = self.stage.hosts[name]
             host.stop()
-            self._after(NOTICE, self._noticed, host)
-            self._after(fault.len, self._back, host)
+            self._after(DETECTION_S, self._detect_failure, host)
+            self._after(fault.len, self._restart, host)
 
-    def _noticed(self, host: Host) -> None:
+    def _detect_failure(self, host: Host) -> None:
         if not host.up or host.troubles.silent:
             self.stage.listed(host, "terminated")
 
-    def _back(self, host: Host) -> None:
+    def _restart(self, host: Host) -> None:
         if host.up:
             host.stop()
         host.start(cold=True)
         self.stage.listed(host, "in_service")
 
-    def _vanish(self, met: list[str], fault: Fault) -> None:
-        for name in met:
+    def _vanish(self, affected: list[str], fault: Fault) -> None:
+        for name in affected:
             host = self.stage.hosts[name]
             host.troubles.silent = True
-            self._after(4 * NOTICE, self._noticed, host)
-            self._after(fault.len, self._back, host)
-
-    def _while(self, met: list[str], fault: Fault, on: dict[str, Any], off: dict[str, Any]) -> None:
-        """Sets what is wrong with hosts, and takes it back unless they started anew meanwhile."""
-        for name in met:
+            self._after(4 * DETECTION_S, self._detect_failure, host)
+            self._after(fault.len, self._restart, host)
+
+    def _set_while_active(
+        self, affected: list[str], fault: Fault, on: dict[str, Any], off: dict[str, Any]
+    ) -> None:
+        """Sets faults of hosts for the fault's length; a restart in between has cleared them already."""
+        for name in affected:
             troubles = self.stage.hosts[name].troubles
             for field, value in on.items():
                 setattr(troubles, field, value)
 
-            def over(troubles: Any = troubles) -> None:
+            def end(troubles: Any = troubles) -> None:
                 for field, value in off.items():
                     setattr(troubles, field, value)
 
-            self._after(fault.len, over)
+            self._after(fault.len, end)
 
-    def _hang(self, met: list[str], fault: Fault) -> None:
-        self._while(met, fault, {"hangs": True}, {"hangs": False})
+    def _hang(self, affected: list[str], fault: Fault) -> None:
+        self._set_while_active(affected, fault, {"hangs": True}, {"hangs": False})
 
-    def _slow(self, met: list[str], fault: Fault) -> None:
-        self._while(met, fault, {"slower": fault.strength()}, {"slower": 1.0})
-        self._link_shrink(met, fault)
+    def _slow(self, affected: list[str], fault: Fault) -> None:
+        self._set_while_active(affected, fault, {"slower": fault.strength()}, {"slower": 1.0})
+        self._link_shrink(affected, fault)
 
-    def _fast_errors(self, met: list[str], fault: Fault) -> None:
-        self._while(met, fault, {"errors": fault.strength()}, {"errors": 0.0})
+    def _fast_errors(self, affected: list[str], fault: Fault) -> None:
+        self._set_while_active(affected, fault, {"errors": fault.strength()}, {"errors": 0.0})
 
-    def _answers_lost(self, met: list[str], fault: Fault) -> None:
+    def _answers_lost(self, affected: list[str], fault: Fault) -> None:
         on = {"lost": fault.strength(), "lost_resets": bool(fault.extra)}
-        self._while(met, fault, on, {"lost": 0.0, "lost_resets": False})
+        self._set_while_active(affected, fault, on, {"lost": 0.0, "lost_resets": False})
 
-    def _bad_answers(self, met: list[str], fault: Fault) -> None:
-        self._while(met, fault, {"bad": fault.strength()}, {"bad": 0.0})
+    def _bad_answers(self, affected: list[str], fault: Fault) -> None:
+        self._set_while_active(affected, fault, {"bad": fault.strength()}, {"bad": 0.0})
 
-    def _deploy(self, met: list[str], fault: Fault) -> None:
-        whole = len(self.stage.hosts)
-        batch = max(1, round(fault.strength() * whole)) if fault.size else max(1, len(met) // 3)
-        batches = [met[i : i + batch] for i in range(0, len(met), batch)]
+    def _deploy(self, affected: list[str], fault: Fault) -> None:
+        host_count = len(self.stage.hosts)
+        batch = max(1, round(fault.strength() * host_count)) if fault.size else max(1, len(affected) // 3)
+        batches = [affected[i : i + batch] for i in range(0, len(affected), batch)]
         drain = fault.extra if fault.extra is not None else 2.0
         for i, names in enumerate(batches):
             start = i * max(drain, fault.len / max(1, len(batches)))
@@ -167,49 +179,49 @@
         for link in links:
             link.divided_by *= fault.strength()
 
-        def over() -> None:
+        def end() -> None:
             for link in links:
                 link.divided_by /= fault.strength()
 
-        self._after(fault.len, over)
+        self._after(fault.len, end)
 
-    def _link_shrink(self, met: list[str], fault: Fault) -> None:
-        self._shrink([self.stage.fabric.links[name] for name in met], fault)
+    def _link_shrink(self, affected: list[str], fault: Fault) -> None:
+        self._shrink([self.stage.fabric.links[name] for name in affected], fault)
 
-    def _uplink_shrink(self, met: list[str], fault: Fault) -> None:
-        self._shrink([self.stage.fabric.uplinks[int(rack)] for rack in met], fault)
+    def _uplink_shrink(self, affected: list[str], fault: Fault) -> None:
+        self._shrink([self.stage.fabric.uplinks[int(rack)] for rack in affected], fault)
 
-    def _neighbour(self, met: list[str], fault: Fault) -> None:
+    def _neighbour(self, affected: list[str], fault: Fault) -> None:
         ends = self.stage.now() + fault.len
-        for name in met:
-            self._turn(self.stage.fabric.links[name], fault, ends, True)
+        for name in affected:
+            self._toggle(self.stage.fabric.links[name], fault, ends, True)
 
-    def _turn(self, link: Link, fault: Fault, ends: float, on: bool) -> None:
-        over = self.stage.now() >= ends
-        link.taken = fault.strength() if on and not over else 0.0
-        if not over:
-            self._after(fault.further(), self._turn, link, fault, ends, not on)
+    def _toggle(self, link: Link, fault: Fault, ends: float, on: bool) -> None:
+        ended = self.stage.now() >= ends
+        link.taken = fault.strength() if on and not ended else 0.0
+        if not ended:
+            self._after(fault.further(), self._toggle, link, fault, ends, not on)
 
     # ---- the list and the network between gateways ---------------------------------------------------------
 
-    def _list_late(self, met: list[str], fault: Fault) -> None:
+    def _list_late(self, affected: list[str], fault: Fault) -> None:
         lists = self.stage.lists
         lists.later += fault.strength()
 
-        def over() -> None:
+        def end() -> None:
             lists.later = max(0.0, lists.later - fault.strength())
 
-        self._after(fault.len, over)
+        self._after(fault.len, end)
 
-    def _list_lost(self, met: list[str], fault: Fault) -> None:
+    def _list_lost(self, affected: list[str], fault: Fault) -> None:
         self.stage.lists.shut()
         self._after(fault.len, self.stage.lists.open)
 
-    def _peers_lost(self, met: list[str], fault: Fault) -> None:
+    def _peers_lost(self, affected: list[str], fault: Fault) -> None:
         network = self.stage.network
         network.lost_more = fault.strength()
 
-        def over() -> None:
+        def end() -> None:
             network.lost_more = 0.0
 
-        self._after(fault.len, over)
+        self._after(fault.len, end)
--- a/ledgehitch/standins/links.py
+++ b/ledgehitch/standins/links.py
@@ -1,29 +1,32 @@
-"""Links of media hosts, uplinks of racks: what is asked and given, and the cut that all get. Free of I/O."""
+"""Bandwidth model of media hosts' links and racks' uplinks: demand, capacity and fair shares. Free of I/O."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-BEAT = 0.25  # seconds between looks at what links deliver
-Kinds = tuple[tuple[int, float], ...]  # of a note: 1 share delivered, 3 and 4 use of link and uplink
-SHORT_UNDER = 0.999  # share delivered under which a host tells of a shortfall
+BEAT = 0.25  # seconds between updates of what links deliver
+Kinds = tuple[
+    tuple[int, float], ...
+]  # (kind, value) of a note: 1 share delivered, 3 and 4 utilization of link and uplink
+SHORT_UNDER = 0.999  # share delivered below which a host reports a shortfall
 
 
 @dataclass
 class Link:
-    """A place that gives `kb` kB a second, less what troubles take."""
+    """A link with a capacity of `kb` kB a second, less what faults take."""
 
     kb: float
     divided_by: float = 1.0
-    taken: float = 0.0  # share that another program takes
+    taken: float = 0.0  # share of the capacity that other traffic takes
 
     @property
     def gives(self) -> float:
+        """Returns the available capacity in kB a second."""
         return max(1e-9, self.kb / self.divided_by * (1 - self.taken))
 
 
 @dataclass
 class Delivery:
-    """What one host's viewings get: the share delivered; use of link and uplink (asked over given)."""
+    """The share delivered to a host's viewings; utilization of link and uplink (demand over capacity)."""
 
     share: float = 1.0
     link: float = 0.0
@@ -32,63 +35,71 @@
 
 @dataclass
 class Fabric:
-    """Links by host, uplinks by rack, and which rack a host stands in."""
+    """Links by host, uplinks by rack, and the rack of each host."""
 
     links: dict[str, Link] = field(default_factory=dict)
     uplinks: dict[int, Link] = field(default_factory=dict)
     rack_of: dict[str, int] = field(default_factory=dict)
 
     def deliveries(self, asked: Mapping[str, float]) -> dict[str, Delivery]:
-        """By host, from what its viewings ask in kB a second: at each place all get the same cut, and who
-        crosses two that are short gets the smaller."""
-        cuts = {host: min(1.0, self.links[host].gives / max(kb, 1e-9)) for host, kb in asked.items()}
-        on_rack: dict[int, list[str]] = {}
+        """Returns the delivery of each host, from the demand of its viewings in kB a second.
+
+        All flows over a link get the same share. A flow over two overloaded links gets the smaller share.
+        """
+        link_shares = {host: min(1.0, self.links[host].gives / max(kb, 1e-9)) for host, kb in asked.items()}
+        hosts_by_rack: dict[int, list[str]] = {}
         for host in asked:
-            on_rack.setdefault(self.rack_of[host], []).append(host)
-        told = {}
-        for rack, hosts in on_rack.items():
-            gives = self.uplinks[rack].gives
-            cut = _level([(cuts[host], asked[host]) for host in hosts], gives)
-            uplink = sum(asked[host] * cuts[host] for host in hosts) / gives
+            hosts_by_rack.setdefault(self.rack_of[host], []).append(host)
+        deliveries = {}
+        for rack, hosts in hosts_by_rack.items():
+            capacity = self.uplinks[rack].gives
+            uplink_share = _fair_share([(link_shares[host], asked[host]) for host in hosts], capacity)
+            uplink = sum(asked[host] * link_shares[host] for host in hosts) / capacity
             for host in hosts:
                 link = asked[host] / self.links[host].gives
-                told[host] = Delivery(min(cuts[host], cut), link, uplink)
-        return told
+                deliveries[host] = Delivery(min(link_shares[host], uplink_share), link, uplink)
+        return deliveries
+
 
+def _fair_share(flows: Sequence[tuple[float, float]], capacity: float) -> float:
+    """Returns the max-min fair share of a link of `capacity` kB a second.
 
-def _level(flows: Sequence[tuple[float, float]], gives: float) -> float:
-    """The cut at a place that gives so much, of flows with (cut that they have already, kB asked): who is cut
-    deeper elsewhere takes less, and the rest share what that leaves."""
-    left, open_kb = gives, sum(kb for _, kb in flows)
-    for cut, kb in sorted(flows):
-        if open_kb <= 0 or cut * open_kb > left:
+    `flows` holds (share allowed by other links, kB a second demanded). Flows that are limited more elsewhere
+    take less here, and the others divide what remains.
+    """
+    remaining, open_kb = capacity, sum(kb for _, kb in flows)
+    for share, kb in sorted(flows):
+        if open_kb <= 0 or share * open_kb > remaining:
             break
-        left, open_kb = left - cut * kb, open_kb - kb
+        remaining, open_kb = remaining - share * kb, open_kb - kb
     else:
         return 1.0
-    return min(1.0, left / open_kb) if open_kb > 0 else 1.0
+    return min(1.0, remaining / open_kb) if open_kb > 0 else 1.0
 
 
 class Telling:
-    """Which notes media hosts owe their gateways: shortfalls every second, use as often as the site says."""
+    """Schedules hosts' notes to gateways: shortfalls each second, utilization every `told_every` seconds."""
 
     def __init__(self, now: float, told_every: float) -> None:
         self.told_every = told_every
-        self._last_short = self._last_use = now
-        self._was_short: set[str] = set()
+        self._last_shortfall_check = self._last_utilization = now
+        self._in_shortfall: set[str] = set()
 
-    def due(self, now: float, told: Mapping[str, Delivery]) -> tuple[bool, list[tuple[str, Kinds]]]:
-        """Whether a second has passed, and what hosts tell now: their name, with kinds and values."""
-        second = now - self._last_short >= 1.0 - 1e-9
+    def due(self, now: float, deliveries: Mapping[str, Delivery]) -> tuple[bool, list[tuple[str, Kinds]]]:
+        """Returns whether a second has passed, and the notes due now: host name, with kinds and values."""
+        second = now - self._last_shortfall_check >= 1.0 - 1e-9
         notes: list[tuple[str, Kinds]] = []
         if second:
-            self._last_short = now
-            for name in sorted(told):
-                share = told[name].share
-                if share < SHORT_UNDER or name in self._was_short:
+            self._last_shortfall_check = now
+            for name in sorted(deliveries):
+                share = deliveries[name].share
+                if share < SHORT_UNDER or name in self._in_shortfall:
                     notes.append((name, ((1, share),)))
-                (self._was_short.add if share < SHORT_UNDER else self._was_short.discard)(name)
-        if now - self._last_use >= self.told_every - 1e-9:
-            self._last_use = now
-            notes += [(name, ((3, told[name].link), (4, told[name].uplink))) for name in sorted(told)]
+                (self._in_shortfall.add if share < SHORT_UNDER else self._in_shortfall.discard)(name)
+        if now - self._last_utilization >= self.told_every - 1e-9:
+            self._last_utilization = now
+            notes += [
+                (name, ((3, deliveries[name].link), (4, deliveries[name].uplink)))
+                for name in sorted(deliveries)
+            ]
         return second, notes
--- a/ledgehitch/standins/lists.py
+++ b/ledgehitch/standins/lists.py
@@ -1,4 +1,4 @@
-"""The list service's stand-in: complete lists and changes to every gateway that follows, seconds late."""
+"""Simulated list service: streams the full list of media hosts and then changes, each after a delay."""
 
 import random
 import time
@@ -15,25 +15,28 @@
 
 
 class ListService:
+    """Serves GET /hosts as an event stream to each subscribed gateway; `delay` in seconds."""
+
     def __init__(self, loop: Loop, at: Endpoint, tape: Tape, delay: float, seed: int) -> None:
         self.loop, self.tape, self.delay = loop, tape, delay
         self.chance = random.Random(f"{seed}/list")
         self.epoch = f"{self.chance.randrange(1 << 32):08x}"
         self.version = 0
         self.lines: dict[str, Line] = {}
-        self.later = 0.0  # by how much a trouble makes news later
+        self.later = 0.0  # seconds that the active fault adds to the delay
         self.feeds: dict[str, Feed] = {}
         self.want_at = at
         self.server: Server | None = None
         self.open()
 
     def open(self) -> None:
+        """Starts to listen, unless it does already."""
         if self.server is None:
             self.server = Server(self.loop, self.want_at, self.handle)
             self.want_at = self.server.at
 
     def shut(self) -> None:
-        """The service is away: its streams end, nobody listens."""
+        """Simulates an outage: resets all streams and stops listening."""
         if self.server is not None:
             server, self.server = self.server, None
             for stream in list(server.open):
@@ -44,18 +47,19 @@
             self.feeds.clear()
 
     def handle(self, request: Request) -> Response:
+        """Subscribes a gateway and sends it the full list; an earlier subscription of it ends."""
         if request.path != "/hosts":
-            raise Refused(404, "nothing there")
+            raise Refused(404, f"path {request.path!r} is unknown: expected /hosts")
         gateway = request.query("gateway") or ""
-        old = self.feeds.pop(gateway, None)
-        if old is not None:
-            old.close()
+        previous = self.feeds.pop(gateway, None)
+        if previous is not None:
+            previous.close()
         feed = self.feeds[gateway] = Feed(self.loop)
-        feed.send(self._news("total", list(self.lines.values())))
-        first = {line["host"]: line["state"] for line in self.lines.values()}
+        feed.send(self._encode_update("total", list(self.lines.values())))
+        initial = {line["host"]: line["state"] for line in self.lines.values()}
 
         def stream(send: Callable[[bytes], None]) -> None:
-            for host, state in first.items():
+            for host, state in initial.items():
                 self.tape.write("told", gateway=gateway, host=host, state=state)
             try:
                 feed.send_all(send)
@@ -65,26 +69,26 @@
 
         return Response(200, [("Content-Type", "text/event-stream")], stream=stream)
 
-    def _news(self, name: str, rows: list[Line]) -> bytes:
-        told = {"epoch": self.epoch, "version": self.version, "rows": rows}
-        return encode_event(msgspec.json.encode(told).decode(), name, str(self.version))
+    def _encode_update(self, name: str, rows: list[Line]) -> bytes:
+        fields = {"epoch": self.epoch, "version": self.version, "rows": rows}
+        return encode_event(msgspec.json.encode(fields).decode(), name, str(self.version))
 
     def set(self, line: Line, at_once: bool = False) -> None:
-        """A host has a new state, of which the list learns after its delay."""
+        """Publishes a host's new state after the service's delay, or immediately if `at_once`."""
         wait = 0.0 if at_once else (self.delay + self.later) * self.chance.uniform(0.7, 1.3)
         if wait <= 0:
-            self._change(line)
+            self._publish(line)
         else:
-            self.loop.call_at(time.monotonic() + wait, lambda: self._change(line))
+            self.loop.call_at(time.monotonic() + wait, lambda: self._publish(line))
 
-    def _change(self, line: Line) -> None:
+    def _publish(self, line: Line) -> None:
         host = str(line["host"])
         self.version += 1
         if line["state"] == "terminated":
             self.lines.pop(host, None)
         else:
             self.lines[host] = line
-        news = self._news("incr", [line])
+        update = self._encode_update("incr", [line])
         for gateway, feed in list(self.feeds.items()):
-            feed.send(news)
+            feed.send(update)
             self.tape.write("told", gateway=gateway, host=host, state=line["state"])
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -1,4 +1,4 @@
-"""A media host's stand-in: WHEP and WHIP set-ups, sessions, notes, load reports, and the troubles it has."""
+"""Simulated media host: WHEP and WHIP set-ups, sessions, notes, load reports and injected faults."""
 
 import random
 import time
@@ -17,10 +17,12 @@
 from ledgehitch.standins.places import ORPHANED, Habits, Places
 
 LAYER = "urn:ietf:params:whep:ext:core:layer"
-NEVER = 1e9
+NEVER = 1e9  # a time later than any monotonic time
 
 
 class Session:
+    """One active viewing. `factor`: ratio of true to nominal rate; `seen`: time of the last keep-alive."""
+
     __slots__ = ("id", "key", "gateway", "viewing_id", "package", "title", "rung", "factor", "seen")
 
     def __init__(
@@ -40,7 +42,7 @@
 
 
 class MediaHost:
-    """One host: a server of its own, sessions, and a feed to each gateway that follows it."""
+    """A media host with its own server, its sessions, and an event stream to each subscribed gateway."""
 
     def __init__(
         self,
@@ -66,22 +68,23 @@
         self.chance = random.Random(f"{seed}/{name}")
         self.troubles = Troubles()
         self.delivery = Delivery()
-        self.shown: tuple[float, Delivery] = (0.0, Delivery())
+        self.reported_load: tuple[float, Delivery] = (0.0, Delivery())
         self.sessions: dict[str, Session] = {}
         self.by_key: dict[str, str] = {}
         self.setting_up: dict[str, Event] = {}  # by key
-        self.feeds: dict[str, Feed] = {}  # by gateway.boot
-        self.unfollowed: dict[str, float] = {}
+        self.feeds: dict[str, Feed] = {}  # by gateway and boot ("gateway.boot")
+        self.unsubscribed_at: dict[str, float] = {}
         self.server: Server | None = None
         self.lives = 0
         self.started_wall = 0.0
         self.places = places()
         self._ids = 0
-        self._bad_turn = 0
+        self._malformed_count = 0
 
-    # ---- its process ---------------------------------------------------------------------------------------
+    # ---- lifecycle -----------------------------------------------------------------------------------------
 
     def start(self, cold: bool = True) -> None:
+        """Starts the host's process; if not `cold`, as if it had warmed up already."""
         self.lives += 1
         self.boot = f"{self.name}-{self.lives}-{self.chance.randrange(1 << 32):08x}"
         self.places = self.new_places()
@@ -99,7 +102,7 @@
         return self.server is not None
 
     def stop(self, fell: bool = False) -> None:
-        """The process dies: connections are reset, sessions are gone."""
+        """Kills the process: resets connections and drops sessions. `fell`: it crashed under load."""
         if self.server is None:
             return
         server, self.server = self.server, None
@@ -119,7 +122,7 @@
     def handle(self, request: Request) -> Response:
         parts = request.path.strip("/").split("/")
         if self.troubles.silent and parts[0] not in ("whep", "whip"):
-            self._forever(request)
+            self._hang_until_disconnect(request)
         match request.method, parts:
             case "POST", ["whep" | "whip", package, title]:
                 return self._set_up(request, package, title)
@@ -130,7 +133,7 @@
                 self._drop(session)
                 return Response(200)
             case "DELETE", ["tune-ins", key]:
-                return self._call_back(key)
+                return self._cancel(key)
             case "POST", ["sessions", id, "layer"]:
                 return self._layer(request, id)
             case "PATCH", ["sessions", id]:
@@ -143,14 +146,14 @@
             case "GET", ["events"]:
                 return self._events(request)
             case "GET", ["probe"]:
-                return Response(204, [self._report()])
-        raise Refused(404, "nothing there")
+                return Response(204, [self._load_metrics()])
+        raise Refused(404, f"{request.method} {request.path} is unknown")
 
-    def _forever(self, request: Request) -> None:
+    def _hang_until_disconnect(self, request: Request) -> None:
         gone = Event(self.loop)
         request.on_disconnect(lambda: gone.set())
         gone.wait()
-        raise NoAnswer("the other side gave up")
+        raise NoAnswer("client disconnected")
 
     def _set_up(self, request: Request, package: str, title: str) -> Response:
         now = time.monotonic()
@@ -158,7 +161,7 @@
         gateway = request.headers.get("gateway", "")
         rung = int(request.query("rung") or 0)
         self._ids += 1
-        id = f"{self.name}+{self.lives}+{self._ids}"  # "+" is fit for ICE and in no name
+        id = f"{self.name}+{self.lives}+{self._ids}"  # "+" is valid in ICE and in no host name
         self.tape.write(
             "setup",
             host=self.name,
@@ -172,7 +175,9 @@
         gone = Event(self.loop)
         request.on_disconnect(lambda: gone.set("gone"))
         try:
-            response, drop = self._setting_up(request, now, id, key, gateway, package, title, rung, gone)
+            response, drop_reason = self._answer_set_up(
+                request, now, id, key, gateway, package, title, rung, gone
+            )
         except (Cancelled, NoAnswer):
             self.tape.write("setup_gone", id=id)
             raise
@@ -180,14 +185,14 @@
             self.tape.write("setup_gone", id=id)
             if id in self.sessions:
                 self._drop(self.sessions[id])
-            raise NoAnswer("the other side gave up")
-        if drop is None:
+            raise NoAnswer("client disconnected")
+        if drop_reason is None:
             self.tape.write("setup_out", id=id, status=response.status)
             return response
         self.tape.write("setup_gone", id=id)
-        raise NoAnswer(drop)
+        raise NoAnswer(drop_reason)
 
-    def _setting_up(
+    def _answer_set_up(
         self,
         request: Request,
         now: float,
@@ -199,27 +204,27 @@
         rung: int,
         gone: Event,
     ) -> tuple[Response | None, str | None]:
-        t = self.troubles
-        stood = self.places.take(now)
-        if not stood:
+        troubles = self.troubles
+        survived = self.places.take(now)
+        if not survived:
             self.stop(fell=True)
-            raise NoAnswer("pushed over")
-        if t.silent or t.hangs:
+            raise NoAnswer("host crashed: too many set-ups while it warms up")
+        if troubles.silent or troubles.hangs:
             gone.wait()
             return None, None
-        if self.chance.random() < t.errors:
-            return Response(500, [self._report()], b"out of order"), None
+        if self.chance.random() < troubles.errors:
+            return Response(500, [self._load_metrics()], b"out of order"), None
         if len(self.sessions) + len(self.setting_up) >= self.places.slots or (
             self.habits.full_from and self.delivery.link >= self.habits.full_from
         ):
-            return Response(503, [self._report()], b"full"), None
+            return Response(503, [self._load_metrics()], b"full"), None
         try:
             offer = parse_sdp(request.body.decode("utf-8", "replace"))
-        except BadSdp as wrong:
-            return Response(400, [], str(wrong).encode()), None
+        except BadSdp as error:
+            return Response(400, [], str(error).encode()), None
         self.setting_up[key] = gone
         try:
-            ends = time.monotonic() + self.habits.takes(self.chance) * t.slower
+            ends = time.monotonic() + self.habits.takes(self.chance) * troubles.slower
             timer = self.loop.call_at(ends, lambda: gone.set("done"))
             try:
                 gone.wait()
@@ -229,7 +234,7 @@
             self.setting_up.pop(key, None)
         if gone.value != "done" or not self.up:
             return None, None
-        if t.silent or t.hangs:
+        if troubles.silent or troubles.hangs:
             silent = Event(self.loop)
             request.on_disconnect(None)
             request.on_disconnect(lambda: silent.set())
@@ -239,39 +244,39 @@
         factor = self.habits.true_rate(title)
         session = Session(id, key, gateway, viewing_id, package, title, rung, factor, time.monotonic())
         self.sessions[id], self.by_key[key] = session, id
-        answer = self._answer(offer.media, id)
+        answer = self._answer_sdp(offer.media, id)
         fields = [
             ("Content-Type", "application/sdp"),
             ("Location", f"/sessions/{id}"),
             ("Link", f'</sessions/{id}/layer>; rel="{LAYER}"'),
-            self._report(),
+            self._load_metrics(),
         ]
         response = Response(201, fields, answer)
-        if self.chance.random() < t.lost:
-            if t.lost_resets:
+        if self.chance.random() < troubles.lost:
+            if troubles.lost_resets:
                 request.reset()
-                return response, "its answer was lost with the connection"
+                return response, "injected fault: answer lost, connection reset"
             silent = Event(self.loop)
             request.on_disconnect(None)
             request.on_disconnect(lambda: silent.set())
             silent.wait()
-            return response, "its answer was lost"
-        if self.chance.random() < t.bad:
-            return self._bad(request, response), None
+            return response, "injected fault: answer lost"
+        if self.chance.random() < troubles.bad:
+            return self._malformed(request, response), None
         return response, None
 
-    def _bad(self, request: Request, response: Response) -> Response:
-        """In turn: a wrong SDP, half an answer, the answer twice, a reset after the answer."""
-        self._bad_turn += 1
-        way = self._bad_turn % 4
+    def _malformed(self, request: Request, response: Response) -> Response:
+        """Returns, in turn, an invalid SDP, half an answer, the answer twice, or a reset after the answer."""
+        self._malformed_count += 1
+        variant = self._malformed_count % 4
         whole = response.encode(keep_alive=True)
-        if way == 0:
+        if variant == 0:
             response.body = b"v=0\r\nthis is no description\r\n"
-        elif way == 1:
+        elif variant == 1:
             response.body = response.body[: len(response.body) // 2]
             response.headers.append(("Content-Length", str(len(response.body) * 2)))
-            response.stream = lambda send: None  # ends the connection where the half ends
-        elif way == 2:
+            response.stream = lambda send: None  # closes the connection after the half
+        elif variant == 2:
             response.body += whole
             response.headers.append(("Content-Length", str(len(response.body) - len(whole))))
             response.stream = lambda send: send(response.body)
@@ -285,14 +290,14 @@
             response.stream = reset
         return response
 
-    def _answer(self, media: list[Media], id: str) -> bytes:
+    def _answer_sdp(self, media: list[Media], id: str) -> bytes:
         ip, _, port = self.media_at.rpartition(":")
-        lines = ["v=0", f"o=- {hash_of(id)} 1 IN IP4 127.0.0.1", "s=-", "t=0 0", "a=ice-lite"]
-        for number, m in enumerate(media):
+        lines = ["v=0", f"o=- {stable_hash(id)} 1 IN IP4 127.0.0.1", "s=-", "t=0 0", "a=ice-lite"]
+        for number, section in enumerate(media):
             lines += [
-                f"m={m.kind} 9 UDP/TLS/RTP/SAVPF 96",
+                f"m={section.kind} 9 UDP/TLS/RTP/SAVPF 96",
                 "c=IN IP4 127.0.0.1",
-                f"a=mid:{m.mid or number}",
+                f"a=mid:{section.mid or number}",
                 f"a=ice-ufrag:{id}",
                 "a=ice-pwd:0123456789abcdefghijkl",
                 "a=fingerprint:sha-256 " + ":".join(["AB"] * 32),
@@ -302,18 +307,18 @@
             ]
         return ("\r\n".join(lines) + "\r\n").encode()
 
-    def _call_back(self, key: str) -> Response:
-        out = self.setting_up.get(key)
-        if out is not None:
-            out.set("gone")
+    def _cancel(self, key: str) -> Response:
+        pending = self.setting_up.get(key)
+        if pending is not None:
+            pending.set("gone")
         id = self.by_key.get(key)
         if id is not None and id in self.sessions:
             self._drop(self.sessions[id])
-        return Response(200 if id or out else 404)
+        return Response(200 if id or pending else 404)
 
     def _layer(self, request: Request, id: str) -> Response:
         if self.troubles.hangs:
-            self._forever(request)
+            self._hang_until_disconnect(request)
         session = self.sessions.get(id)
         if session is None:
             raise Refused(404, "no such session")
@@ -321,18 +326,18 @@
             wanted = int(msgspec.json.decode(request.body, type=dict[str, str])["encodingId"])
             self.rates[wanted]
         except (msgspec.MsgspecError, KeyError, ValueError, IndexError):
-            raise Refused(400, "no such layer") from None
+            raise Refused(400, "layer is invalid: expected an encodingId of the ladder") from None
         session.rung = wanted
         self.tape.write("rung", id=id, rung=wanted)
         return Response(200)
 
     def _events(self, request: Request) -> Response:
         gateway = request.query("gateway") or ""
-        old = self.feeds.pop(gateway, None)
-        if old is not None:
-            old.close()
+        previous = self.feeds.pop(gateway, None)
+        if previous is not None:
+            previous.close()
         feed = self.feeds[gateway] = Feed(self.loop)
-        self.unfollowed.pop(gateway, None)
+        self.unsubscribed_at.pop(gateway, None)
         feed.send(b": here\n\n")
 
         def stream(send: Callable[[bytes], None]) -> None:
@@ -341,26 +346,26 @@
             finally:
                 if self.feeds.get(gateway) is feed:
                     del self.feeds[gateway]
-                    self.unfollowed[gateway] = time.monotonic()
+                    self.unsubscribed_at[gateway] = time.monotonic()
 
         return Response(200, [("Content-Type", "text/event-stream"), ("Boot", self.boot)], stream=stream)
 
-    def _report(self) -> tuple[str, str]:
+    def _load_metrics(self) -> tuple[str, str]:
         now = time.monotonic()
-        if now - self.shown[0] > self.habits.refresh:
-            self.shown = now, self.habits.reported(self.chance, self.delivery)
-        d = self.shown[1]
+        if now - self.reported_load[0] > self.habits.refresh:
+            self.reported_load = now, self.habits.reported(self.chance, self.delivery)
+        load = self.reported_load[1]
         return (
             "Endpoint-Load-Metrics",
-            f"TEXT application_utilization={min(1.0, d.link):.4f}, "
-            f"named_metrics.inflight={len(self.sessions)}, named_metrics.x0={d.link:.4f}, "
-            f"named_metrics.x1={d.uplink:.4f}",
+            f"TEXT application_utilization={min(1.0, load.link):.4f}, "
+            f"named_metrics.inflight={len(self.sessions)}, named_metrics.x0={load.link:.4f}, "
+            f"named_metrics.x1={load.uplink:.4f}",
         )
 
-    # ---- what plays ----------------------------------------------------------------------------------------
+    # ---- sessions ------------------------------------------------------------------------------------------
 
-    def asked_kb(self) -> float:
-        """What its viewings ask of its link now, in kB a second."""
+    def demand_kb(self) -> float:
+        """Returns the demand of its viewings on its link now, in kB a second."""
         kb = sum(
             self.rates[s.rung] * self.scales.get(s.package, 1.0) * s.factor for s in self.sessions.values()
         )
@@ -372,18 +377,18 @@
             self.tape.write("stop", id=session.id)
 
     def end(self, session: Session, code: int) -> None:
-        """It ends by itself; its gateway is told."""
+        """Ends a session and notifies its gateway with `code`."""
         self._drop(session)
-        self._tell(session.gateway, "ended", session.viewing_id, code)
+        self._notify(session.gateway, "ended", session.viewing_id, code)
 
-    def _tell(self, gateway: str, name: str, viewing_id: int, kind: int, value: float = 0.0) -> None:
+    def _notify(self, gateway: str, name: str, viewing_id: int, kind: int, value: float = 0.0) -> None:
         feed = self.feeds.get(gateway)
         if feed is not None and not self.troubles.silent:
             data = msgspec.json.encode({"vw": viewing_id, "kind": kind, "value": round(value, 4)}).decode()
             feed.send(encode_event(data, name))
 
-    def consented(self, id: str) -> tuple[float, int] | None:
-        """A sign of a viewer: the share delivered to it and its rung; None if nothing plays there."""
+    def on_keepalive(self, id: str) -> tuple[float, int] | None:
+        """Records a viewer's keep-alive and returns its delivered share and rung; None without a session."""
         session = self.sessions.get(id)
         if session is None:
             return None
@@ -391,29 +396,30 @@
         return (0.0 if self.troubles.hangs else self.delivery.share), session.rung
 
     def alive(self) -> None:
+        """Sends a heartbeat to each subscribed gateway."""
         for feed in list(self.feeds.values()):
             if not self.troubles.silent:
                 feed.send(b": here\n\n")
 
     def sweep(self) -> None:
-        """Ends what nobody watches, or whose gateway is gone."""
+        """Ends sessions whose viewer sent no keep-alive in time or whose gateway is gone."""
         now = time.monotonic()
         for session in list(self.sessions.values()):
             if now - session.seen > self.habits.consent:
                 self.end(session, 70)
-            elif now - self.unfollowed.get(session.gateway, NEVER) > ORPHANED:
+            elif now - self.unsubscribed_at.get(session.gateway, NEVER) > ORPHANED:
                 self._drop(session)
 
     def note(self, kinds: Kinds) -> None:
-        """Tells every gateway with viewings here, on one of them each."""
-        told: dict[str, None] = {}
+        """Notifies every gateway with sessions here, each on one of its sessions."""
+        notified: dict[str, None] = {}
         for session in self.sessions.values():
-            if session.gateway not in told:
-                told[session.gateway] = None
+            if session.gateway not in notified:
+                notified[session.gateway] = None
                 for kind, value in kinds:
-                    self._tell(session.gateway, "note", session.viewing_id, kind, value)
+                    self._notify(session.gateway, "note", session.viewing_id, kind, value)
 
 
-def hash_of(text: str) -> int:
-    """A number from a text, the same in every process."""
+def stable_hash(text: str) -> int:
+    """Returns a number derived from a text, the same in every process."""
     return random.Random(text).randrange(1 << 31)
--- a/ledgehitch/standins/network.py
+++ b/ledgehitch/standins/network.py
@@ -1,22 +1,24 @@
-"""The network between gateways: takes datagrams at a port for each and delivers them late, or not at all."""
+"""The simulated network between gateways: a UDP proxy that delays and drops datagrams."""
 
 import random
 import time
 
 from ledgehitch.loop import Datagrams, Endpoint, Loop
 
-MOST_ON_THEIR_WAY = 10000
+MAX_IN_FLIGHT = 10000  # datagrams
 
 
 class PeerNetwork:
+    """Forwards datagrams to each gateway with a random delay in seconds and a probability of loss."""
+
     def __init__(
         self, loop: Loop, routes: dict[str, tuple[Endpoint, Endpoint]], delay: float, loss: float, seed: int
     ) -> None:
-        """`routes`: for each gateway where others send to, and where it hears."""
+        """Starts a proxy for each gateway. `routes`: by gateway, the proxy's address and its own."""
         self.loop, self.delay, self.loss = loop, delay, loss
-        self.lost_more = 0.0  # what a trouble adds to the loss
+        self.lost_more = 0.0  # loss probability of the active fault; the larger of the two applies
         self.chance = random.Random(f"{seed}/peers")
-        self.delivered = self.lost = self._on_their_way = 0
+        self.delivered = self.lost = self._in_flight = 0
         for name, (via, to) in sorted(routes.items()):
             loop.spawn(self._carry, Datagrams(loop, via), to, name=f"peers to {name}")
 
@@ -24,13 +26,13 @@
         while True:
             data, _ = socket.receive()
             dropped = self.chance.random() < max(self.loss, self.lost_more)
-            if dropped or self._on_their_way >= MOST_ON_THEIR_WAY:
+            if dropped or self._in_flight >= MAX_IN_FLIGHT:
                 self.lost += 1
                 continue
-            self._on_their_way += 1
+            self._in_flight += 1
             at = time.monotonic() + self.delay * self.chance.expovariate(1.0)
             self.loop.call_at(at, lambda data=data: self._deliver(socket, data, to))  # type: ignore[misc]
 
     def _deliver(self, socket: Datagrams, data: bytes, to: Endpoint) -> None:
-        self._on_their_way -= 1
+        self._in_flight -= 1
         self.delivered += socket.send(data, to)
--- a/ledgehitch/standins/places.py
+++ b/ledgehitch/standins/places.py
@@ -1,4 +1,4 @@
-"""How media hosts are: habits, places, warm-up, when one falls over. Free of I/O."""
+"""Behaviour model of media hosts: set-up times, slots, warm-up and overload crashes. Free of I/O."""
 
 import math
 import random
@@ -10,15 +10,15 @@
 from ledgehitch.config.day import Shape
 from ledgehitch.standins.links import Delivery
 
-ORPHANED = 3.0  # seconds that viewings go on without the stream of their gateway
-CONSENT = 15.0  # seconds that a viewing goes on without a sign of its viewer
-SWING = 11.0  # seconds of one swing of the true rates
-SLACK = 1.0  # set-ups over the budget that chance is allowed
+ORPHANED = 3.0  # seconds that viewings continue without the event stream of their gateway
+CONSENT = 15.0  # seconds that a viewing continues without a keep-alive of its viewer
+SWING_PERIOD_S = 11.0  # period in which the true rates oscillate
+SLACK = 1.0  # set-ups over the limit that are tolerated, as arrivals are random
 
 
 @dataclass
 class Habits:
-    """How media hosts of a fleet behave; times in seconds, rates in kB a second."""
+    """Parameters of a fleet's media hosts; times in seconds, rates in kB a second."""
 
     setup: float = 0.05
     setup_spread: float = 0.4
@@ -27,11 +27,11 @@
     refresh: float = 0.3
     full_from: float = 0.0
     consent: float = CONSENT
-    swing: float = 0.0  # share by which true rates swing
+    swing: float = 0.0  # relative amplitude of the oscillation of true rates
     _rates: dict[str, float] = field(default_factory=dict, repr=False)
 
     def true_rate(self, title: str) -> float:
-        """What a title asks for each kB of the ladder; the same in every process."""
+        """Returns the ratio of a title's true rate to its nominal rate; the same in every process."""
         rate = self._rates.get(title)
         if rate is None:
             drawn = random.Random(title).gauss(1.0, self.true_rate_spread)
@@ -39,26 +39,29 @@
         return rate
 
     def takes(self, chance: random.Random) -> float:
-        """Seconds of one set-up."""
+        """Draws the duration of one set-up in seconds."""
         return self.setup * math.exp(self.setup_spread * chance.gauss(0, 1))
 
     def reported(self, chance: random.Random, true: Delivery) -> Delivery:
-        """What a host says of its load: noisy."""
+        """Returns the load that a host reports: the true load with noise."""
         link = true.link * max(0.0, chance.gauss(1, self.report_noise))
         return Delivery(true.share, link, true.uplink * max(0.0, chance.gauss(1, self.report_noise)))
 
     def swung(self, name: str, t: float) -> float:
-        """What true rates at a host are multiplied by at `t`; each host swings in its own time."""
+        """Returns the factor of true rates at a host at time `t`; each host oscillates with its own phase."""
         if not self.swing:
             return 1.0
         phase = zlib.crc32(name.encode()) / 2**32
-        return 1 + self.swing * math.sin(2 * math.pi * (t / SWING + phase))
+        return 1 + self.swing * math.sin(2 * math.pi * (t / SWING_PERIOD_S + phase))
 
 
 @dataclass
 class Places:
-    """A host that started at `started` takes set-ups no faster than `slots` over `warm_up`, times the share
-    it has warmed; sent more than `multiple` times that for `window` s, it falls over."""
+    """Admission limit of a host that started at `started`.
+
+    While it warms up, it sustains `slots` / `warm_up` set-ups a second times the share it has warmed.
+    It crashes when it receives more than `multiple` times that rate over `window` seconds.
+    """
 
     slots: int
     warm_up: float
@@ -69,7 +72,7 @@
     taken: deque[float] = field(default_factory=deque)
 
     def pace(self, now: float) -> float | None:
-        """Set-ups a second that it can take now; None once it is warm."""
+        """Returns the set-ups a second that the host sustains now; None once it is warm."""
         age = now - self.started
         if age >= self.warm_up:
             return None
@@ -77,7 +80,7 @@
         return self.slots / self.warm_up * warmed
 
     def take(self, now: float) -> bool:
-        """A set-up comes; whether the host still stands."""
+        """Records a set-up and returns whether the host survives it."""
         pace = self.pace(now)
         if pace is None:
             self.taken.clear()
@@ -89,12 +92,14 @@
 
 
 def habits_of(shape: Shape) -> Habits:
-    """How the media hosts of a day behave."""
+    """Returns the media hosts' parameters of a day."""
     s = shape
     return Habits(s.setup, s.setup_spread, s.true_rate_spread, s.report_noise, swing=s.true_rate_swing)
 
 
 def places_of(site: Site, kind: str) -> Places:
-    """The places of a host of that kind, not started yet."""
-    f, t = site.fleet, site.terms
-    return Places(f.slots[kind], t.warm_up, t.cold_share, t.fall_multiple, t.fall_after, 0.0)
+    """Returns the admission limit of a host of that kind, not started yet."""
+    fleet, terms = site.fleet, site.terms
+    return Places(
+        fleet.slots[kind], terms.warm_up, terms.cold_share, terms.fall_multiple, terms.fall_after, 0.0
+    )
--- a/ledgehitch/standins/plan.py
+++ b/ledgehitch/standins/plan.py
@@ -1,4 +1,4 @@
-"""The site that a day needs, and which gateways its faults meet. Free of I/O, the same for the same seed."""
+"""Derives a day's site and the schedule of its faults. Free of I/O; the same for the same seed."""
 
 import random
 from collections.abc import Sequence
@@ -10,15 +10,17 @@
 from ledgehitch.config import KINDS, BadInput, Day, Fault, Site
 from ledgehitch.config.site import check
 
-LADDER = [(150.0, 0.25), (300.0, 0.5), (600.0, 0.75), (1200.0, 1.0)]  # kB a second, part of the value
-COPIES = 3  # holders of a title at least
+LADDER = [(150.0, 0.25), (300.0, 0.5), (600.0, 0.75), (1200.0, 1.0)]  # kB a second, share of the value
+MIN_COPIES = 3  # cells that hold a title, at least
 
 
 def site_of(day: Day, seed: int, ports: Sequence[int], key_file: str = "") -> Site:
-    """The site of a day's shape: racks of hosts, titles on some of them, gateways over the zones.
+    """Returns the site of a day's shape: racks of hosts, titles on some hosts, gateways over the zones.
 
-    `ports`: one for the list, then for each gateway one for HTTP, one it hears peers at, one others use,
-    and one for reports where a process beside takes them."""
+    `ports` holds one for the list service, then for each gateway one for HTTP, one where it receives
+    datagrams, one of the proxy that its peers send to, and one for reports if a separate process takes them.
+    Raises `BadInput` if the day's own site settings are invalid.
+    """
     shape = day.shape
     chance = random.Random(f"{seed}/site")
     port = iter(ports)
@@ -47,11 +49,11 @@
         }
         for i in range(shape.hosts)
     ]
-    least = min(COPIES, cells)
+    min_spread = min(MIN_COPIES, cells)
     titles = {}
     for n in range(1, shape.titles + 1):
-        wide = max(least, round(cells * 0.6 / n**0.5))
-        titles[f"clip-{n}"] = {"first": chance.randrange(cells), "spread": min(cells, wide)}
+        spread = max(min_spread, round(cells * 0.6 / n**0.5))
+        titles[f"clip-{n}"] = {"first": chance.randrange(cells), "spread": min(cells, spread)}
     used = sorted({m.package for m in day.arrivals.mix})
     raw: dict[str, Any] = {
         "name": "rehearsal",
@@ -75,25 +77,29 @@
         "peer_key_file": key_file,
     }
     for part, value in day.site.items():
-        given = msgspec.json.decode(value)
+        override = msgspec.json.decode(value)
         raw[part] = (
-            {**raw[part], **given} if isinstance(raw.get(part), dict) and isinstance(given, dict) else given
+            {**raw[part], **override}
+            if isinstance(raw.get(part), dict) and isinstance(override, dict)
+            else override
         )
     try:
         site = msgspec.convert(raw, type=Site)
-    except msgspec.ValidationError as wrong:
-        raise BadInput(f"{day.name}: site: {wrong}") from None
+    except msgspec.ValidationError as error:
+        raise BadInput(f"{day.name}: site: {error}") from None
     check(site, f"{day.name}: site")
-    sold = {p.name for p in site.packages}
+    sold_packages = {p.name for p in site.packages}
     for i, mix in enumerate(day.arrivals.mix):
-        if mix.package not in sold:
-            raise BadInput(f"{day.name}: arrivals.mix[{i}].package: the site sells no {mix.package!r}")
+        if mix.package not in sold_packages:
+            raise BadInput(
+                f"{day.name}: arrivals.mix[{i}].package: the site sells no package {mix.package!r}"
+            )
     return site
 
 
 @dataclass(frozen=True)
 class Step:
-    """What is done to a gateway (kill, start, still, go_on) or to the media hosts' side (fault)."""
+    """A timed action on a gateway (kill, start, still, go_on) or on the simulated media hosts (fault)."""
 
     at: float
     do: str
@@ -102,23 +108,23 @@
 
 
 def steps_of(day: Day, site: Site, seed: int) -> list[Step]:
-    """The day's faults as steps in the order of their times."""
+    """Returns the day's faults as steps in order of time."""
     chance = random.Random(f"{seed}/steps")
     names = [g.name for g in site.gateways]
     steps: list[Step] = []
     for fault in day.faults:
-        met = chance.sample(names, max(1, round(fault.part * len(names))))
+        affected = chance.sample(names, max(1, round(fault.part * len(names))))
         if fault.kind == "gateways_killed":
-            wave = max(1, round((fault.size if fault.size is not None else 0.2) * len(names)))
-            waves = [met[i : i + wave] for i in range(0, len(met), wave)]
-            away = fault.extra if fault.extra is not None else 0.5
-            for i, some in enumerate(waves):
-                at = fault.at + i * max(away, fault.len / max(1, len(waves)))
-                for name in some:
-                    steps += [Step(at, "kill", name), Step(at + away, "start", name)]
+            wave_size = max(1, round((fault.size if fault.size is not None else 0.2) * len(names)))
+            waves = [affected[i : i + wave_size] for i in range(0, len(affected), wave_size)]
+            down_time = fault.extra if fault.extra is not None else 0.5
+            for i, members in enumerate(waves):
+                at = fault.at + i * max(down_time, fault.len / max(1, len(waves)))
+                for name in members:
+                    steps += [Step(at, "kill", name), Step(at + down_time, "start", name)]
         elif fault.kind == "gateways_still":
-            for name in met:
+            for name in affected:
                 steps += [Step(fault.at, "still", name), Step(fault.at + fault.len, "go_on", name)]
         elif KINDS[fault.kind].whom != "viewers":
             steps.append(Step(fault.at, "fault", fault=fault))
-    return sorted(steps, key=lambda s: s.at)
+    return sorted(steps, key=lambda step: step.at)
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -1,4 +1,4 @@
-"""Viewers' stand-in: they ask, wait, watch, come again and leave; what they got is the day's service."""
+"""Simulated viewers: they request, wait, watch, retry and leave; their results are the day's service."""
 
 import json
 import random
@@ -14,18 +14,18 @@
 from ledgehitch.http.parse import ResponseReader
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, Stream, TimedOut, connect, endpoint
 from ledgehitch.proof.tape import Tape
-from ledgehitch.standins.arrivals import Visit, by_want, picked, visits
+from ledgehitch.standins.arrivals import Visit, picked, titles_by_popularity, visits
 from ledgehitch.standins.players import Made, Player, faulty_of
 from ledgehitch.standins.service import Booking, Service
 from ledgehitch.standins.visiting import LATE_ANSWER, MOST_AFTER, SIGN, Came, Rest, Seen, Try, Watch, visit
 
 REPORTS = re.compile(r'<([^>]*)>; *rel="urn:ledgehitch:reports"')
 KINDS = {201: "plays", 503: "blocked", 502: "aborted", 504: "aborted", 307: "moved"}
-MOST_MOVES = 3  # redirections in a row that a viewer follows
+MAX_REDIRECTS = 3  # that a viewer follows in a row
 
 
 def offer_of(number: int, ufrag: str = "") -> bytes:
-    """A small, whole offer to watch."""
+    """Returns a small, complete SDP offer to receive audio and video."""
     lines = [
         "v=0",
         f"o=- {number} 1 IN IP4 127.0.0.1",
@@ -51,16 +51,18 @@
 
 
 @dataclass
-class Got:
-    """What came of one try."""
+class AttemptResult:
+    """The result of one request."""
 
-    kind: str  # plays, blocked, aborted, other, broken, nobody, hung up
+    kind: str  # plays, blocked, aborted, moved, other, broken, nobody, hung up
     response: Response | None = None
     advice: float = 0.0
     ticket: str = ""
 
 
 class Viewers:
+    """All viewers of a day, each in a task of its own."""
+
     def __init__(self, loop: Loop, site: Site, day: Day, seed: int, tape: Tape) -> None:
         self.loop, self.site, self.day, self.seed, self.tape = loop, site, day, seed, tape
         self.chance = random.Random(f"{seed}/viewers")
@@ -72,53 +74,53 @@
         self.lean = [0.5 + lean.random() for _ in self.gateways]
         self.packages = {p.name: p for p in site.packages}
         self.media = Datagrams(loop, endpoint("127.0.0.1:0"))
-        self.signs: dict[str, Callable[[str], None]] = {}
+        self.keepalive_handlers: dict[str, Callable[[str], None]] = {}
         self.started = 0.0
         self.reporting = day.reporting
         self.made = Made()
-        wanted = by_want(site, random.Random(f"{seed}/arrivals"))
+        wanted = titles_by_popularity(site, random.Random(f"{seed}/arrivals"))
         self.faulty = faulty_of(day, site, wanted, seed)
         self.racks = {h.name: str(h.cell % max(1, site.fleet.racks)) for h in site.hosts}
         self.client = Client(loop)
-        self._telling = 0  # batches of reports on their way
+        self._batches_in_flight = 0
         self._conns = 0
-        self._left = 0
-        self._home: Any = None
+        self._active = 0
+        self._main_task: Any = None
 
     def run(self, most_after: float = MOST_AFTER) -> Service:
-        """Plays the day's arrivals; what still plays a while after the end is broken off."""
-        self._home = self.loop.current
-        self.loop.spawn(self._hear, name="media")
+        """Runs the day's arrivals; viewings still open `most_after` seconds after its end are cut off."""
+        self._main_task = self.loop.current
+        self.loop.spawn(self._receive_media, name="media")
         self.started = time.monotonic()
         done = Event(self.loop)
 
         def finished() -> None:
-            self._left -= 1
-            if self._left == 0 and self._all_came:
+            self._active -= 1
+            if self._active == 0 and self._all_arrived:
                 done.set()
 
-        self._all_came = False
-        for v in visits(self.day, self.site, self.seed):
-            wait = self.started + v.at - time.monotonic()
+        self._all_arrived = False
+        for visitor in visits(self.day, self.site, self.seed):
+            wait = self.started + visitor.at - time.monotonic()
             if wait > 0:
                 self.loop.sleep(wait)
-            self._left += 1
-            self.loop.spawn(self._visit, v, finished, name=f"viewer {v.number}")
-        self._all_came = True
-        over = self.started + self.day.length
+            self._active += 1
+            self.loop.spawn(self._visit, visitor, finished, name=f"viewer {visitor.number}")
+        self._all_arrived = True
+        day_end = self.started + self.day.length
         try:
-            with self.loop.deadline(max(0.1, over - time.monotonic()) + most_after):
-                if self._left:
+            with self.loop.deadline(max(0.1, day_end - time.monotonic()) + most_after):
+                if self._active:
                     done.wait()
         except TimedOut:
             pass
-        self._tell_the_last()
+        self._wait_for_reports()
         return self.service
 
-    def _tell_the_last(self) -> None:
-        """Reports that are on their way late are part of the day."""
+    def _wait_for_reports(self) -> None:
+        """Waits for batches still in flight, since delayed reports count for the day."""
         ends = time.monotonic() + self.reporting.copies * self.reporting.late + 2.0
-        while self._telling and time.monotonic() < ends:
+        while self._batches_in_flight and time.monotonic() < ends:
             self.loop.sleep(0.1)
 
     # ---- one viewer ----------------------------------------------------------------------------------------
@@ -127,79 +129,86 @@
         """Seconds from the day's start."""
         return time.monotonic() - self.started
 
-    def _visit(self, v: Visit, finished: Callable[[], None]) -> None:
+    def _visit(self, visitor: Visit, finished: Callable[[], None]) -> None:
         try:
-            target = self.packages[v.package].join_target
-            steps = visit(v, self.day, target, self.booking, self.chance, self._now)
-            told: Came | bool | None = None
-            got: Got | None = None
+            target = self.packages[visitor.package].join_target
+            steps = visit(visitor, self.day, target, self.booking, self.chance, self._now)
+            result: Came | bool | None = None
+            attempt: AttemptResult | None = None
             took = 0.0
             while True:
                 try:
-                    step = steps.send(told)
+                    step = steps.send(result)
                 except StopIteration:
                     return
-                told = None
+                result = None
                 match step:
                     case Try(place, top, ticket):
                         tried_at = time.monotonic()
-                        got = self._try(v if top == v.top else replace(v, top=top), place, ticket)
+                        attempt = self._attempt(
+                            visitor if top == visitor.top else replace(visitor, top=top), place, ticket
+                        )
                         took = time.monotonic() - tried_at
-                        told = Came(got.kind, got.advice, got.ticket)
+                        result = Came(attempt.kind, attempt.advice, attempt.ticket)
                     case Rest(seconds):
                         self.loop.sleep(max(0.0, seconds))
                     case Watch(place, seconds, in_time):
-                        assert got is not None and got.response is not None
-                        told = self._watch(v, got.response, seconds, in_time, place, took)
+                        assert attempt is not None and attempt.response is not None
+                        result = self._watch(visitor, attempt.response, seconds, in_time, place, took)
         finally:
             finished()
 
-    def _try(self, v: Visit, place: float, ticket: str) -> Got:
+    def _attempt(self, visitor: Visit, place: float, ticket: str) -> AttemptResult:
         name, at = self.gateways[picked(place, self.lean)]
-        package = self.packages[v.package]
-        body = offer_of(v.number * 10 + self.chance.randrange(10), f"v{self._conns:x}")
-        if v.method == "whip":
+        package = self.packages[visitor.package]
+        body = offer_of(visitor.number * 10 + self.chance.randrange(10), f"v{self._conns:x}")
+        if visitor.method == "whip":
             body = body.replace(b"a=recvonly", b"a=sendonly")
-        first = self._ask(v, name, at, body, package.patience, v.impatient_after, ticket)
-        if not v.repeats:
-            return self._followed(v, first(), body, package.patience)
-        # The same offer once more, from a second connection, before the first answer.
-        box: list[Got] = []
+        first = self._prepare_request(
+            visitor, name, at, body, package.patience, visitor.impatient_after, ticket
+        )
+        if not visitor.repeats:
+            return self._follow_redirects(visitor, first(), body, package.patience)
+        # Repeats the same offer over a second connection before the first answer.
+        repeated: list[AttemptResult] = []
         second = self.loop.spawn(
-            lambda: box.append(self._ask(v, name, at, body, package.patience, None)()), name="repeat"
+            lambda: repeated.append(self._prepare_request(visitor, name, at, body, package.patience, None)()),
+            name="repeat",
         )
-        got = first()
+        attempt = first()
         second.wait()
-        return self._followed(v, got, body, package.patience)
-
-    def _followed(self, v: Visit, got: Got, body: bytes, patience: float) -> Got:
-        """A gateway that drains names another, which is asked at once: a viewing of its own there."""
-        moves = 0
-        while got.kind == "moved" and moves < MOST_MOVES:
-            moves += 1
-            there = (got.response.header("location") or "") if got.response is not None else ""
-            at = there.removeprefix("http://").partition("/")[0]
+        return self._follow_redirects(visitor, attempt, body, package.patience)
+
+    def _follow_redirects(
+        self, visitor: Visit, attempt: AttemptResult, body: bytes, patience: float
+    ) -> AttemptResult:
+        """Follows the redirect of a draining gateway; the viewer makes a new request at the other one."""
+        redirects = 0
+        while attempt.kind == "moved" and redirects < MAX_REDIRECTS:
+            redirects += 1
+            location = (attempt.response.header("location") or "") if attempt.response is not None else ""
+            at = location.removeprefix("http://").partition("/")[0]
             other = next(((name, to) for name, to in self.gateways if str(to) == at), None)
             if other is None:
                 break
-            got = self._ask(v, *other, body, patience, v.impatient_after)()
-        return replace(got, kind="blocked") if got.kind == "moved" else got
+            attempt = self._prepare_request(visitor, *other, body, patience, visitor.impatient_after)()
+        return replace(attempt, kind="blocked") if attempt.kind == "moved" else attempt
 
-    def _ask(
+    def _prepare_request(
         self,
-        v: Visit,
+        visitor: Visit,
         name: str,
         at: Endpoint,
         body: bytes,
         patience: float,
         leaves_after: float | None,
         ticket: str = "",
-    ) -> Callable[[], Got]:
+    ) -> Callable[[], AttemptResult]:
         self._conns += 1
         conn = self._conns
-        who = f"viewer-{self.seed}-{v.number}"
+        who = f"viewer-{self.seed}-{visitor.number}"
         head = [
-            f"POST /{v.method}/{v.package}/{v.title}?top={v.top} HTTP/1.1",
+            f"POST /{visitor.method}/{visitor.package}/{visitor.title}?top={visitor.top} HTTP/1.1",
             f"Host: {at}",
             "Content-Type: application/sdp",
             f"Authorization: Bearer {who}",
@@ -208,29 +217,29 @@
         ]
         if ticket:
             head.append(f"Return-Ticket: {ticket}")
-        whole = "\r\n".join(head).encode() + b"\r\n\r\n" + body
+        request = "\r\n".join(head).encode() + b"\r\n\r\n" + body
 
-        def ask() -> Got:
+        def ask() -> AttemptResult:
             try:
                 with self.loop.deadline(patience):
                     stream = connect(self.loop, at)
             except (OSError, TimedOut):
-                return Got("nobody")
+                return AttemptResult("nobody")
             try:
-                stream.send(whole)
+                stream.send(request)
             except OSError:
                 stream.close()
-                return Got("nobody")
+                return AttemptResult("nobody")
             sent = time.monotonic()
             self.tape.write(
                 "ask",
                 conn=conn,
                 who=who,
-                package=v.package,
-                title=v.title,
+                package=visitor.package,
+                title=visitor.title,
                 gateway=name,
                 patience=patience,
-                method=v.method,
+                method=visitor.method,
                 offer=body[:40].hex(),
             )
             try:
@@ -242,7 +251,7 @@
 
     def _await(
         self, stream: Stream, conn: int, sent: float, patience: float, leaves_after: float | None
-    ) -> Got:
+    ) -> AttemptResult:
         reader, response = ResponseReader(), None
         try:
             with self.loop.deadline(leaves_after if leaves_after is not None else patience + LATE_ANSWER):
@@ -250,14 +259,14 @@
                     data = stream.receive()
                     if not data:
                         self.tape.write("broken", conn=conn, why="ended")
-                        return Got("broken")
+                        return AttemptResult("broken")
                     response = reader.feed(data)
         except TimedOut:
             self.tape.write("hangup", conn=conn)
-            return Got("hung up" if leaves_after is not None else "broken")
+            return AttemptResult("hung up" if leaves_after is not None else "broken")
         except (OSError, ValueError) as problem:
             self.tape.write("broken", conn=conn, why=str(problem))
-            return Got("broken")
+            return AttemptResult("broken")
         advice = float(response.header("retry-after") or 0)
         kind = KINDS.get(response.status, "other")
         extra = 0 if stream.is_idle() or stream.peer_closed() else 1
@@ -269,31 +278,33 @@
             extra=extra,
             resource=response.header("location") or "",
         )
-        return Got(kind, response, advice, response.header("return-ticket") or "")
+        return AttemptResult(kind, response, advice, response.header("return-ticket") or "")
 
     # ---- watching ------------------------------------------------------------------------------------------
 
     def _watch(
-        self, v: Visit, response: Response, wanted: float, in_time: bool, place: float, took: float
+        self, visitor: Visit, response: Response, wanted: float, in_time: bool, place: float, took: float
     ) -> bool:
-        """Watches so long, or until it breaks or is given up; whether the viewer is content to go. `took`:
-        seconds from asking to the answer."""
-        ufrag, media = media_of(response.body.decode("utf-8", "replace"))
+        """Watches for `wanted` seconds, until playback fails or until the viewer gives up.
+
+        Returns whether the viewer left satisfied. `took`: seconds from request to answer.
+        """
+        ufrag, media = parse_answer(response.body.decode("utf-8", "replace"))
         if media is None:
             return False
         seen = Seen(self._now())
         end = min(self._now() + wanted, self.day.length)
 
-        def heard(said: str) -> None:
-            parts = said.split()
+        def on_answer(text: str) -> None:
+            parts = text.split()
             if len(parts) == 2:
                 seen.gone = True
             elif len(parts) == 3:
                 seen.heard(self._now(), float(parts[1]), int(parts[2]))
 
-        self.signs[ufrag] = heard
-        player = self._player(v, ufrag, took) if self.reporting.every else None
-        told_at = self._now()
+        self.keepalive_handlers[ufrag] = on_answer
+        player = self._player(visitor, ufrag, took) if self.reporting.every else None
+        reported_at = self._now()
         content = True
         try:
             while (now := self._now()) < end:
@@ -301,56 +312,56 @@
                 self.loop.sleep(min(SIGN, end - now))
                 then = self._now()
                 share = seen.shown(then)
-                self.booking.watched(v, now, then - now, share, seen.rung, in_time)
+                self.booking.watched(visitor, now, then - now, share, seen.rung, in_time)
                 if player is not None:
                     player.played(then - now, share, seen.rung)
-                    if then - told_at >= self.reporting.every or player.sn == 0:
-                        player.report(then, then - told_at, self.faulty)
-                        told_at = then
-                        self._tell(player, response, place)
+                    if then - reported_at >= self.reporting.every or player.sn == 0:
+                        player.report(then, then - reported_at, self.faulty)
+                        reported_at = then
+                        self._send_reports(player, response, place)
                 if seen.leaves(then, then - now, self.day.arrivals.leave_under, self.chance):
                     content = False
                     break
         finally:
-            del self.signs[ufrag]
+            del self.keepalive_handlers[ufrag]
         location = response.header("location") or ""
-        self.loop.spawn(self._delete, location, place, name="leave", owner=self._home)
+        self.loop.spawn(self._delete, location, place, name="leave", owner=self._main_task)
         return content
 
-    def _player(self, v: Visit, ufrag: str, took: float) -> Player:
-        chance = random.Random(f"{self.seed}/{v.number}/player")
+    def _player(self, visitor: Visit, ufrag: str, took: float) -> Player:
+        chance = random.Random(f"{self.seed}/{visitor.number}/player")
         rack, lies = self.racks.get(ufrag.partition("+")[0], "?"), chance.random() < self.reporting.lying
-        return Player(rack, v.title, took, chance, lies, chance.uniform(0, 1e6))
+        return Player(rack, visitor.title, took, chance, lies, chance.uniform(0, 1e6))
 
-    def _tell(self, player: Player, response: Response, place: float) -> None:
-        """Sends what the player has kept, late and in copies as the day says, in a task of its own."""
+    def _send_reports(self, player: Player, response: Response, place: float) -> None:
+        """Sends the player's pending reports in a task, with the day's delays and number of copies."""
         _, at = self.gateways[picked(place, self.lean)]
-        batch, player.kept = player.kept, []
+        batch, player.pending = player.pending, []
         token = response.header("report-token") or ""
         to, path = reports_to(response, str(at))
         fields = [("Authorization", f"Bearer {token}"), ("Content-Type", "application/json")]
         self.made.reports += 1
-        self._telling += 1
+        self._batches_in_flight += 1
 
-        def tell() -> None:
+        def send() -> None:
             try:
                 for copy in range(self.reporting.copies):
                     self.loop.sleep(player.chance.uniform(0.0, self.reporting.late))
                     self.made.sent += len(batch)
-                    status, became = self._post(to, path, fields, json.dumps(batch).encode())
-                    self.made.heard(status, became, batch, player)
+                    status, results = self._post(to, path, fields, json.dumps(batch).encode())
+                    self.made.heard(status, results, batch, player)
                     if status == 0 and copy == 0:
-                        player.kept = batch + player.kept
+                        player.pending = batch + player.pending
                         return
             finally:
-                self._telling -= 1
+                self._batches_in_flight -= 1
 
-        self.loop.spawn(tell, name="report", owner=self._home)
+        self.loop.spawn(send, name="report", owner=self._main_task)
 
     def _post(
         self, at: str, path: str, fields: list[tuple[str, str]], body: bytes
     ) -> tuple[int, dict[str, int]]:
-        """The answer's status, 0 for none, and what became of the reports."""
+        """Returns the answer's status, 0 for none, and the counts of reports by result."""
         try:
             with self.loop.deadline(2.0):
                 answer = self.client.request(at, "POST", path, fields, body)
@@ -373,18 +384,20 @@
         except (OSError, TimedOut, ConnectFailed):
             pass
 
-    def _hear(self) -> None:
+    def _receive_media(self) -> None:
         while True:
             data, _ = self.media.receive()
             text = data.decode("ascii", "replace")
-            call = self.signs.get(text.partition(" ")[0])
-            if call is not None:
-                call(text)
+            handler = self.keepalive_handlers.get(text.partition(" ")[0])
+            if handler is not None:
+                handler(text)
 
 
 def reports_to(response: Response, at: str) -> tuple[str, str]:
-    """Address and path for reports on a viewing that the gateway at `at` admitted: its own, or those of a
-    process beside it."""
+    """Returns address and path for reports on a viewing that the gateway at `at` admitted.
+
+    The address is the gateway's own, or that of a separate process that takes its reports.
+    """
     links = ", ".join(value for name, value in response.headers if name.lower() == "link")
     found = REPORTS.search(links)
     where = found[1] if found else ""
@@ -394,8 +407,8 @@
     return to, f"/{path}"
 
 
-def media_of(answer: str) -> tuple[str, Endpoint | None]:
-    """Where the media are, from an SDP answer: the credentials' name and the first candidate."""
+def parse_answer(answer: str) -> tuple[str, Endpoint | None]:
+    """Returns the ICE ufrag and the address of the first candidate of an SDP answer."""
     ufrag, media = "", None
     for line in answer.splitlines():
         if line.startswith("a=ice-ufrag:"):
@@ -408,7 +421,7 @@
 
 
 def play(site: Site, day: Day, seed: int, tape_path: Path | None) -> dict[str, Any]:
-    """The whole day in this process; what viewers got."""
+    """Runs the viewers of a whole day in this process and returns their service."""
     loop = Loop()
     tape = Tape(tape_path)
     try:
@@ -416,7 +429,7 @@
         service: Service = loop.run(viewers.run)
     finally:
         tape.close()
-    told = service.told()
+    summary = service.told()
     if day.reporting.every:
-        told["players"] = {**asdict(viewers.made), "faulty": [asdict(f) for f in viewers.faulty]}
-    return told
+        summary["players"] = {**asdict(viewers.made), "faulty": [asdict(f) for f in viewers.faulty]}
+    return summary
--- a/ledgehitch/standins/visiting.py
+++ b/ledgehitch/standins/visiting.py
@@ -1,7 +1,7 @@
-"""How a viewer behaves: asks, watches, comes again, gives up. Free of I/O and clock.
+"""Viewer behaviour: request, watch, retry, give up. Free of I/O and clock.
 
-`visit` is a generator: it yields what the viewer does next and is sent what came of it. The stand-ins carry
-that out on sockets, the model in virtual time; what viewers do is said here once.
+`visit` is a generator: it yields the viewer's next action and is sent the result. The simulated viewers run
+the actions on sockets, the model runs them in virtual time.
 """
 
 import random
@@ -12,17 +12,19 @@
 from ledgehitch.standins.arrivals import Visit
 from ledgehitch.standins.service import Booking
 
-LATE_ANSWER = 1.0  # seconds after patience that a viewer still listens
-MOST_AFTER = 8.0  # seconds after the day's end that what is under way may take
-SIGN = 1.0  # seconds between a viewer's signs to what plays
+LATE_ANSWER = 1.0  # seconds after its patience that a viewer still waits for an answer
+MOST_AFTER = 8.0  # seconds after the day's end until open viewings are cut off
+SIGN = 1.0  # seconds between a viewer's keep-alives to its media host
 NO_MEDIA = 3.0  # seconds without media after which a viewing counts as broken
-GATEWAY_GONE = 0.3  # seconds until a viewer whose gateway is not there asks another
+GATEWAY_GONE = 0.3  # seconds until a viewer whose gateway is unreachable tries another
 
 
 @dataclass(frozen=True)
 class Try:
-    """Ask the gateway that this number under 1 falls on, for rungs up to `top`; send back a `Came`. `ticket`:
-    what the gateway gave with its advice to come again."""
+    """Request from the gateway that `place` selects, for rungs up to `top`; the result is a `Came`.
+
+    `place` is a number from 0 to 1. `ticket` is what the gateway gave with its advice to retry.
+    """
 
     place: float
     top: int
@@ -31,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Watch:
-    """Watch what plays for so many seconds at most; send back whether the viewer went content."""
+    """Watch for `seconds` at most; the result is whether the viewer left satisfied."""
 
     place: float
     seconds: float
@@ -40,14 +42,14 @@
 
 @dataclass(frozen=True)
 class Rest:
-    """Do nothing for so many seconds."""
+    """Wait for `seconds`."""
 
     seconds: float
 
 
 @dataclass(frozen=True)
 class Came:
-    """What came of one try: plays, blocked, aborted, other, broken, nobody or hung up; advice in seconds."""
+    """The result of one try: plays, blocked, aborted, other, broken, nobody or hung up; advice in seconds."""
 
     kind: str
     advice: float = 0.0
@@ -59,67 +61,72 @@
 
 
 def visit(
-    v: Visit, day: Day, join_target: float, booking: Booking, chance: random.Random, now: Callable[[], float]
+    viewer: Visit,
+    day: Day,
+    join_target: float,
+    booking: Booking,
+    chance: random.Random,
+    now: Callable[[], float],
 ) -> Generator[Does, Came | bool | None, None]:
-    """One viewer's visit; `now` gives seconds from the day's start."""
-    a, service = day.arrivals, booking.service
+    """Yields the actions of one viewer's visit; `now` gives seconds from the day's start."""
+    arrivals, service = day.arrivals, booking.service
     service.visits += 1
-    first, wanted, returns = now(), v.watch, 0
+    first_request_at, remaining, returns = now(), viewer.watch, 0
     in_time: bool | None = None
-    place, top, most, ticket = v.gateway, v.top, v.top, ""
-    moves = a.seeks + a.resizes
-    while wanted > 0 and now() < day.length:
+    place, top, highest_rung, ticket = viewer.gateway, viewer.top, viewer.top, ""
+    moves = arrivals.seeks + arrivals.resizes
+    while remaining > 0 and now() < day.length:
         tried_at = now()
-        came = yield Try(place, top, ticket)
-        assert isinstance(came, Came)
+        result = yield Try(place, top, ticket)
+        assert isinstance(result, Came)
         waited = now() - tried_at
-        cause = CAUSES.get(came.kind, "failed")
-        booking.lost(v, min(waited, wanted), tried_at, cause)
-        wanted -= waited
-        service.answers[came.kind] = service.answers.get(came.kind, 0) + 1
-        if came.kind == "plays":
+        cause = CAUSES.get(result.kind, "failed")
+        booking.lost(viewer, min(waited, remaining), tried_at, cause)
+        remaining -= waited
+        service.answers[result.kind] = service.answers.get(result.kind, 0) + 1
+        if result.kind == "plays":
             if in_time is None:
-                joined = now() - first
+                joined = now() - first_request_at
                 in_time = joined <= join_target
                 booking.joined(joined, in_time)
-            before = now()
-            until = chance.expovariate(moves) if moves else wanted
-            moved = until < wanted
-            content = yield Watch(place, min(wanted, until), in_time)
-            wanted -= now() - before
-            if content and moved and now() < day.length:
-                # A seek or a new size of the window: the same title is tuned in to again.
-                if chance.random() * moves < a.resizes:
-                    top = chance.randrange(most + 1)
+            watch_start = now()
+            until = chance.expovariate(moves) if moves else remaining
+            seeks_or_resizes = until < remaining
+            content = yield Watch(place, min(remaining, until), in_time)
+            remaining -= now() - watch_start
+            if content and seeks_or_resizes and now() < day.length:
+                # A seek or a resized window: the viewer tunes in to the same title again.
+                if chance.random() * moves < arrivals.resizes:
+                    top = chance.randrange(highest_rung + 1)
                 continue
             if content:
                 return
             cause = "broken"
-        elif came.kind == "hung up":
+        elif result.kind == "hung up":
             return
-        if came.kind == "nobody":
+        if result.kind == "nobody":
             yield Rest(GATEWAY_GONE)
             place = chance.random()
-            wanted -= GATEWAY_GONE
-            booking.lost(v, GATEWAY_GONE, now(), cause)
+            remaining -= GATEWAY_GONE
+            booking.lost(viewer, GATEWAY_GONE, now(), cause)
             continue
         returns += 1
-        if returns > a.returns_at_most or chance.random() > a.returns:
-            booking.lost(v, max(0.0, wanted), now(), cause)
+        if returns > arrivals.returns_at_most or chance.random() > arrivals.returns:
+            booking.lost(viewer, max(0.0, remaining), now(), cause)
             return
-        wait, ticket = a.return_after * chance.uniform(0.7, 1.5), ""
-        if came.advice and chance.random() < a.honour_advice:
-            wait = max(wait, came.advice)
-            ticket = came.ticket
-        booking.lost(v, min(wait, max(0.0, wanted)), now(), cause)
-        wanted -= wait
+        wait, ticket = arrivals.return_after * chance.uniform(0.7, 1.5), ""
+        if result.advice and chance.random() < arrivals.honour_advice:
+            wait = max(wait, result.advice)
+            ticket = result.ticket
+        booking.lost(viewer, min(wait, max(0.0, remaining)), now(), cause)
+        remaining -= wait
         yield Rest(wait)
         other = chance.random()
-        place = place if ticket else other  # a ticket is good at the gateway that gave it
+        place = place if ticket else other  # a ticket is valid only at the gateway that issued it
 
 
 class Seen:
-    """What a viewer sees of what plays, from the answers to its signs; decides when it leaves."""
+    """A viewer's view of its playback, from the answers to its keep-alives; decides when it leaves."""
 
     __slots__ = ("at", "share", "rung", "gone")
 
@@ -127,13 +134,15 @@
         self.at, self.share, self.rung, self.gone = now, 1.0, 0, False
 
     def heard(self, now: float, share: float, rung: int) -> None:
+        """Records the answer to a keep-alive."""
         self.at, self.share, self.rung = now, share, rung
 
     def shown(self, now: float) -> float:
-        """The share delivered as far as the viewer can tell."""
+        """Returns the delivered share as the viewer sees it; 0 if answers are overdue."""
         return self.share if now - self.at < 1.5 * SIGN else 0.0
 
     def leaves(self, now: float, spent: float, leave_under: float, chance: random.Random) -> bool:
+        """Returns whether the viewer gives up now, `spent` seconds after the last check."""
         if self.gone or now - self.at > NO_MEDIA:
             return True
         return self.shown(now) < leave_under and chance.random() < 0.25 * spent
--- a/ledgehitch/standins/world.py
+++ b/ledgehitch/standins/world.py
@@ -1,6 +1,6 @@
-"""All media hosts of a fleet, their links and racks, the list service and the peers' network, in one process.
+"""A simulated fleet in one process: media hosts, links, racks, list service and the network between gateways.
 
-It is the stage of `faults.py`; faults come over the control address.
+Implements `Stage` of `faults.py`; faults are requested over the control address.
 """
 
 import json
@@ -26,6 +26,8 @@
 
 
 class World:
+    """The simulated fleet of a site; delays in seconds."""
+
     def __init__(
         self,
         loop: Loop,
@@ -47,7 +49,7 @@
         self.scales = {p.name: p.scale for p in site.packages}
         self.lists = ListService(loop, endpoint(site.list_at), tape, list_delay, seed)
         self.media = Datagrams(loop, ANY)
-        self.born = 0
+        self.replacements = 0
         self.faults = Faults(self, self.chance)
         routes = {
             g.name: (endpoint(g.peer_via), endpoint(g.peer_at))
@@ -70,8 +72,8 @@
                 fresh,
                 at_once=True,
             )
-        loop.spawn(self._beat, name="links")
-        loop.spawn(self._hear_viewers, name="viewers' signs")
+        loop.spawn(self._update_links, name="links")
+        loop.spawn(self._answer_keepalives, name="viewers' signs")
 
     def _add(
         self,
@@ -109,6 +111,7 @@
         return host
 
     def listed(self, host: MediaHost, state: str, at_once: bool = False) -> None:
+        """Reports a host's state to the list service."""
         line = {
             "host": host.name,
             "at": str(host.want_at),
@@ -121,61 +124,63 @@
         }
         self.lists.set(line, at_once)
 
-    # ---- what goes on --------------------------------------------------------------------------------------
+    # ---- periodic work -------------------------------------------------------------------------------------
 
-    def _beat(self) -> None:
-        """Works out what links deliver, and tells gateways of shortfall and use, late as the site says."""
+    def _update_links(self) -> None:
+        """Updates deliveries, and sends gateways notes on shortfall and utilization with the site's delay."""
         telling = Telling(time.monotonic(), self.site.fleet.told_every)
         while True:
             self.loop.sleep(BEAT)
             now = time.monotonic()
-            told = self.fabric.deliveries({n: h.asked_kb() for n, h in self.hosts.items() if h.up})
-            for name, delivery in told.items():
+            deliveries = self.fabric.deliveries({n: h.demand_kb() for n, h in self.hosts.items() if h.up})
+            for name, delivery in deliveries.items():
                 self.hosts[name].delivery = delivery
-            second, notes = telling.due(now, told)
-            for name in sorted(told) if second else ():
+            second, notes = telling.due(now, deliveries)
+            for name in sorted(deliveries) if second else ():
                 self.hosts[name].alive()
             for name, kinds in notes:
-                self._later(now + self.site.fleet.told_late, name, kinds)
+                self._note_at(now + self.site.fleet.told_late, name, kinds)
             for host in list(self.hosts.values()):
                 host.sweep()
 
-    def _later(self, at: float, name: str, kinds: Kinds) -> None:
+    def _note_at(self, at: float, name: str, kinds: Kinds) -> None:
         host = self.hosts[name]
         self.loop.call_at(at, lambda: host.note(kinds))
 
-    def _hear_viewers(self) -> None:
-        """Viewers say that they still watch, and hear what is delivered: a stand-in for the media itself."""
+    def _answer_keepalives(self) -> None:
+        """Answers viewers' keep-alives with the delivered share and rung, in place of the media itself."""
         while True:
             data, sender = self.media.receive()
             id = data.decode("ascii", "replace")
             host = self.hosts.get(id.partition("+")[0])
             if host is None or not host.up or host.troubles.silent:
                 continue
-            told = host.consented(id)
-            said = f"{id} gone" if told is None else f"{id} {told[0]:.4f} {told[1]}"
-            self.media.send(said.encode(), Endpoint(self.media.at.family, sender))
+            state = host.on_keepalive(id)
+            answer = f"{id} gone" if state is None else f"{id} {state[0]:.4f} {state[1]}"
+            self.media.send(answer.encode(), Endpoint(self.media.at.family, sender))
 
-    # ---- the faults' stage ---------------------------------------------------------------------------------
+    # ---- Stage for faults ----------------------------------------------------------------------------------
 
     def in_service(self) -> list[str]:
+        """Returns the names of the hosts that run and are listed."""
         return sorted(n for n, h in self.hosts.items() if h.up and h.name in self.lists.lines)
 
     def now(self) -> float:
         return time.monotonic()
 
     def after(self, seconds: float, call: Callable[[], None]) -> None:
+        """Schedules a call in `seconds`."""
         self.loop.call_at(time.monotonic() + seconds, call)
 
     def replace(self, name: str) -> None:
-        """The old one goes, a successor with a new id and address starts cold in its cell."""
+        """Stops a host and starts a cold successor with a new name and address in its cell."""
         old = self.hosts[name]
         if old.up:
             old.stop()
         self.listed(old, "terminated")
-        self.born += 1
+        self.replacements += 1
         self._add(
-            f"s{self.born}x",
+            f"s{self.replacements}x",
             ANY,
             old.cell,
             old.kind,
@@ -188,19 +193,22 @@
     # ---- control -------------------------------------------------------------------------------------------
 
     def control(self, at: Endpoint) -> Server:
-        """POST /fault with a fault as JSON, POST /flush for the tape, GET /figures."""
-        return Server(self.loop, at, self._controlled)
+        """Serves POST /fault with a fault as JSON, POST /flush for the tape, GET /figures."""
+        return Server(self.loop, at, self._handle_control)
 
-    def _controlled(self, request: Request) -> Response:
+    def _handle_control(self, request: Request) -> Response:
         match request.method, request.path:
             case "POST", "/fault":
                 try:
                     fault = msgspec.json.decode(request.body, type=Fault)
-                except msgspec.MsgspecError as wrong:
-                    raise Refused(400, f"no fault: {wrong}") from None
+                except msgspec.MsgspecError as error:
+                    raise Refused(400, f"invalid fault: {error}") from None
                 kind = KINDS.get(fault.kind)
                 if kind is None or kind.whom in ("gateways", "viewers"):
-                    raise Refused(400, f"the media hosts' side has no fault {fault.kind!r}")
+                    raise Refused(
+                        400,
+                        f"fault kind {fault.kind!r} does not apply to media hosts, links, list or network",
+                    )
                 return Response(200, [], json.dumps(self.faults.begin(fault)).encode())
             case "POST", "/flush":
                 self.tape.flush()
@@ -209,9 +217,13 @@
                 return Response(
                     200, [("Content-Type", "application/json")], json.dumps(self.figures()).encode()
                 )
-        raise Refused(404, "nothing there")
+        raise Refused(
+            404,
+            f"{request.method} {request.path} is unknown: expected POST /fault, POST /flush or GET /figures",
+        )
 
     def figures(self) -> dict[str, Any]:
+        """Returns the state of each host: viewings, delivered share and utilization."""
         return {
             n: {
                 "up": h.up,
