--- a/tests/test_owning.py
+++ b/tests/test_owning.py
@@ -62,8 +62,8 @@
 
 
 def test_gateway_killed_after_its_restart_is_not_restarted_again(tmp_path: Path) -> None:
-    """Regression (random script, seed 101): a gateway that was killed after its restart and started by another
-    party did not report the ticket of the plan, so the plan restarted it a second time."""
+    """Regression (random script, seed 101): a gateway that was killed after its restart and then started by
+    another party did not report the ticket of the plan, so the plan restarted it a second time."""
 
     def script(rig: FleetRig) -> None:
         rig.start_all()
