--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -197,7 +197,7 @@
         loaded = load(path)
         spent = cpu() - began
         if loaded.mistakes or loaded.site is None or len(loaded.site.gateways) != size:
-            raise SystemExit("\n".join(m.told() for m in loaded.mistakes[:5]) or "no site")
+            raise SystemExit("\n".join(m.describe() for m in loaded.mistakes[:5]) or "no site")
         text = sum(len(t.encode()) for t in loaded.texts.values())
         peak = memory_of(os.getpid()) - before
     return {"check": (spent, {"cpu_s_per_change": spent, "memory_bytes": peak, "text_bytes": text})}
--- a/benchmarks/config.py
+++ b/benchmarks/config.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from ledgehitch.config.layout import laid_out
+from ledgehitch.config.layout import format_text
 from ledgehitch.config.load import load, load_text
 from ledgehitch.config.syntax import Malformed
 
@@ -52,7 +52,7 @@
         "seconds": round(took, 3),
         "files": len(loaded.texts),
         "kB": size // 1000,
-        "mistakes": [m.told() for m in loaded.mistakes][:2],
+        "mistakes": [m.describe() for m in loaded.mistakes][:2],
         "peak_MB": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
     }
 
@@ -72,7 +72,7 @@
             broken = "".join(text)
             loaded = load_text(broken)
             if not loaded.mistakes:
-                assert load_text(laid_out(broken)).digest() == loaded.digest()
+                assert load_text(format_text(broken)).digest() == loaded.digest()
         except Malformed:
             pass
         except Exception as find:
--- a/ledgehitch/cli/config.py
+++ b/ledgehitch/cli/config.py
@@ -14,7 +14,7 @@
 from ledgehitch.config import BadInput
 from ledgehitch.config.change import changes
 from ledgehitch.config.explain import found, origins, reference
-from ledgehitch.config.layout import laid_out
+from ledgehitch.config.layout import format_text
 from ledgehitch.config.load import Loaded, canonical, load
 from ledgehitch.config.syntax import Malformed
 
@@ -38,7 +38,7 @@
 
 def _tell(loaded: Loaded) -> None:
     for m in loaded.mistakes:
-        click.echo(m.told(), err=True)
+        click.echo(m.describe(), err=True)
         line = loaded.line(m.at)
         if line.strip():
             text = line.expandtabs(4)
@@ -79,11 +79,11 @@
     for path in files:
         try:
             text = path.read_text("utf-8")
-            new = laid_out(text, path.name)
+            new = format_text(text, path.name)
         except (OSError, UnicodeDecodeError) as problem:
             raise BadInput(f"{path}: cannot be read: {problem}") from None
         except Malformed as wrong:
-            raise BadInput(wrong.mistake.told()) from None
+            raise BadInput(wrong.mistake.describe()) from None
         if new != text:
             changed = True
             if only_check:
--- a/ledgehitch/cli/fleet.py
+++ b/ledgehitch/cli/fleet.py
@@ -13,7 +13,7 @@
 from rich.table import Table
 
 from ledgehitch.config import BadInput, Site, read_site
-from ledgehitch.config.site import stated
+from ledgehitch.config.site import active_gateways
 from ledgehitch.daemon.facts import PlanCall, PlanMessage
 from ledgehitch.fleet.carry import WITHIN, Caller, Work, trusted
 from ledgehitch.fleet.found import Found, Target, counted
@@ -43,7 +43,7 @@
             raise BadInput(f"no gateway {name!r}, known are {', '.join(known)}")
     out = []
     for g in site.gateways:
-        if g.name not in (only or stated(site)):
+        if g.name not in (only or active_gateways(site)):
             continue
         if admin_dir is not None:
             at = f"unix:{admin_dir / g.name}.admin"
--- a/ledgehitch/config/change.py
+++ b/ledgehitch/config/change.py
@@ -200,19 +200,19 @@
 
     def __init__(self, running: Version, gateway: str = "") -> None:
         self.running, self.gateway = running, gateway
-        self.told = running
+        self.newest = running
         self.draining = False
         self.refused = 0
         self.last_refusal = ""
         self._started = running.data  # what the module was told at start
         self._due: list[Decision] = []
 
-    def handed(self, version: Version, mistakes: list[str], held: int = 0) -> None:
+    def on_version(self, version: Version, mistakes: list[str], held: int = 0) -> None:
         """A version, with what the checker says of it; `held`: viewings of this gateway now."""
-        if version.serial <= self.told.serial:
+        if version.serial <= self.newest.serial:
             self._refuse(
                 version.digest,
-                f"it is older than what was told already ({version.serial} <= {self.told.serial})",
+                f"it is older than what was told already ({version.serial} <= {self.newest.serial})",
             )
         elif mistakes:
             self._refuse(version.digest, "; ".join(mistakes[:3]))
@@ -222,10 +222,10 @@
                 f"it has no gateway {self.gateway}, which holds {held} viewings: drain it first",
             )
         else:
-            self.told = version
+            self.newest = version
             self._settle()
 
-    def drains(self, draining: bool) -> None:
+    def on_drain(self, draining: bool) -> None:
         self.draining = draining
         self._settle()
 
@@ -237,12 +237,12 @@
     def _settle(self) -> None:
         if self.draining:
             return
-        if self.told.digest == self.running.digest:
-            self.running = self.told
+        if self.newest.digest == self.running.digest:
+            self.running = self.newest
             return
-        steps = placed(self.running.data, self.told.data)
-        self.running = self.told
-        self._due += [Apply(self.told, self.waits(), steps), Keep(self.told)]
+        steps = placed(self.running.data, self.newest.data)
+        self.running = self.newest
+        self._due += [Apply(self.newest, self.waits(), steps), Keep(self.newest)]
 
     def waits(self) -> tuple[str, ...]:
         """Paths whose newest value the module will only know after a restart."""
@@ -255,8 +255,8 @@
     def state(self) -> dict[str, Any]:
         return {
             "runs": self.running.digest,
-            "told": self.told.digest,
-            "lags": self.told.digest != self.running.digest,
+            "told": self.newest.digest,
+            "lags": self.newest.digest != self.running.digest,
             "waits_for_restart": list(self.waits()),
             "refused": self.refused,
             "last_refusal": self.last_refusal,
--- a/ledgehitch/config/day.py
+++ b/ledgehitch/config/day.py
@@ -68,7 +68,7 @@
 
 
 # Between daemons, as the rig of several processes plays them; days of one process and models have none.
-BETWEEN: dict[str, Kind] = {
+DAEMON_FAULTS: dict[str, Kind] = {
     "wires_cut": Kind(
         "daemons",
         "`who` and the others are cut from each other; `extra` 1: it is not heard, 2: it does not hear",
@@ -101,7 +101,7 @@
 
 
 def _kind(name: str) -> Kind:
-    return KINDS[name] if name in KINDS else BETWEEN[name]
+    return KINDS[name] if name in KINDS else DAEMON_FAULTS[name]
 
 
 def _middle(bounds: tuple[float, float] | None) -> float:
@@ -190,7 +190,7 @@
 
         loaded = load(path, "#Day")
         if loaded.mistakes:
-            raise BadInput("\n".join(m.told() for m in loaded.mistakes))
+            raise BadInput("\n".join(m.describe() for m in loaded.mistakes))
         day = parse_record(msgspec.json.encode(loaded.data), Day, str(path))
     else:
         day = read_record(path, Day)
@@ -202,7 +202,7 @@
     for i, fault in enumerate(day.faults):
         at = f"{name}: faults[{i}]"
         kind = KINDS.get(fault.kind)
-        if fault.kind in BETWEEN:
+        if fault.kind in DAEMON_FAULTS:
             raise BadInput(f"{at}.kind: {fault.kind} is played between daemons alone")
         if kind is None:
             raise BadInput(f"{at}.kind: no fault {fault.kind!r}, known are {', '.join(sorted(KINDS))}")
--- a/ledgehitch/config/layout.py
+++ b/ledgehitch/config/layout.py
@@ -14,7 +14,7 @@
 TIGHT_AFTER = {"LPAR", "LSQB", "DOT", "BOUND"}
 
 
-def laid_out(text: str, name: str = "text") -> str:
+def format_text(text: str, name: str = "text") -> str:
     """The text in its one layout; raises `Malformed` where it does not parse."""
     if not name.endswith(".json"):
         _, mistakes = read(text, name)
--- a/ledgehitch/config/load.py
+++ b/ledgehitch/config/load.py
@@ -225,6 +225,6 @@
     """A site in the language; raises `BadInput` with all mistakes."""
     loaded = load(path)
     if loaded.mistakes or loaded.site is None:
-        raise BadInput("\n".join(m.told() for m in loaded.mistakes) or f"{path}: nothing there")
+        raise BadInput("\n".join(m.describe() for m in loaded.mistakes) or f"{path}: nothing there")
     check(loaded.site, str(path))
     return loaded.site
--- a/ledgehitch/config/site.py
+++ b/ledgehitch/config/site.py
@@ -162,7 +162,7 @@
     budgets: BudgetsRecord = BudgetsRecord()
 
 
-def stated(site: Site) -> tuple[str, ...]:
+def active_gateways(site: Site) -> tuple[str, ...]:
     """The gateways that count: those that nobody declared gone, nor their region."""
     lost = {zone for r in site.regions if r.gone for zone in r.zones}
     return tuple(g.name for g in site.gateways if not g.gone and g.zone not in lost)
@@ -198,7 +198,7 @@
         yield ("regions",), "all of them are declared gone"
 
 
-def lends(site: Site) -> bool:
+def can_lend_budgets(site: Site) -> bool:
     """Whether limits of the fleet are lent among its gateways: all of them can hear one another."""
     return bool(site.peer_key_file) and all(g.members_at for g in site.gateways)
 
@@ -253,7 +253,7 @@
             wrong(f"door.package_rates.{name}", "no such package is sold")
     for place, reason in wrong_regions(site):
         wrong(".".join(place), reason)
-    if not stated(site):
+    if not active_gateways(site):
         wrong("gateways", "all of them are declared gone")
     if site.terms.extra_free is not None and not site.terms.extra_window:
         wrong("terms.extra_window", "a budget for further tune-ins needs a window above 0")
--- a/ledgehitch/config/syntax.py
+++ b/ledgehitch/config/syntax.py
@@ -114,7 +114,7 @@
     reason: str
     hint: str = ""
 
-    def told(self) -> str:
+    def describe(self) -> str:
         return f"{self.at}: {self.reason}" + (f" ({self.hint})" if self.hint else "")
 
 
@@ -203,7 +203,7 @@
 
 class Malformed(Exception):
     def __init__(self, mistake: Mistake) -> None:
-        super().__init__(mistake.told())
+        super().__init__(mistake.describe())
         self.mistake = mistake
 
 
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -19,7 +19,7 @@
 from ledgehitch.budgets.facts import loan_duration
 from ledgehitch.budgets.words import FIRST_KIND as FIRST_BUDGET_KIND
 from ledgehitch.config import BadInput, Site
-from ledgehitch.config.site import stated
+from ledgehitch.config.site import active_gateways
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.loop import Event, Loop, run_forked
 from ledgehitch.loop.kernel import Task
@@ -169,7 +169,7 @@
         stored = self._read_votes(store, "")
         global_duties = tuple(duty for duty in DUTIES if duty not in regional_duties)
         global_scope = self._new_scope(
-            site, "", stated(site), global_duties, store, stored, regions, random.Random(seed)
+            site, "", active_gateways(site), global_duties, store, stored, regions, random.Random(seed)
         )
         durable = global_scope.owners.durable
         loan_timeout = loan_duration(durable.lists.max_recorded_lease()) + max(
@@ -177,7 +177,7 @@
         )
         share_delayed = bool(durable.lists.former) and durable.lists.regions != regions_digest(regions)
         stored_shares = stored.get("shares") if durable.intact and stored is not None else None
-        shares = initial_shares(self.region, regions, stated(site), stored_shares, share_delayed)
+        shares = initial_shares(self.region, regions, active_gateways(site), stored_shares, share_delayed)
         durable.set_shares(self._boottime(), shares, vote_duration(loan_timeout))
         self.scopes = [global_scope]
         if regions:
@@ -218,7 +218,7 @@
         rng: random.Random,
     ) -> Scope:
         now, gateway_names = self._boottime(), tuple(self.membership.names)
-        gone = frozenset(set(gateway_names) - set(stated(site)))
+        gone = frozenset(set(gateway_names) - set(active_gateways(site)))
         durable = DurableState(
             now,
             self.name,
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -13,7 +13,7 @@
 import structlog
 
 from ledgehitch.config import Site
-from ledgehitch.config.site import lends
+from ledgehitch.config.site import can_lend_budgets
 from ledgehitch.daemon.admin import Admin
 from ledgehitch.daemon.budgeting import Budgeting
 from ledgehitch.daemon.life import (
@@ -168,7 +168,7 @@
         if restarts is not None:
             owning.work[RESTARTS] = restarts(self)
         admission = self.running.executor.admission
-        if admission is not None and lends(self.site):
+        if admission is not None and can_lend_budgets(self.site):
             self.budgeting = Budgeting(self.loop, self.site, owning, self.membership, admission, seed + 6)
             self.admin.budgeting = owning.work[BUDGETS] = self.budgeting
             self.running.on_limits_changed = self.budgeting.configure
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -20,7 +20,7 @@
 from ledgehitch.budgets.facts import WHOLE, budgets_of
 from ledgehitch.budgets.units import own_parts
 from ledgehitch.config import Site, facts_of
-from ledgehitch.config.site import lends, rack_name, stated
+from ledgehitch.config.site import active_gateways, can_lend_budgets, rack_name
 from ledgehitch.door.decide import AdmissionController
 from ledgehitch.door.names import DEFAULT_ORDER
 from ledgehitch.gateway.carry import Executor
@@ -56,8 +56,8 @@
 
     The first value applies to any limit, the second to budgets whose own share differs. Without lending, the
     whole limits are divided among all gateways."""
-    has_loans = lends(site)
-    names, share = stated(site) if has_loans else tuple(g.name for g in site.gateways), WHOLE
+    has_loans = can_lend_budgets(site)
+    names, share = active_gateways(site) if has_loans else tuple(g.name for g in site.gateways), WHOLE
     region = next((r for r in regions_of(site) if name in r.gateways), None) if has_loans else None
     if region is not None:
         names, share = region.gateways, region.share
--- a/ledgehitch/gateway/versions.py
+++ b/ledgehitch/gateway/versions.py
@@ -60,7 +60,7 @@
         self.loop.spawn(self._check, self._serial, name=f"reload {self._serial}")
 
     def set_draining(self, draining: bool) -> None:
-        self.reloads.drains(draining)
+        self.reloads.on_drain(draining)
         self._pull()
 
     def _check(self, serial: int) -> None:
@@ -88,7 +88,9 @@
             result_path.unlink(missing_ok=True)
         if found.site is not None:
             self._sites[found.digest] = found
-        self.reloads.handed(Version(serial, found.digest, found.data), found.mistakes, self.viewing_count())
+        self.reloads.on_version(
+            Version(serial, found.digest, found.data), found.mistakes, self.viewing_count()
+        )
         self._pull()
 
     def _pull(self) -> None:
@@ -112,7 +114,7 @@
                         digest=digest[:16],
                         why=reason,
                     )
-        known = (self.reloads.running.digest, self.reloads.told.digest)
+        known = (self.reloads.running.digest, self.reloads.newest.digest)
         self._sites = {digest: site for digest, site in self._sites.items() if digest in known}
 
     def _save(self, compiled: CompiledSite) -> None:
@@ -180,7 +182,9 @@
     if source.suffix != ".json":
         loaded = load(source)
         if loaded.mistakes or loaded.site is None:
-            return CompiledSite(mistakes=[m.told() for m in loaded.mistakes] or [f"{source}: nothing there"])
+            return CompiledSite(
+                mistakes=[m.describe() for m in loaded.mistakes] or [f"{source}: nothing there"]
+            )
         return CompiledSite(loaded.digest(), loaded.data, loaded.site)
     try:
         site = read_site(source)
--- a/ledgehitch/lab/facts.py
+++ b/ledgehitch/lab/facts.py
@@ -52,7 +52,7 @@
     """A plan in the configuration language; what is wrong is told with file, line and column."""
     loaded = load(path, "#Plan")
     if loaded.mistakes:
-        raise BadInput("\n".join(m.told() for m in loaded.mistakes))
+        raise BadInput("\n".join(m.describe() for m in loaded.mistakes))
     return parse_record(msgspec.json.encode(loaded.data), Plan, str(path))
 
 
--- a/ledgehitch/regions/facts.py
+++ b/ledgehitch/regions/facts.py
@@ -6,7 +6,7 @@
 
 from blake3 import blake3
 
-from ledgehitch.config.site import Site, stated
+from ledgehitch.config.site import Site, active_gateways
 
 WHOLE = 1_000_000_000  # parts of every budget, as in `budgets/`
 # Duties with an owner in each region; all others have one owner for the fleet.
@@ -38,7 +38,7 @@
     """Returns the site's regions that have a gateway, in the site's order.
 
     The share of a region that is gone is distributed to the others in proportion to their shares."""
-    names = set(stated(site))
+    names = set(active_gateways(site))
     region_of_zone = {zone: r.name for r in site.regions for zone in r.zones}
     gateways_in = {
         r.name: tuple(g.name for g in site.gateways if g.name in names and region_of_zone[g.zone] == r.name)
--- a/ledgehitch/scale/hollow.py
+++ b/ledgehitch/scale/hollow.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from ledgehitch.config import Site
-from ledgehitch.config.site import lends
+from ledgehitch.config.site import can_lend_budgets
 from ledgehitch.daemon.budgeting import Budgeting
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.daemon.owning import Owning, Work
@@ -139,7 +139,7 @@
             owning = Owning(self.loop, self.site, name, membership, self.state, seed + 5)
             owning.is_serving = lambda: True
             budgeting: Budgeting | None = None
-            if lends(self.site):
+            if can_lend_budgets(self.site):
                 needs = StatedNeeds(self.site, self.share)
                 budgeting = Budgeting(self.loop, self.site, owning, membership, needs, seed + 6)
             work = {
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -22,7 +22,7 @@
 from ledgehitch.config.change import Apply, Keep, Refuse, Reloads, Version, applied, changes, leaves, placed
 from ledgehitch.config.evaluate import Evaluation, plain_data
 from ledgehitch.config.explain import found, origins, reference
-from ledgehitch.config.layout import laid_out
+from ledgehitch.config.layout import format_text
 from ledgehitch.config.load import Loaded, digest_of, load, load_text, schema
 from ledgehitch.config.quantities import Quantity, quantity, spelt
 from ledgehitch.config.syntax import MOST_BYTES, Malformed
@@ -156,7 +156,7 @@
 
 
 def messages(loaded: Loaded) -> str:
-    return "\n".join(m.told() for m in loaded.mistakes)
+    return "\n".join(m.describe() for m in loaded.mistakes)
 
 
 def test_the_good_file_comes_to_a_site() -> None:
@@ -406,11 +406,11 @@
     text = GOOD[:at] + "".join(pieces) + GOOD[at + gone :]
     before = load_text(text)
     try:
-        new = laid_out(text)
+        new = format_text(text)
     except Malformed:
         assert before.mistakes
         return
-    assert laid_out(new) == new
+    assert format_text(new) == new
     after = load_text(new)
     assert bool(after.mistakes) == bool(before.mistakes)
     assert after.data == before.data
@@ -437,7 +437,7 @@
 
 def test_layout_of_a_file_that_nobody_laid_out() -> None:
     messy = 'name:"demo"   // who\n\n\n\nterms :{warm_up:6s,\n   cold_share :  30%\n}\nx:*1|>=2&<-3\n'
-    assert laid_out(messy) == (
+    assert format_text(messy) == (
         'name: "demo" // who\n\nterms: { warm_up: 6s,\n\tcold_share: 30%\n}\nx: *1 | >=2 & <-3\n'
     )
 
@@ -568,23 +568,23 @@
 def test_each_case_of_reloads_has_one_result() -> None:
     first, second, third = version(1), version(2, n=2), version(3, warm_up=9)
     r = Reloads(first)
-    r.handed(second, ["x.lh:1:1: wrong"])
+    r.on_version(second, ["x.lh:1:1: wrong"])
     assert [type(d) for d in pulled(r)] == [Refuse] and r.running == first, "a bad one is refused whole"
-    r.handed(second, [])
+    r.on_version(second, [])
     assert pulled(r) == [Apply(second, ()), Keep(second)]
-    r.handed(third, [])
+    r.on_version(third, [])
     assert pulled(r) == [Apply(third, ("terms.warm_up",)), Keep(third)], "the module knows after a restart"
-    r.handed(second, [])
+    r.on_version(second, [])
     assert [type(d) for d in pulled(r)] == [Refuse] and r.running == third, "older than what was told"
     same = Version(4, third.digest, third.data)
-    r.handed(same, [])
+    r.on_version(same, [])
     assert pulled(r) == [] and r.state()["lags"] is False, "the same again: nothing to do"
-    r.drains(True)
+    r.on_drain(True)
     back = version(5)
-    r.handed(back, [])
+    r.on_version(back, [])
     assert pulled(r) == [] and r.state()["lags"] is True, "nothing is applied during a drain"
-    r.handed(Version(6, third.digest, third.data), [])
-    r.drains(False)
+    r.on_version(Version(6, third.digest, third.data), [])
+    r.on_drain(False)
     assert pulled(r) == [] and r.running.serial == 6, (
         "taken back before it was applied: nothing is left of it"
     )
@@ -601,13 +601,13 @@
         one = version(serial, n=n)
         if not bad and serial > newest.serial:
             newest = one
-        r.handed(one, ["bad"] if bad else [])
-        r.drains(drain)
+        r.on_version(one, ["bad"] if bad else [])
+        r.on_drain(drain)
         for decision in pulled(r):
             if isinstance(decision, Apply):
                 applied_.append(decision.version.serial)
         assert applied_ == sorted(applied_)
-    r.drains(False)
+    r.on_drain(False)
     pulled(r)
     assert r.running.digest == newest.digest and not r.state()["lags"]
 
@@ -648,7 +648,7 @@
     assert placed(a, b) == (("place", "melomakarona"), ("move", "other"), ("withdraw", "tsoureki"))
     r = Reloads(Version(0, digest_of(a), a), "g0")
     gone = load_text(GOOD.replace("gateways: g0", "gateways: g7")).data
-    r.handed(Version(1, digest_of(gone), gone), [], held=3)
+    r.on_version(Version(1, digest_of(gone), gone), [], held=3)
     assert [type(d) for d in pulled(r)] == [Refuse] and "drain it first" in r.last_refusal
-    r.handed(Version(2, digest_of(gone), gone), [], held=0)
+    r.on_version(Version(2, digest_of(gone), gone), [], held=0)
     assert [type(d) for d in pulled(r)] == [Apply, Keep]
--- a/tests/test_owning.py
+++ b/tests/test_owning.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ledgehitch.config import BadInput, Fault, read_day
-from ledgehitch.config.day import BETWEEN
+from ledgehitch.config.day import DAEMON_FAULTS
 from ledgehitch.proof.owned import check_owners
 from ledgehitch.proof.tape import Line
 from ledgehitch.rehearsal.fleet import FleetRig
@@ -350,7 +350,7 @@
 
 
 def test_day_of_one_process_rejects_faults_between_daemons(tmp_path: Path) -> None:
-    for kind in BETWEEN:
+    for kind in DAEMON_FAULTS:
         raw = {
             "name": "d",
             "length": 9.0,
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -16,7 +16,7 @@
 from ledgehitch.config import BadInput, read_site
 from ledgehitch.config.change import changes
 from ledgehitch.config.load import load_text
-from ledgehitch.config.site import GatewayRecord, RegionRecord, Site, check, stated
+from ledgehitch.config.site import GatewayRecord, RegionRecord, Site, active_gateways, check
 from ledgehitch.fleet.owned import Said, cannot_vote, owned
 from ledgehitch.fleet.shared import Lends, Mine, Told, divided
 from ledgehitch.owners.decide import Owners
@@ -175,7 +175,9 @@
     make_report = [msgspec.structs.replace(r, share=s) for r, s in ((north, 0.2), (south, 0.6))]
     assert [r.share for r in regions_of(two_regions(*make_report))] == [WHOLE // 5, WHOLE * 3 // 5]
     lost = two_regions(make_report[0], msgspec.structs.replace(make_report[1], gone=True))
-    assert stated(lost) == NORTH.gateways and regions_of(lost) == (NORTH._replace(share=WHOLE * 4 // 5),)
+    assert active_gateways(lost) == NORTH.gateways and regions_of(lost) == (
+        NORTH._replace(share=WHOLE * 4 // 5),
+    )
 
 
 INVALID_REGIONS: list[tuple[str, str, str]] = [
