--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -26,7 +26,7 @@
 from ledgehitch import brain, interface
 from ledgehitch.config.load import load
 from ledgehitch.fleet.carry import Caller
-from ledgehitch.fleet.found import Target, counted
+from ledgehitch.fleet.found import Target, count_by_kind
 from ledgehitch.gateway.roll import HostList, HostListUpdate
 from ledgehitch.loop import Loop
 from ledgehitch.owners.facts import BUDGETS, DUTIES
@@ -197,7 +197,7 @@
         loaded = load(path)
         spent = cpu() - began
         if loaded.mistakes or loaded.site is None or len(loaded.site.gateways) != size:
-            raise SystemExit("\n".join(m.told() for m in loaded.mistakes[:5]) or "no site")
+            raise SystemExit("\n".join(m.describe() for m in loaded.mistakes[:5]) or "no site")
         text = sum(len(t.encode()) for t in loaded.texts.values())
         peak = memory_of(os.getpid()) - before
     return {"check": (spent, {"cpu_s_per_change": spent, "memory_bytes": peak, "text_bytes": text})}
@@ -322,7 +322,7 @@
         finally:
             child.kill()
             child.wait()
-    answered = counted(found).get("answered", 0)
+    answered = count_by_kind(found).get("answered", 0)
     return {"status": (took, {"seconds": took, "cpu_s": spent, "answered": answered})}
 
 
--- a/ledgehitch/fleet/found.py
+++ b/ledgehitch/fleet/found.py
@@ -1,6 +1,6 @@
-"""What a gateway turned out to be when it was asked. Free of I/O.
+"""Classifies the answers of gateways to a status query. Free of I/O.
 
-Who does not answer is not left out and nothing is guessed: each one asked for stands in the result, once.
+Each gateway that was queried has exactly one result, also if it did not answer.
 """
 
 from collections.abc import Sequence
@@ -11,11 +11,11 @@
 from ledgehitch.daemon.facts import VERSION, State
 
 Kind = Literal["answered", "draining", "slow", "refused", "silent", "impostor", "wrong version", "unknown"]
-SLOW = 0.5  # part of the deadline after which an answer counts as slow
+SLOW_SHARE = 0.5  # share of the deadline after which an answer counts as slow
 
 
 class Target(msgspec.Struct, frozen=True):
-    """One gateway of the fleet, as the site names it."""
+    """One gateway of the fleet, as named in the site."""
 
     name: str
     at: str  # unix:PATH, or HOST:PORT over TLS
@@ -23,8 +23,11 @@
     rack: str = ""
 
 
-class Found(msgspec.Struct, frozen=True):
-    """`why` in words for people; `state` where it told one that can be believed."""
+class QueryResult(msgspec.Struct, frozen=True):
+    """Result of querying one gateway.
+
+    `why`: the reason, for operators; `state`: None unless a valid one came; `took`: seconds.
+    """
 
     name: str
     kind: Kind
@@ -33,40 +36,46 @@
     state: State | None = None
 
 
-def judged(target: Target, took: float, within: float, status: int, version: str, body: bytes) -> Found:
-    """An answer came."""
+def classify_answer(
+    target: Target, took: float, within: float, status: int, version: str, body: bytes
+) -> QueryResult:
+    """Classifies an HTTP answer that took `took` of `within` seconds."""
     if status in (401, 403):
-        return Found(target.name, "refused", "it does not take this certificate", took)
+        return QueryResult(target.name, "refused", "it does not take this certificate", took)
     if version != VERSION:
-        spoken = f"version {version}" if version else "no version"
-        return Found(target.name, "wrong version", f"its admin call has {spoken}, this tool {VERSION}", took)
+        actual = f"version {version}" if version else "no version"
+        return QueryResult(
+            target.name, "wrong version", f"its admin call has {actual}, this tool {VERSION}", took
+        )
     if status != 200:
-        return Found(target.name, "unknown", f"it answers {status}", took)
+        return QueryResult(target.name, "unknown", f"it answers {status}", took)
     try:
         state = msgspec.json.decode(body, type=State)
-    except msgspec.MsgspecError as wrong:
-        return Found(target.name, "unknown", f"its state does not read: {wrong}", took)
+    except msgspec.MsgspecError as error:
+        return QueryResult(target.name, "unknown", f"its state does not read: {error}", took)
     if state.name != target.name:
-        return Found(target.name, "impostor", f"{state.name} answers at its address", took)
+        return QueryResult(target.name, "impostor", f"{state.name} answers at its address", took)
     if state.phase != "ready":
-        return Found(
+        return QueryResult(
             target.name, "draining", f"{state.phase}: {state.why}" if state.why else state.phase, took, state
         )
-    if took > SLOW * within:
-        return Found(target.name, "slow", f"it took {took:.2f} s", took, state)
-    return Found(target.name, "answered", "", took, state)
+    if took > SLOW_SHARE * within:
+        return QueryResult(target.name, "slow", f"it took {took:.2f} s", took, state)
+    return QueryResult(target.name, "answered", "", took, state)
 
 
-def unheard(target: Target, how: Literal["refused", "silent", "unknown"], why: str, took: float) -> Found:
-    """No answer came: nobody listens, nothing came in time, or what came is no HTTP."""
-    return Found(target.name, how, why, took)
+def no_answer(
+    target: Target, kind: Literal["refused", "silent", "unknown"], why: str, took: float
+) -> QueryResult:
+    """Returns the result for a gateway without an answer: connection refused, time-out, or invalid HTTP."""
+    return QueryResult(target.name, kind, why, took)
 
 
-def counted(found: Sequence[Found]) -> dict[str, int]:
-    """How many of each kind, the usual first."""
+def count_by_kind(found: Sequence[QueryResult]) -> dict[str, int]:
+    """Returns the number of results of each kind, in the order of `Kind`."""
     out: dict[str, int] = {}
     for kind in get_args(Kind):
-        n = sum(f.kind == kind for f in found)
-        if n:
-            out[kind] = n
+        count = sum(f.kind == kind for f in found)
+        if count:
+            out[kind] = count
     return out
