--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -247,7 +247,7 @@
         lends = self.lender is not None and self.owning.owned_term(BUDGETS) == self.lender.term
         used = self.admission.usage()
         loan_valid = borrower.loan_valid(now)
-        mine = {
+        own_budgets = {
             budget.name: {
                 "own": borrower.own[i],
                 "loan": borrower.loans[i] if loan_valid else 0,
@@ -259,7 +259,7 @@
         }
         return {
             "whole": WHOLE,
-            "budgets": mine,
+            "budgets": own_budgets,
             "loan_left": round(max(0.0, borrower.loan_until - now), 3) if loan_valid else 0.0,
             "term": borrower.term,
             "digests": [d.hex() for d in borrower.digests],
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -371,14 +371,14 @@
         The term is on disk before 0 is returned.
         """
         scope = self.scope_of(duty)
-        taken = scope.owners.accepts_effect(duty, term)
+        accepted = scope.owners.accepts_effect(duty, term)
         scope.pull()
-        while taken and scope.owners.dirty() and scope.pending_write is not None:
+        while accepted and scope.owners.dirty() and scope.pending_write is not None:
             scope.pending_write.wait()
             self.loop.sleep(0.0)  # the writing task continues first
         known = scope.owners.durable.fence.highest_term(duty)
         # A higher term may have arrived during the wait for the disk.
-        if taken and not scope.owners.dirty() and known <= term:
+        if accepted and not scope.owners.dirty() and known <= term:
             return 0
         log.warning(
             "effect of an owner refused",
--- a/ledgehitch/daemon/plans.py
+++ b/ledgehitch/daemon/plans.py
@@ -19,7 +19,7 @@
 
     def __init__(self, path: Path) -> None:
         self.store = SnapshotStore(path, private=True, synced=True)
-        self.held: PlanMessage | None = None
+        self.current: PlanMessage | None = None
         self.error = ""  # why the stored plan could not be read
         stored = self.store.read()
         if stored is None:
@@ -27,7 +27,7 @@
         try:
             if stored["version"] != FILE_VERSION:
                 raise ValueError(f"it is of version {stored['version']!r}, this program keeps {FILE_VERSION}")
-            self.held = msgspec.convert(stored["plan"], PlanMessage)
+            self.current = msgspec.convert(stored["plan"], PlanMessage)
         except (msgspec.ValidationError, KeyError, TypeError, ValueError) as wrong:
             self.error = str(wrong)
             log.error("stored plan is invalid, other gateways may have it", why=self.error)
@@ -37,12 +37,15 @@
 
         Raises OSError if it cannot be written to disk.
         """
-        if self.held is not None and new.order() < self.held.order():
+        if self.current is not None and new.order() < self.current.order():
             return False
         self.store.write({"version": FILE_VERSION, "plan": msgspec.to_builtins(new)})
-        self.held, self.error = new, ""
+        self.current, self.error = new, ""
         return True
 
     def state(self) -> dict[str, Any]:
         """Returns the stored plan, and the error if it could not be read."""
-        return {"held": msgspec.to_builtins(self.held) if self.held is not None else None, "why": self.error}
+        return {
+            "held": msgspec.to_builtins(self.current) if self.current is not None else None,
+            "why": self.error,
+        }
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -213,10 +213,10 @@
 
     def _send_heartbeats(self, watchdog: Watchdog) -> None:
         """Reports that the event loop runs to the watchdog, and to the supervisor if it asks for that."""
-        interval = min(HEARTBEAT_INTERVAL_S, self.supervisor.every or HEARTBEAT_INTERVAL_S)
+        interval = min(HEARTBEAT_INTERVAL_S, self.supervisor.watchdog_interval_s or HEARTBEAT_INTERVAL_S)
         while True:
             watchdog.heartbeat()
-            if self.supervisor.every:
+            if self.supervisor.watchdog_interval_s:
                 self.supervisor.notify("WATCHDOG=1")
             self.loop.sleep(interval)
 
--- a/ledgehitch/daemon/supervisor.py
+++ b/ledgehitch/daemon/supervisor.py
@@ -13,7 +13,9 @@
         self.address = "\0" + address[1:] if address.startswith("@") else address
         for_this_process = environment.get("WATCHDOG_PID", str(os.getpid())) == str(os.getpid())
         usec = environment.get("WATCHDOG_USEC", "")
-        self.every = int(usec) / 2e6 if for_this_process and usec.isdigit() and int(usec) > 0 else 0.0
+        self.watchdog_interval_s = (
+            int(usec) / 2e6 if for_this_process and usec.isdigit() and int(usec) > 0 else 0.0
+        )
         self.refused = 0
 
     def notify(self, text: str) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -192,11 +192,11 @@
         sock.bind(str(tmp_path / "notify"))
         there = Supervisor({"NOTIFY_SOCKET": str(tmp_path / "notify"), "WATCHDOG_USEC": "4000000"})
         there.notify("READY=1")
-        assert sock.recv(100) == b"READY=1" and there.every == 2.0
+        assert sock.recv(100) == b"READY=1" and there.watchdog_interval_s == 2.0
     there.notify("STOPPING=1")
     assert there.refused == 1
     Supervisor({}).notify("READY=1")
-    assert Supervisor({"WATCHDOG_USEC": "4000000", "WATCHDOG_PID": "1"}).every == 0.0
+    assert Supervisor({"WATCHDOG_USEC": "4000000", "WATCHDOG_PID": "1"}).watchdog_interval_s == 0.0
 
 
 def test_rotated_log_file_is_reopened(tmp_path: Path) -> None:
@@ -659,15 +659,15 @@
     assert plans.accept(words) and not plans.accept(msgspec.structs.replace(words, term=3, version=9))
     assert plans.accept(msgspec.structs.replace(words, term=4, version=3, word="stopped"))
     again = Plans(tmp_path / "g0.plan")
-    assert again.held == msgspec.structs.replace(words, version=3, word="stopped")
+    assert again.current == msgspec.structs.replace(words, version=3, word="stopped")
     whole = (tmp_path / "g0.plan.0").read_bytes()
     for cut in range(0, len(whole), 5):
         (tmp_path / "g0.plan.0").write_bytes(whole[:cut])
-        assert Plans(tmp_path / "g0.plan").held is None
+        assert Plans(tmp_path / "g0.plan").current is None
     other = Plans(tmp_path / "g0.plan")
     other.store.write({"version": 2, "plan": {}})
     strange = Plans(tmp_path / "g0.plan")
-    assert strange.held is None and "it is of version 2" in strange.error
+    assert strange.current is None and "it is of version 2" in strange.error
 
 
 def test_gateway_restarted_by_another_is_skipped_and_a_missing_one_stops_the_plan() -> None:
