--- a/benchmarks/door_model.py
+++ b/benchmarks/door_model.py
@@ -45,7 +45,7 @@
 def run(day: Day, seed: int = 1) -> dict[str, Any]:
     site = site_of(day, seed, PORTS)
     result = played(day, site, steps_of(day, site, seed), seed)
-    told = result.service.told()
+    told = result.service.summary()
     breaches = check_rules(result.tape, rule_parameters(site))
     cells = {int(s): both for s, both in told["by_second"].items()}
 
--- a/benchmarks/fleet_many.py
+++ b/benchmarks/fleet_many.py
@@ -83,7 +83,7 @@
     }
     day = msgspec.json.decode(msgspec.json.encode(raw), type=Day)
     site = site_of(day, 1, PORTS)
-    told = played(day, site, steps_of(day, site, 1), 1, taped=False).service.told()
+    told = played(day, site, steps_of(day, site, 1), 1, taped=False).service.summary()
     cells = {int(s): both for s, both in told["by_second"].items()}
 
     def service(first: int, last: int) -> float:
--- a/benchmarks/fleets.py
+++ b/benchmarks/fleets.py
@@ -69,9 +69,9 @@
         "module_us_per_viewing_second": round(1e6 * result.module_s / watched, 1),
         "calls": result.calls,
         "most_mb": round(most_mb),
-        "service": service.told()["service"],
+        "service": service.summary()["service"],
         "blocked": service.answers.get("blocked", 0),
-        "joins_s": service.told()["joins_s"],
+        "joins_s": service.summary()["joins_s"],
     }
 
 
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -41,7 +41,7 @@
     site = site_of(day, seed, PORTS)
     result = played(day, site, steps_of(day, site, seed), seed, taped=job.get("cold", False))
     service = result.service
-    told = service.told()
+    told = service.summary()
     windows = {}
     for start in range(0, int(day.length), 5):
         cells = [service.by_second.get(s, [0.0, 0.0]) for s in range(start, start + 5)]
--- a/ledgehitch/standins/service.py
+++ b/ledgehitch/standins/service.py
@@ -37,7 +37,7 @@
         cell[0] += asked
         cell[1] += earned
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """Returns the figures of the day, to be written as JSON."""
         cells = self.by_second
         windows = []
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -429,7 +429,7 @@
         service: Service = loop.run(viewers.run)
     finally:
         tape.close()
-    summary = service.told()
+    summary = service.summary()
     if day.reporting.every:
         summary["players"] = {**asdict(viewers.made), "faulty": [asdict(f) for f in viewers.faulty]}
     return summary
