--- a/ledgehitch/model/viewers.py
+++ b/ledgehitch/model/viewers.py
@@ -8,7 +8,7 @@
 from ledgehitch.model.media import Session
 from ledgehitch.standins.arrivals import Visit, picked, visits
 from ledgehitch.standins.service import Booking
-from ledgehitch.standins.visiting import LATE_ANSWER, SIGN, Came, Does, Rest, Seen, Try, Watch, visit
+from ledgehitch.standins.visiting import LATE_ANSWER, SIGN, Action, Rest, Seen, Try, TryResult, Watch, visit
 
 if TYPE_CHECKING:
     from ledgehitch.model.day import Ground
@@ -72,7 +72,7 @@
     def __init__(self, crowd: Crowd, v: Visit) -> None:
         self.crowd, self.v = crowd, v
         target = crowd.packages[v.package].join_target
-        self.steps: Generator[Does, Came | bool | None, None] = visit(
+        self.steps: Generator[Action, TryResult | bool | None, None] = visit(
             v, crowd.ground.day, target, crowd.booking, crowd.chance, crowd.now
         )
         self.waits = -1  # the connection whose answer is awaited
@@ -87,7 +87,7 @@
     def begin(self) -> None:
         self._does(None)
 
-    def _does(self, came: Came | bool | None) -> None:
+    def _does(self, came: TryResult | bool | None) -> None:
         try:
             step = self.steps.send(came)
         except StopIteration:
@@ -107,7 +107,7 @@
         front = c.gateway(place)
         c.chance.randrange(10)  # the stand-ins draw for the text of the offer here
         if not front.up:
-            g.agenda.after(2 * g.hop, self._does, Came("nobody"))
+            g.agenda.after(2 * g.hop, self._does, TryResult("nobody"))
             return
         self.front, self.resource, self.session = front, "", None
         package = c.packages[v.package]
@@ -173,7 +173,7 @@
         self.waits = -1
         self._note_answer(conn, kind, resource)
         self.resource, self.session = resource, session
-        self._does(Came(kind, advice, ticket))
+        self._does(TryResult(kind, advice, ticket))
 
     def _repeat_answered(
         self, conn: int, kind: str, advice: float, resource: str, session: Session | None, ticket: str = ""
@@ -189,7 +189,7 @@
         g = self.crowd.ground
         g.write("hangup", conn=conn)
         g.agenda.after(g.hop, self.front.take, self.front.hung_up, conn)
-        self._does(Came("hung up" if impatient else "broken"))
+        self._does(TryResult("hung up" if impatient else "broken"))
 
     # ---- watching ------------------------------------------------------------------------------------------
 
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -17,7 +17,17 @@
 from ledgehitch.standins.arrivals import Visit, picked, titles_by_popularity, visits
 from ledgehitch.standins.players import Made, Player, faulty_of
 from ledgehitch.standins.service import Booking, Service
-from ledgehitch.standins.visiting import LATE_ANSWER, MOST_AFTER, SIGN, Came, Rest, Seen, Try, Watch, visit
+from ledgehitch.standins.visiting import (
+    LATE_ANSWER,
+    MOST_AFTER,
+    SIGN,
+    Rest,
+    Seen,
+    Try,
+    TryResult,
+    Watch,
+    visit,
+)
 
 REPORTS = re.compile(r'<([^>]*)>; *rel="urn:ledgehitch:reports"')
 KINDS = {201: "plays", 503: "blocked", 502: "aborted", 504: "aborted", 307: "moved"}
@@ -133,7 +143,7 @@
         try:
             target = self.packages[visitor.package].join_target
             steps = visit(visitor, self.day, target, self.booking, self.chance, self._now)
-            result: Came | bool | None = None
+            result: TryResult | bool | None = None
             attempt: AttemptResult | None = None
             took = 0.0
             while True:
@@ -149,7 +159,7 @@
                             visitor if top == visitor.top else replace(visitor, top=top), place, ticket
                         )
                         took = time.monotonic() - tried_at
-                        result = Came(attempt.kind, attempt.advice, attempt.ticket)
+                        result = TryResult(attempt.kind, attempt.advice, attempt.ticket)
                     case Rest(seconds):
                         self.loop.sleep(max(0.0, seconds))
                     case Watch(place, seconds, in_time):
--- a/ledgehitch/standins/visiting.py
+++ b/ledgehitch/standins/visiting.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Try:
-    """Request from the gateway that `place` selects, for rungs up to `top`; the result is a `Came`.
+    """Request from the gateway that `place` selects, for rungs up to `top`; the result is a `TryResult`.
 
     `place` is a number from 0 to 1. `ticket` is what the gateway gave with its advice to retry.
     """
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Came:
+class TryResult:
     """The result of one try: plays, blocked, aborted, other, broken, nobody or hung up; advice in seconds."""
 
     kind: str
@@ -56,7 +56,7 @@
     ticket: str = ""
 
 
-Does = Try | Watch | Rest
+Action = Try | Watch | Rest
 CAUSES = {"plays": "late", "blocked": "blocked", "hung up": "left"}
 
 
@@ -67,7 +67,7 @@
     booking: Booking,
     chance: random.Random,
     now: Callable[[], float],
-) -> Generator[Does, Came | bool | None, None]:
+) -> Generator[Action, TryResult | bool | None, None]:
     """Yields the actions of one viewer's visit; `now` gives seconds from the day's start."""
     arrivals, service = day.arrivals, booking.service
     service.visits += 1
@@ -78,7 +78,7 @@
     while remaining > 0 and now() < day.length:
         tried_at = now()
         result = yield Try(place, top, ticket)
-        assert isinstance(result, Came)
+        assert isinstance(result, TryResult)
         waited = now() - tried_at
         cause = CAUSES.get(result.kind, "failed")
         booking.lost(viewer, min(waited, remaining), tried_at, cause)
