--- a/ledgehitch/rehearsal/fleet.py
+++ b/ledgehitch/rehearsal/fleet.py
@@ -255,7 +255,7 @@
     def heal(self) -> None:
         self.wires.cuts.heal()
         self.wires.held = lambda step: False
-        self.wires.let_go()
+        self.wires.release_held()
 
     def bad_wires(self, loss: float = 0.0, doubled: float = 0.0, late: float = 0.0) -> None:
         self.wires.cuts.everywhere = Bad(loss, doubled, late)
--- a/ledgehitch/standins/wires.py
+++ b/ledgehitch/standins/wires.py
@@ -185,7 +185,7 @@
         ]
         return Response(answer.status, fields, answer.body)
 
-    def let_go(self) -> None:
+    def release_held(self) -> None:
         """Checks `held` again for the steps that wait."""
         released, self._released = self._released, Event(self.loop)
         released.set()
--- a/tests/test_owning.py
+++ b/tests/test_owning.py
@@ -115,7 +115,7 @@
             rig.kill(late.to)  # the receiver keeps only its disk
             rig.start_all([late.to])
         rig.wires.held = lambda step: False
-        rig.wires.let_go()
+        rig.wires.release_held()
         rig.until(lambda: late.to == owner or refused_drains(rig, owner))
         rig.resume(owner)
         rig.until(lambda: rig.plan() == "ended", 90.0)
@@ -243,7 +243,7 @@
         assert code == 2 and "is not at its end" in output, output
         assert rig.fleet("plan", "stop")[0] == 0 and rig.plan() == "stopped"
         rig.wires.held = lambda step: False
-        rig.wires.let_go()
+        rig.wires.release_held()
         assert rig.fleet("plan", "resume")[0] == 0
         rig.until(lambda: any(line["ev"] == "step_out" and line.get("started_by") for line in rig.lines()))
         assert rig.fleet("plan", "give-up")[0] == 0 and rig.plan() == "given up"
