--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -24,7 +24,7 @@
 from ledgehitch.model.viewers import Crowd
 from ledgehitch.proof.tape import Line
 from ledgehitch.standins.faults import Faults
-from ledgehitch.standins.links import BEAT, Delivery, Fabric, Kinds, Link, Telling
+from ledgehitch.standins.links import BEAT, Delivery, Fabric, Kinds, Link, NoteSchedule
 from ledgehitch.standins.places import ORPHANED, habits_of, places_of
 from ledgehitch.standins.plan import Step
 from ledgehitch.standins.service import Service
@@ -147,7 +147,7 @@
         self._facts: tuple[Ladder, tuple[Package, ...], Fleet, Terms] | None = None
         self._ordinals = {g.name: i for i, g in enumerate(site.gateways)}
         self._silent: dict[str, float] = {}
-        self.telling = Telling(self.agenda.now, site.fleet.told_every)
+        self.note_schedule = NoteSchedule(self.agenda.now, site.fleet.told_every)
         self._born = 0
         for rack in range(site.fleet.racks):
             self.fabric.uplinks[rack] = Link(site.fleet.uplink_kb)
@@ -291,7 +291,7 @@
         told = self.fabric.deliveries(asked)
         for name, delivery in told.items():
             self.hosts[name].delivery = delivery
-        second, notes = self.telling.due(now, told)
+        second, notes = self.note_schedule.due(now, told)
         if second:
             self._look_for_silent(now)
             self._sample(told)
--- a/ledgehitch/standins/links.py
+++ b/ledgehitch/standins/links.py
@@ -77,7 +77,7 @@
     return min(1.0, remaining / open_kb) if open_kb > 0 else 1.0
 
 
-class Telling:
+class NoteSchedule:
     """Schedules hosts' notes to gateways: shortfalls each second, utilization every `told_every` seconds."""
 
     def __init__(self, now: float, told_every: float) -> None:
--- a/ledgehitch/standins/world.py
+++ b/ledgehitch/standins/world.py
@@ -16,7 +16,7 @@
 from ledgehitch.loop import Datagrams, Endpoint, Loop, endpoint
 from ledgehitch.proof.tape import Tape
 from ledgehitch.standins.faults import Faults
-from ledgehitch.standins.links import BEAT, Fabric, Kinds, Link, Telling
+from ledgehitch.standins.links import BEAT, Fabric, Kinds, Link, NoteSchedule
 from ledgehitch.standins.lists import ListService
 from ledgehitch.standins.media import MediaHost
 from ledgehitch.standins.network import PeerNetwork
@@ -128,14 +128,14 @@
 
     def _update_links(self) -> None:
         """Updates deliveries, and sends gateways notes on shortfall and utilization with the site's delay."""
-        telling = Telling(time.monotonic(), self.site.fleet.told_every)
+        note_schedule = NoteSchedule(time.monotonic(), self.site.fleet.told_every)
         while True:
             self.loop.sleep(BEAT)
             now = time.monotonic()
             deliveries = self.fabric.deliveries({n: h.demand_kb() for n, h in self.hosts.items() if h.up})
             for name, delivery in deliveries.items():
                 self.hosts[name].delivery = delivery
-            second, notes = telling.due(now, deliveries)
+            second, notes = note_schedule.due(now, deliveries)
             for name in sorted(deliveries) if second else ():
                 self.hosts[name].alive()
             for name, kinds in notes:
