--- a/ledgehitch/model/viewers.py
+++ b/ledgehitch/model/viewers.py
@@ -6,7 +6,7 @@
 
 from ledgehitch.model.front import Front
 from ledgehitch.model.media import Session
-from ledgehitch.standins.arrivals import Visit, picked, visits
+from ledgehitch.standins.arrivals import Visit, visits, weighted_index
 from ledgehitch.standins.service import Booking
 from ledgehitch.standins.visiting import LATE_ANSWER, SIGN, Action, Rest, Seen, Try, TryResult, Watch, visit
 
@@ -50,7 +50,7 @@
 
     def gateway(self, place: float) -> Front:
         """The gateway that the place falls on: the life that it is in, or was in last."""
-        return self.ground.fronts[self.names[picked(place, self.lean)]]
+        return self.ground.fronts[self.names[weighted_index(place, self.lean)]]
 
 
 class Viewer:
--- a/ledgehitch/standins/arrivals.py
+++ b/ledgehitch/standins/arrivals.py
@@ -108,7 +108,7 @@
         )
 
 
-def picked(place: float, weights: Sequence[float]) -> int:
+def weighted_index(place: float, weights: Sequence[float]) -> int:
     """Returns the index that `place`, a number from 0 to 1, selects in proportion to `weights`."""
     total = sum(weights)
     for i, weight in enumerate(weights):
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -14,7 +14,7 @@
 from ledgehitch.http.parse import ResponseReader
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, Stream, TimedOut, connect, endpoint
 from ledgehitch.proof.tape import Tape
-from ledgehitch.standins.arrivals import Visit, picked, titles_by_popularity, visits
+from ledgehitch.standins.arrivals import Visit, titles_by_popularity, visits, weighted_index
 from ledgehitch.standins.players import Made, Player, faulty_of
 from ledgehitch.standins.service import Booking, Service
 from ledgehitch.standins.visiting import (
@@ -169,7 +169,7 @@
             finished()
 
     def _attempt(self, visitor: Visit, place: float, ticket: str) -> AttemptResult:
-        name, at = self.gateways[picked(place, self.lean)]
+        name, at = self.gateways[weighted_index(place, self.lean)]
         package = self.packages[visitor.package]
         body = offer_of(visitor.number * 10 + self.chance.randrange(10), f"v{self._conns:x}")
         if visitor.method == "whip":
@@ -345,7 +345,7 @@
 
     def _send_reports(self, player: Player, response: Response, place: float) -> None:
         """Sends the player's pending reports in a task, with the day's delays and number of copies."""
-        _, at = self.gateways[picked(place, self.lean)]
+        _, at = self.gateways[weighted_index(place, self.lean)]
         batch, player.pending = player.pending, []
         token = response.header("report-token") or ""
         to, path = reports_to(response, str(at))
@@ -380,7 +380,7 @@
         return answer.status, json.loads(answer.body) if answer.status == 200 else {}
 
     def _delete(self, location: str, place: float) -> None:
-        _, at = self.gateways[picked(place, self.lean)]
+        _, at = self.gateways[weighted_index(place, self.lean)]
         try:
             with self.loop.deadline(2.0):
                 stream = connect(self.loop, at)
