--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -38,13 +38,13 @@
     """The list service: states reach gateways late; gateways that start get all of it."""
 
     def __init__(self, ground: "Ground", delay: float) -> None:
-        self.ground, self.delay, self.later = ground, delay, 0.0
+        self.ground, self.delay, self.fault_delay = ground, delay, 0.0
         self.chance = random.Random(f"{ground.seed}/list")
         self.lines: dict[str, Row] = {}
         self.away = False
 
     def set(self, row: Row, at_once: bool = False) -> None:
-        wait = 0.0 if at_once else (self.delay + self.later) * self.chance.uniform(0.7, 1.3)
+        wait = 0.0 if at_once else (self.delay + self.fault_delay) * self.chance.uniform(0.7, 1.3)
         self.ground.agenda.after(wait, self._change, row)
 
     def _change(self, row: Row) -> None:
@@ -92,13 +92,13 @@
     """Messages between gateways: late, and some are lost."""
 
     def __init__(self, ground: "Ground", delay: float, loss: float) -> None:
-        self.ground, self.delay, self.loss, self.lost_more = ground, delay, loss, 0.0
+        self.ground, self.delay, self.loss, self.fault_loss = ground, delay, loss, 0.0
         self.chance = random.Random(f"{ground.seed}/peers")
         self.sent = self.lost = 0
 
     def send(self, to: int, words: bytes) -> None:
         self.sent += 1
-        if self.chance.random() < max(self.loss, self.lost_more):
+        if self.chance.random() < max(self.loss, self.fault_loss):
             self.lost += 1
             return
         name = self.ground.site.gateways[to].name
--- a/ledgehitch/standins/faults.py
+++ b/ledgehitch/standins/faults.py
@@ -39,19 +39,19 @@
 
 
 class List(Protocol):
-    """The list service; `later` is the delay in seconds that faults add."""
+    """The list service; `fault_delay` is the delay in seconds that faults add."""
 
     delay: float
-    later: float
+    fault_delay: float
 
     def open(self) -> None: ...
     def shut(self) -> None: ...
 
 
 class Network(Protocol):
-    """The network between gateways; `lost_more` is the loss probability of the active fault."""
+    """The network between gateways; `fault_loss` is the loss probability of the active fault."""
 
-    lost_more: float
+    fault_loss: float
 
 
 class Stage(Protocol):
@@ -171,7 +171,7 @@
         if host is not None and host.up:
             self.stage.listed(host, "terminating")
             lists = self.stage.lists
-            self._after(drain + lists.delay + lists.later, self.stage.replace, name)
+            self._after(drain + lists.delay + lists.fault_delay, self.stage.replace, name)
 
     # ---- links ---------------------------------------------------------------------------------------------
 
@@ -206,10 +206,10 @@
 
     def _list_late(self, affected: list[str], fault: Fault) -> None:
         lists = self.stage.lists
-        lists.later += fault.strength()
+        lists.fault_delay += fault.strength()
 
         def end() -> None:
-            lists.later = max(0.0, lists.later - fault.strength())
+            lists.fault_delay = max(0.0, lists.fault_delay - fault.strength())
 
         self._after(fault.len, end)
 
@@ -219,9 +219,9 @@
 
     def _peers_lost(self, affected: list[str], fault: Fault) -> None:
         network = self.stage.network
-        network.lost_more = fault.strength()
+        network.fault_loss = fault.strength()
 
         def end() -> None:
-            network.lost_more = 0.0
+            network.fault_loss = 0.0
 
         self._after(fault.len, end)
--- a/ledgehitch/standins/lists.py
+++ b/ledgehitch/standins/lists.py
@@ -23,7 +23,7 @@
         self.epoch = f"{self.chance.randrange(1 << 32):08x}"
         self.version = 0
         self.lines: dict[str, Line] = {}
-        self.later = 0.0  # seconds that the active fault adds to the delay
+        self.fault_delay = 0.0  # seconds that the active fault adds to the delay
         self.feeds: dict[str, Feed] = {}
         self.want_at = at
         self.server: Server | None = None
@@ -75,7 +75,7 @@
 
     def set(self, line: Line, at_once: bool = False) -> None:
         """Publishes a host's new state after the service's delay, or immediately if `at_once`."""
-        wait = 0.0 if at_once else (self.delay + self.later) * self.chance.uniform(0.7, 1.3)
+        wait = 0.0 if at_once else (self.delay + self.fault_delay) * self.chance.uniform(0.7, 1.3)
         if wait <= 0:
             self._publish(line)
         else:
--- a/ledgehitch/standins/network.py
+++ b/ledgehitch/standins/network.py
@@ -16,7 +16,7 @@
     ) -> None:
         """Starts a proxy for each gateway. `routes`: by gateway, the proxy's address and its own."""
         self.loop, self.delay, self.loss = loop, delay, loss
-        self.lost_more = 0.0  # loss probability of the active fault; the larger of the two applies
+        self.fault_loss = 0.0  # loss probability of the active fault; the larger of the two applies
         self.chance = random.Random(f"{seed}/peers")
         self.delivered = self.lost = self._in_flight = 0
         for name, (via, to) in sorted(routes.items()):
@@ -25,7 +25,7 @@
     def _carry(self, socket: Datagrams, to: Endpoint) -> None:
         while True:
             data, _ = socket.receive()
-            dropped = self.chance.random() < max(self.loss, self.lost_more)
+            dropped = self.chance.random() < max(self.loss, self.fault_loss)
             if dropped or self._in_flight >= MAX_IN_FLIGHT:
                 self.lost += 1
                 continue
