--- a/ledgehitch/model/viewers.py
+++ b/ledgehitch/model/viewers.py
@@ -214,15 +214,15 @@
         if told is None:
             self.seen.gone = True
         elif not isinstance(told, bool):
-            self.seen.heard(now, *told)
+            self.seen.on_answer(now, *told)
         self.told_at = now
         c.ground.agenda.after(min(SIGN, self.ends - now), self._watched)
 
     def _watched(self) -> None:
         c = self.crowd
         now, spent = c.now(), c.now() - self.told_at
-        c.booking.watched(self.v, self.told_at, spent, self.seen.shown(now), self.seen.rung, self.in_time)
-        if self.seen.leaves(now, spent, c.ground.day.arrivals.leave_under, c.chance):
+        c.booking.watched(self.v, self.told_at, spent, self.seen.visible_share(now), self.seen.rung, self.in_time)
+        if self.seen.gives_up(now, spent, c.ground.day.arrivals.leave_under, c.chance):
             self._goes(False)
         else:
             self._sign()
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -310,7 +310,7 @@
             if len(parts) == 2:
                 seen.gone = True
             elif len(parts) == 3:
-                seen.heard(self._now(), float(parts[1]), int(parts[2]))
+                seen.on_answer(self._now(), float(parts[1]), int(parts[2]))
 
         self.keepalive_handlers[ufrag] = on_answer
         player = self._player(visitor, ufrag, took) if self.reporting.every else None
@@ -321,7 +321,7 @@
                 self.media.send(ufrag.encode(), media)
                 self.loop.sleep(min(SIGN, end - now))
                 then = self._now()
-                share = seen.shown(then)
+                share = seen.visible_share(then)
                 self.booking.watched(visitor, now, then - now, share, seen.rung, in_time)
                 if player is not None:
                     player.played(then - now, share, seen.rung)
@@ -329,7 +329,7 @@
                         player.report(then, then - reported_at, self.faulty)
                         reported_at = then
                         self._send_reports(player, response, place)
-                if seen.leaves(then, then - now, self.day.arrivals.leave_under, self.chance):
+                if seen.gives_up(then, then - now, self.day.arrivals.leave_under, self.chance):
                     content = False
                     break
         finally:
--- a/ledgehitch/standins/visiting.py
+++ b/ledgehitch/standins/visiting.py
@@ -133,16 +133,16 @@
     def __init__(self, now: float) -> None:
         self.at, self.share, self.rung, self.gone = now, 1.0, 0, False
 
-    def heard(self, now: float, share: float, rung: int) -> None:
+    def on_answer(self, now: float, share: float, rung: int) -> None:
         """Records the answer to a keep-alive."""
         self.at, self.share, self.rung = now, share, rung
 
-    def shown(self, now: float) -> float:
+    def visible_share(self, now: float) -> float:
         """Returns the delivered share as the viewer sees it; 0 if answers are overdue."""
         return self.share if now - self.at < 1.5 * SIGN else 0.0
 
-    def leaves(self, now: float, spent: float, leave_under: float, chance: random.Random) -> bool:
+    def gives_up(self, now: float, spent: float, leave_under: float, chance: random.Random) -> bool:
         """Returns whether the viewer gives up now, `spent` seconds after the last check."""
         if self.gone or now - self.at > NO_MEDIA:
             return True
-        return self.shown(now) < leave_under and chance.random() < 0.25 * spent
+        return self.visible_share(now) < leave_under and chance.random() < 0.25 * spent
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -274,10 +274,10 @@
     import random
 
     seen = Seen(10.0)
-    seen.heard(10.0, 0.9, 2)
-    assert seen.shown(11.0) == 0.9 and seen.shown(11.6) == 0.0
-    assert not seen.leaves(11.0, 1.0, 0.5, random.Random(1))
-    assert seen.leaves(13.1, 1.0, 0.0, random.Random(1)), "three seconds without media"
+    seen.on_answer(10.0, 0.9, 2)
+    assert seen.visible_share(11.0) == 0.9 and seen.visible_share(11.6) == 0.0
+    assert not seen.gives_up(11.0, 1.0, 0.5, random.Random(1))
+    assert seen.gives_up(13.1, 1.0, 0.0, random.Random(1)), "three seconds without media"
 
 
 def test_a_day_too_large_for_loopback_plays_in_the_model_and_is_refused_there() -> None:
