--- a/ledgehitch/standins/faults.py
+++ b/ledgehitch/standins/faults.py
@@ -198,7 +198,7 @@
 
     def _toggle(self, link: Link, fault: Fault, ends: float, on: bool) -> None:
         ended = self.stage.now() >= ends
-        link.taken = fault.strength() if on and not ended else 0.0
+        link.share_taken = fault.strength() if on and not ended else 0.0
         if not ended:
             self._after(fault.further(), self._toggle, link, fault, ends, not on)
 
--- a/ledgehitch/standins/links.py
+++ b/ledgehitch/standins/links.py
@@ -16,12 +16,12 @@
 
     kb: float
     divided_by: float = 1.0
-    taken: float = 0.0  # share of the capacity that other traffic takes
+    share_taken: float = 0.0  # share of the capacity that other traffic takes
 
     @property
-    def gives(self) -> float:
+    def available_kb(self) -> float:
         """Returns the available capacity in kB a second."""
-        return max(1e-9, self.kb / self.divided_by * (1 - self.taken))
+        return max(1e-9, self.kb / self.divided_by * (1 - self.share_taken))
 
 
 @dataclass
@@ -46,17 +46,17 @@
 
         All flows over a link get the same share. A flow over two overloaded links gets the smaller share.
         """
-        link_shares = {host: min(1.0, self.links[host].gives / max(kb, 1e-9)) for host, kb in asked.items()}
+        link_shares = {host: min(1.0, self.links[host].available_kb / max(kb, 1e-9)) for host, kb in asked.items()}
         hosts_by_rack: dict[int, list[str]] = {}
         for host in asked:
             hosts_by_rack.setdefault(self.rack_of[host], []).append(host)
         deliveries = {}
         for rack, hosts in hosts_by_rack.items():
-            capacity = self.uplinks[rack].gives
+            capacity = self.uplinks[rack].available_kb
             uplink_share = _fair_share([(link_shares[host], asked[host]) for host in hosts], capacity)
             uplink = sum(asked[host] * link_shares[host] for host in hosts) / capacity
             for host in hosts:
-                link = asked[host] / self.links[host].gives
+                link = asked[host] / self.links[host].available_kb
                 deliveries[host] = Delivery(min(link_shares[host], uplink_share), link, uplink)
         return deliveries
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -223,11 +223,11 @@
         told = ground.fabric.deliveries({n: h.asked for n, h in ground.hosts.items() if h.up})
         for name, delivery in told.items():
             given_kb = ground.hosts[name].asked * delivery.share
-            assert given_kb <= ground.fabric.links[name].gives * (1 + 1e-9)
+            assert given_kb <= ground.fabric.links[name].available_kb * (1 + 1e-9)
             rack = ground.fabric.rack_of[name]
             by_rack[rack] = by_rack.get(rack, 0.0) + given_kb
         for rack, kb in by_rack.items():
-            assert kb <= ground.fabric.uplinks[rack].gives * (1 + 1e-9)
+            assert kb <= ground.fabric.uplinks[rack].available_kb * (1 + 1e-9)
 
 
 STRICT: dict[str, Any] = {
