--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -287,7 +287,7 @@
     def beat(self) -> None:
         """Works out what links deliver, and has gateways told of shortfall and use, late as the site says."""
         now = self.agenda.now
-        asked = {n: h.asked * self.habits.swung(n, now) for n, h in self.hosts.items() if h.up}
+        asked = {n: h.asked * self.habits.rate_factor(n, now) for n, h in self.hosts.items() if h.up}
         told = self.fabric.deliveries(asked)
         for name, delivery in told.items():
             self.hosts[name].delivery = delivery
--- a/ledgehitch/model/media.py
+++ b/ledgehitch/model/media.py
@@ -164,7 +164,7 @@
         else:
             one.works = True
             self.working += 1
-            g.agenda.after(g.habits.takes(self.chance) * t.slower, self._set, one)
+            g.agenda.after(g.habits.draw_setup_time(self.chance) * t.slower, self._set, one)
 
     def _set(self, one: SetUp) -> None:
         """The set-up's work is done, if it is still wanted."""
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -224,7 +224,7 @@
             return Response(400, [], str(error).encode()), None
         self.setting_up[key] = gone
         try:
-            ends = time.monotonic() + self.habits.takes(self.chance) * troubles.slower
+            ends = time.monotonic() + self.habits.draw_setup_time(self.chance) * troubles.slower
             timer = self.loop.call_at(ends, lambda: gone.set("done"))
             try:
                 gone.wait()
@@ -369,7 +369,7 @@
         kb = sum(
             self.rates[s.rung] * self.scales.get(s.package, 1.0) * s.factor for s in self.sessions.values()
         )
-        return kb * self.habits.swung(self.name, time.monotonic())
+        return kb * self.habits.rate_factor(self.name, time.monotonic())
 
     def _drop(self, session: Session) -> None:
         if self.sessions.pop(session.id, None) is not None:
--- a/ledgehitch/standins/places.py
+++ b/ledgehitch/standins/places.py
@@ -38,7 +38,7 @@
             rate = self._rates[title] = max(0.3, drawn)
         return rate
 
-    def takes(self, chance: random.Random) -> float:
+    def draw_setup_time(self, chance: random.Random) -> float:
         """Draws the duration of one set-up in seconds."""
         return self.setup * math.exp(self.setup_spread * chance.gauss(0, 1))
 
@@ -47,7 +47,7 @@
         link = true.link * max(0.0, chance.gauss(1, self.report_noise))
         return Delivery(true.share, link, true.uplink * max(0.0, chance.gauss(1, self.report_noise)))
 
-    def swung(self, name: str, t: float) -> float:
+    def rate_factor(self, name: str, t: float) -> float:
         """Returns the factor of true rates at a host at time `t`; each host oscillates with its own phase."""
         if not self.swing:
             return 1.0
