--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -387,7 +387,12 @@
 
     def told(self) -> dict[str, Any]:
         samples = {str(s): told for s, told in sorted(self.samples.items()) if s >= 0}
-        return {"service": self.service.summary(), "faults": self.met, "samples": samples, "calls": self.calls}
+        return {
+            "service": self.service.summary(),
+            "faults": self.met,
+            "samples": samples,
+            "calls": self.calls,
+        }
 
 
 def played(
--- a/ledgehitch/model/viewers.py
+++ b/ledgehitch/model/viewers.py
@@ -221,7 +221,9 @@
     def _watched(self) -> None:
         c = self.crowd
         now, spent = c.now(), c.now() - self.told_at
-        c.booking.watched(self.v, self.told_at, spent, self.seen.visible_share(now), self.seen.rung, self.in_time)
+        c.booking.watched(
+            self.v, self.told_at, spent, self.seen.visible_share(now), self.seen.rung, self.in_time
+        )
         if self.seen.gives_up(now, spent, c.ground.day.arrivals.leave_under, c.chance):
             self._goes(False)
         else:
--- a/ledgehitch/standins/links.py
+++ b/ledgehitch/standins/links.py
@@ -46,7 +46,9 @@
 
         All flows over a link get the same share. A flow over two overloaded links gets the smaller share.
         """
-        link_shares = {host: min(1.0, self.links[host].available_kb / max(kb, 1e-9)) for host, kb in asked.items()}
+        link_shares = {
+            host: min(1.0, self.links[host].available_kb / max(kb, 1e-9)) for host, kb in asked.items()
+        }
         hosts_by_rack: dict[int, list[str]] = {}
         for host in asked:
             hosts_by_rack.setdefault(self.rack_of[host], []).append(host)
