--- a/ledgehitch/cli/standins.py
+++ b/ledgehitch/cli/standins.py
@@ -14,7 +14,7 @@
 from ledgehitch.http import Client, ConnectFailed, Interrupted
 from ledgehitch.loop import Event, Loop, TimedOut, endpoint
 from ledgehitch.proof.tape import Tape
-from ledgehitch.standins.places import habits_of
+from ledgehitch.standins.places import behaviour_of
 from ledgehitch.standins.viewers import play
 from ledgehitch.standins.world import World
 
@@ -50,7 +50,16 @@
         over = Event(loop)
         restore = loop.on_signals([signal.SIGTERM, signal.SIGINT], over.set)
         fleet = World(
-            loop, site, habits_of(s), tape, seed, s.fresh, s.link_kb, s.list_delay, s.peer_delay, s.peer_loss
+            loop,
+            site,
+            behaviour_of(s),
+            tape,
+            seed,
+            s.fresh,
+            s.link_kb,
+            s.list_delay,
+            s.peer_delay,
+            s.peer_loss,
         )
         server = fleet.control(endpoint(control))
         print(json.dumps({"control": str(server.at), "list": str(fleet.lists.want_at)}), flush=True)
--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -25,7 +25,7 @@
 from ledgehitch.proof.tape import Line
 from ledgehitch.standins.faults import Faults
 from ledgehitch.standins.links import BEAT, Delivery, Fabric, Kinds, Link, NoteSchedule
-from ledgehitch.standins.places import ORPHANED, habits_of, places_of
+from ledgehitch.standins.places import ORPHANED, behaviour_of, places_of
 from ledgehitch.standins.plan import Step
 from ledgehitch.standins.service import Service
 from ledgehitch.standins.visiting import MOST_AFTER
@@ -135,7 +135,7 @@
         self.samples: dict[int, dict[str, Any]] = {}
         self.secret = random.Random(f"{self.seed}/secret").randbytes(32)
         self.hop = HOP
-        self.habits = habits_of(s)
+        self.behaviour = behaviour_of(s)
         self.rates = tuple(r.kb for r in site.ladder)
         self.scales = {p.name: p.scale for p in site.packages}
         self.fabric = Fabric()
@@ -287,7 +287,7 @@
     def beat(self) -> None:
         """Works out what links deliver, and has gateways told of shortfall and use, late as the site says."""
         now = self.agenda.now
-        asked = {n: h.asked * self.habits.rate_factor(n, now) for n, h in self.hosts.items() if h.up}
+        asked = {n: h.asked * self.behaviour.rate_factor(n, now) for n, h in self.hosts.items() if h.up}
         told = self.fabric.deliveries(asked)
         for name, delivery in told.items():
             self.hosts[name].delivery = delivery
--- a/ledgehitch/model/media.py
+++ b/ledgehitch/model/media.py
@@ -1,6 +1,6 @@
 """A media host in virtual time: set-ups, sessions, warm-up, falling over, noisy reports. Free of I/O.
 
-It does what `standins/media.py` does on sockets, with the same places, habits and troubles, and writes the
+It does what `standins/media.py` does on sockets, with the same places, behaviour and troubles, and writes the
 same lines on the tape.
 """
 
@@ -158,13 +158,13 @@
         elif self.chance.random() < t.errors:
             self._out(one, 500, Outcome.ERROR)
         elif len(self.sessions) + self.working >= self.places.slots or (
-            g.habits.full_from and self.delivery.link >= g.habits.full_from
+            g.behaviour.full_from and self.delivery.link >= g.behaviour.full_from
         ):
             self._out(one, 503, Outcome.FULL)
         else:
             one.works = True
             self.working += 1
-            g.agenda.after(g.habits.draw_setup_time(self.chance) * t.slower, self._set, one)
+            g.agenda.after(g.behaviour.draw_setup_time(self.chance) * t.slower, self._set, one)
 
     def _set(self, one: SetUp) -> None:
         """The set-up's work is done, if it is still wanted."""
@@ -175,7 +175,7 @@
         t, g = self.troubles, self.ground
         if t.silent or t.hangs:
             return
-        per_kb = g.scales.get(one.package, 1.0) * g.habits.true_rate(one.title)
+        per_kb = g.scales.get(one.package, 1.0) * g.behaviour.true_rate(one.title)
         kb = g.rates[one.rung] * per_kb
         session = Session(one.id, one.key, one.front, one.viewing_id, per_kb, one.rung, kb, self)
         self.sessions[one.id], self.by_key[one.key] = session, one.id
@@ -248,7 +248,7 @@
 
     def report(self) -> Loads:
         """What it says of its load: up to `refresh` old, and noisy."""
-        h, now = self.ground.habits, self.ground.agenda.now
+        h, now = self.ground.behaviour, self.ground.agenda.now
         if now - self._shown[0] > h.refresh:
             self._shown = now, h.reported(self.chance, self.delivery)
         d = self._shown[1]
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -14,7 +14,7 @@
 from ledgehitch.signalling.sdp import Media
 from ledgehitch.standins.faults import Troubles
 from ledgehitch.standins.links import Delivery, Kinds
-from ledgehitch.standins.places import ORPHANED, Habits, Places
+from ledgehitch.standins.places import ORPHANED, HostBehaviour, Places
 
 LAYER = "urn:ietf:params:whep:ext:core:layer"
 NEVER = 1e9  # a time later than any monotonic time
@@ -56,7 +56,7 @@
         rates: tuple[float, ...],
         scales: dict[str, float],
         places: Callable[[], Places],
-        habits: Habits,
+        behaviour: HostBehaviour,
         tape: Tape,
         seed: int,
         media_at: str,
@@ -64,7 +64,7 @@
     ) -> None:
         self.loop, self.name, self.want_at, self.cell, self.kind = loop, name, at, cell, kind
         self.zone, self.weight, self.rates, self.scales = zone, weight, rates, scales
-        self.new_places, self.habits, self.tape, self.media_at = places, habits, tape, media_at
+        self.new_places, self.behaviour, self.tape, self.media_at = places, behaviour, tape, media_at
         self.chance = random.Random(f"{seed}/{name}")
         self.troubles = Troubles()
         self.delivery = Delivery()
@@ -215,7 +215,7 @@
         if self.chance.random() < troubles.errors:
             return Response(500, [self._load_metrics()], b"out of order"), None
         if len(self.sessions) + len(self.setting_up) >= self.places.slots or (
-            self.habits.full_from and self.delivery.link >= self.habits.full_from
+            self.behaviour.full_from and self.delivery.link >= self.behaviour.full_from
         ):
             return Response(503, [self._load_metrics()], b"full"), None
         try:
@@ -224,7 +224,7 @@
             return Response(400, [], str(error).encode()), None
         self.setting_up[key] = gone
         try:
-            ends = time.monotonic() + self.habits.draw_setup_time(self.chance) * troubles.slower
+            ends = time.monotonic() + self.behaviour.draw_setup_time(self.chance) * troubles.slower
             timer = self.loop.call_at(ends, lambda: gone.set("done"))
             try:
                 gone.wait()
@@ -241,7 +241,7 @@
             silent.wait()
             return None, None
         viewing_id = int(key.split(".")[2]) if key.count(".") == 3 else 0
-        factor = self.habits.true_rate(title)
+        factor = self.behaviour.true_rate(title)
         session = Session(id, key, gateway, viewing_id, package, title, rung, factor, time.monotonic())
         self.sessions[id], self.by_key[key] = session, id
         answer = self._answer_sdp(offer.media, id)
@@ -352,8 +352,8 @@
 
     def _load_metrics(self) -> tuple[str, str]:
         now = time.monotonic()
-        if now - self.reported_load[0] > self.habits.refresh:
-            self.reported_load = now, self.habits.reported(self.chance, self.delivery)
+        if now - self.reported_load[0] > self.behaviour.refresh:
+            self.reported_load = now, self.behaviour.reported(self.chance, self.delivery)
         load = self.reported_load[1]
         return (
             "Endpoint-Load-Metrics",
@@ -369,7 +369,7 @@
         kb = sum(
             self.rates[s.rung] * self.scales.get(s.package, 1.0) * s.factor for s in self.sessions.values()
         )
-        return kb * self.habits.rate_factor(self.name, time.monotonic())
+        return kb * self.behaviour.rate_factor(self.name, time.monotonic())
 
     def _drop(self, session: Session) -> None:
         if self.sessions.pop(session.id, None) is not None:
@@ -405,7 +405,7 @@
         """Ends sessions whose viewer sent no keep-alive in time or whose gateway is gone."""
         now = time.monotonic()
         for session in list(self.sessions.values()):
-            if now - session.seen > self.habits.consent:
+            if now - session.seen > self.behaviour.consent:
                 self.end(session, 70)
             elif now - self.unsubscribed_at.get(session.gateway, NEVER) > ORPHANED:
                 self._drop(session)
--- a/ledgehitch/standins/places.py
+++ b/ledgehitch/standins/places.py
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Habits:
+class HostBehaviour:
     """Parameters of a fleet's media hosts; times in seconds, rates in kB a second."""
 
     setup: float = 0.05
@@ -91,10 +91,10 @@
         return len(self.taken) <= self.multiple * pace * self.window + SLACK
 
 
-def habits_of(shape: Shape) -> Habits:
+def behaviour_of(shape: Shape) -> HostBehaviour:
     """Returns the media hosts' parameters of a day."""
     s = shape
-    return Habits(s.setup, s.setup_spread, s.true_rate_spread, s.report_noise, swing=s.true_rate_swing)
+    return HostBehaviour(s.setup, s.setup_spread, s.true_rate_spread, s.report_noise, swing=s.true_rate_swing)
 
 
 def places_of(site: Site, kind: str) -> Places:
--- a/ledgehitch/standins/world.py
+++ b/ledgehitch/standins/world.py
@@ -20,7 +20,7 @@
 from ledgehitch.standins.lists import ListService
 from ledgehitch.standins.media import MediaHost
 from ledgehitch.standins.network import PeerNetwork
-from ledgehitch.standins.places import Habits, places_of
+from ledgehitch.standins.places import HostBehaviour, places_of
 
 ANY = endpoint("127.0.0.1:0")
 
@@ -32,7 +32,7 @@
         self,
         loop: Loop,
         site: Site,
-        habits: Habits,
+        behaviour: HostBehaviour,
         tape: Tape,
         seed: int,
         fresh: bool = False,
@@ -41,7 +41,7 @@
         peer_delay: float = 0.01,
         peer_loss: float = 0.0,
     ) -> None:
-        self.loop, self.site, self.habits, self.tape, self.seed = loop, site, habits, tape, seed
+        self.loop, self.site, self.behaviour, self.tape, self.seed = loop, site, behaviour, tape, seed
         self.chance = random.Random(f"{seed}/world")
         self.fabric = Fabric()
         self.hosts: dict[str, MediaHost] = {}
@@ -98,7 +98,7 @@
             self.rates,
             self.scales,
             lambda: places_of(self.site, kind),
-            self.habits,
+            self.behaviour,
             self.tape,
             self.seed,
             str(self.media.at),
