--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -25,7 +25,7 @@
 from ledgehitch.proof.tape import Line
 from ledgehitch.standins.faults import Faults
 from ledgehitch.standins.links import BEAT, Delivery, Fabric, Kinds, Link, NoteSchedule
-from ledgehitch.standins.places import ORPHANED, behaviour_of, places_of
+from ledgehitch.standins.places import ORPHANED, behaviour_of, warm_up_limit_of
 from ledgehitch.standins.plan import Step
 from ledgehitch.standins.service import Service
 from ledgehitch.standins.visiting import MOST_AFTER
@@ -168,7 +168,7 @@
         cold: bool,
         at_once: bool = False,
     ) -> None:
-        host = MediaHost(self, name, cell, kind, zone, weight, lambda: places_of(self.site, kind))
+        host = MediaHost(self, name, cell, kind, zone, weight, lambda: warm_up_limit_of(self.site, kind))
         self.hosts[name] = host
         self.fabric.links[name] = Link(kb)
         self.fabric.rack_of[name] = cell % max(1, self.site.fleet.racks)
--- a/ledgehitch/model/media.py
+++ b/ledgehitch/model/media.py
@@ -1,6 +1,6 @@
 """A media host in virtual time: set-ups, sessions, warm-up, falling over, noisy reports. Free of I/O.
 
-It does what `standins/media.py` does on sockets, with the same places, behaviour and troubles, and writes the
+It does what `standins/media.py` does on sockets, with the same warm-up limits, behaviour and faults, and writes the
 same lines on the tape.
 """
 
@@ -11,7 +11,7 @@
 from ledgehitch.interface import Outcome
 from ledgehitch.standins.faults import Troubles
 from ledgehitch.standins.links import Delivery
-from ledgehitch.standins.places import Places
+from ledgehitch.standins.places import WarmUpLimit
 
 if TYPE_CHECKING:
     from ledgehitch.model.day import Ground
@@ -69,13 +69,13 @@
         kind: str,
         zone: str,
         weight: float,
-        new_places: Callable[[], Places],
+        new_warm_up_limit: Callable[[], WarmUpLimit],
     ) -> None:
         self.ground, self.name, self.cell, self.kind = ground, name, cell, kind
-        self.zone, self.weight, self.new_places = zone, weight, new_places
+        self.zone, self.weight, self.new_warm_up_limit = zone, weight, new_warm_up_limit
         self.chance = random.Random(f"{ground.seed}/{name}")
         self.troubles, self.delivery = Troubles(), Delivery()
-        self.places = new_places()
+        self.warm_up_limit = new_warm_up_limit()
         self.sessions: dict[str, Session] = {}
         self.by_key: dict[str, str] = {}
         self.by_front: dict[Front, dict[str, Session]] = {}
@@ -97,11 +97,11 @@
     def start(self, cold: bool = True) -> None:
         self.lives += 1
         self._up = True
-        self.places, self.troubles = self.new_places(), Troubles()
+        self.warm_up_limit, self.troubles = self.new_warm_up_limit(), Troubles()
         now = self.ground.agenda.now
-        self.started = self.places.started = now if cold else now - self.places.warm_up
+        self.started = self.warm_up_limit.started = now if cold else now - self.warm_up_limit.warm_up
         if cold:
-            self.ground.write("started", host=self.name, slots=self.places.slots)
+            self.ground.write("started", host=self.name, slots=self.warm_up_limit.slots)
 
     def stop(self, fell: bool = False) -> None:
         """The process dies: connections are reset, sessions are gone."""
@@ -151,13 +151,13 @@
         )
         self.set_ups[key] = one
         t = self.troubles
-        if not self.places.take(g.agenda.now):
+        if not self.warm_up_limit.take(g.agenda.now):
             self.stop(fell=True)
         elif t.silent or t.hangs:
             pass  # never answered: its gateway gives up
         elif self.chance.random() < t.errors:
             self._out(one, 500, Outcome.ERROR)
-        elif len(self.sessions) + self.working >= self.places.slots or (
+        elif len(self.sessions) + self.working >= self.warm_up_limit.slots or (
             g.behaviour.full_from and self.delivery.link >= g.behaviour.full_from
         ):
             self._out(one, 503, Outcome.FULL)
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -14,7 +14,7 @@
 from ledgehitch.signalling.sdp import Media
 from ledgehitch.standins.faults import Troubles
 from ledgehitch.standins.links import Delivery, Kinds
-from ledgehitch.standins.places import ORPHANED, HostBehaviour, Places
+from ledgehitch.standins.places import ORPHANED, HostBehaviour, WarmUpLimit
 
 LAYER = "urn:ietf:params:whep:ext:core:layer"
 NEVER = 1e9  # a time later than any monotonic time
@@ -55,7 +55,7 @@
         weight: float,
         rates: tuple[float, ...],
         scales: dict[str, float],
-        places: Callable[[], Places],
+        warm_up_limit: Callable[[], WarmUpLimit],
         behaviour: HostBehaviour,
         tape: Tape,
         seed: int,
@@ -64,7 +64,12 @@
     ) -> None:
         self.loop, self.name, self.want_at, self.cell, self.kind = loop, name, at, cell, kind
         self.zone, self.weight, self.rates, self.scales = zone, weight, rates, scales
-        self.new_places, self.behaviour, self.tape, self.media_at = places, behaviour, tape, media_at
+        self.new_warm_up_limit, self.behaviour, self.tape, self.media_at = (
+            warm_up_limit,
+            behaviour,
+            tape,
+            media_at,
+        )
         self.chance = random.Random(f"{seed}/{name}")
         self.troubles = Troubles()
         self.delivery = Delivery()
@@ -77,7 +82,7 @@
         self.server: Server | None = None
         self.lives = 0
         self.started_wall = 0.0
-        self.places = places()
+        self.warm_up_limit = warm_up_limit()
         self._ids = 0
         self._malformed_count = 0
 
@@ -87,15 +92,15 @@
         """Starts the host's process; if not `cold`, as if it had warmed up already."""
         self.lives += 1
         self.boot = f"{self.name}-{self.lives}-{self.chance.randrange(1 << 32):08x}"
-        self.places = self.new_places()
+        self.warm_up_limit = self.new_warm_up_limit()
         now = time.monotonic()
-        self.places.started = now if cold else now - self.places.warm_up
-        self.started_wall = time.time() - (now - self.places.started)
+        self.warm_up_limit.started = now if cold else now - self.warm_up_limit.warm_up
+        self.started_wall = time.time() - (now - self.warm_up_limit.started)
         self.troubles = Troubles()
         self.server = Server(self.loop, self.want_at, self.handle)
         self.want_at = self.server.at
         if cold:
-            self.tape.write("started", host=self.name, slots=self.places.slots)
+            self.tape.write("started", host=self.name, slots=self.warm_up_limit.slots)
 
     @property
     def up(self) -> bool:
@@ -205,7 +210,7 @@
         gone: Event,
     ) -> tuple[Response | None, str | None]:
         troubles = self.troubles
-        survived = self.places.take(now)
+        survived = self.warm_up_limit.take(now)
         if not survived:
             self.stop(fell=True)
             raise NoAnswer("host crashed: too many set-ups while it warms up")
@@ -214,7 +219,7 @@
             return None, None
         if self.chance.random() < troubles.errors:
             return Response(500, [self._load_metrics()], b"out of order"), None
-        if len(self.sessions) + len(self.setting_up) >= self.places.slots or (
+        if len(self.sessions) + len(self.setting_up) >= self.warm_up_limit.slots or (
             self.behaviour.full_from and self.delivery.link >= self.behaviour.full_from
         ):
             return Response(503, [self._load_metrics()], b"full"), None
--- a/ledgehitch/standins/places.py
+++ b/ledgehitch/standins/places.py
@@ -56,7 +56,7 @@
 
 
 @dataclass
-class Places:
+class WarmUpLimit:
     """Admission limit of a host that started at `started`.
 
     While it warms up, it sustains `slots` / `warm_up` set-ups a second times the share it has warmed.
@@ -97,9 +97,9 @@
     return HostBehaviour(s.setup, s.setup_spread, s.true_rate_spread, s.report_noise, swing=s.true_rate_swing)
 
 
-def places_of(site: Site, kind: str) -> Places:
+def warm_up_limit_of(site: Site, kind: str) -> WarmUpLimit:
     """Returns the admission limit of a host of that kind, not started yet."""
     fleet, terms = site.fleet, site.terms
-    return Places(
+    return WarmUpLimit(
         fleet.slots[kind], terms.warm_up, terms.cold_share, terms.fall_multiple, terms.fall_after, 0.0
     )
--- a/ledgehitch/standins/world.py
+++ b/ledgehitch/standins/world.py
@@ -20,7 +20,7 @@
 from ledgehitch.standins.lists import ListService
 from ledgehitch.standins.media import MediaHost
 from ledgehitch.standins.network import PeerNetwork
-from ledgehitch.standins.places import HostBehaviour, places_of
+from ledgehitch.standins.places import HostBehaviour, warm_up_limit_of
 
 ANY = endpoint("127.0.0.1:0")
 
@@ -97,7 +97,7 @@
             weight,
             self.rates,
             self.scales,
-            lambda: places_of(self.site, kind),
+            lambda: warm_up_limit_of(self.site, kind),
             self.behaviour,
             self.tape,
             self.seed,
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -27,7 +27,7 @@
 from ledgehitch.standins.arrivals import fewest_held, visits
 from ledgehitch.standins.faults import Faults
 from ledgehitch.standins.links import Fabric, Link
-from ledgehitch.standins.places import Places
+from ledgehitch.standins.places import WarmUpLimit
 from ledgehitch.standins.plan import site_of, steps_of
 from ledgehitch.standins.viewers import offer_of
 from tests.test_config import GOOD
@@ -281,9 +281,9 @@
 
 
 def test_a_cold_host_falls_over_only_above_its_budget() -> None:
-    places = Places(slots=20, warm_up=10.0, cold_share=0.5, multiple=2.0, window=2.0, started=0.0)
+    places = WarmUpLimit(slots=20, warm_up=10.0, cold_share=0.5, multiple=2.0, window=2.0, started=0.0)
     assert all(places.take(0.0 + n * 0.4) for n in range(12)), "at twice its pace it stands"
-    cold = Places(slots=20, warm_up=10.0, cold_share=0.5, multiple=2.0, window=2.0, started=0.0)
+    cold = WarmUpLimit(slots=20, warm_up=10.0, cold_share=0.5, multiple=2.0, window=2.0, started=0.0)
     assert [cold.take(n / 1000) for n in range(8)].index(False) == 5
     assert all(cold.take(10.0 + n / 1000) for n in range(50)) and cold.pace(10.0) is None
 
