--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -248,7 +248,7 @@
         self.hosts[host].gave_up(key)
 
     def ends(self, session: Session) -> None:
-        if not session.host.troubles.silent:
+        if not session.host.active_faults.silent:
             session.host.drop(session)
 
     def died(self, host: MediaHost, fronts: Sequence[Front]) -> None:
@@ -315,7 +315,7 @@
         due: dict[Front, list[tuple[int, str, int, float]]] = {}
         for name, kinds in notes:
             host = self.hosts[name]
-            if host.up and not host.troubles.silent:
+            if host.up and not host.active_faults.silent:
                 for front in host.by_front:
                     viewing_id = host.viewing_id_of(front)
                     due.setdefault(front, []).extend(
@@ -326,7 +326,7 @@
 
     def _look_for_silent(self, now: float) -> None:
         for name, host in self.hosts.items():
-            if host.up and host.troubles.silent:
+            if host.up and host.active_faults.silent:
                 since = self._silent.setdefault(name, now)
                 if now - since >= LOSS_TIMEOUT_S:
                     self._silent[name] = 1e18
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -379,7 +379,7 @@
         if host.set_rung(session, rung):
             g.send(self, self._rung_told, viewing_id, v, rung, True)
         else:
-            silent = host.up and (host.troubles.hangs or host.troubles.silent)
+            silent = host.up and (host.active_faults.hangs or host.active_faults.silent)
             g.agenda.after(
                 COMMAND_TIMEOUT_S if silent else g.hop,
                 self.take,
@@ -407,7 +407,7 @@
         host: MediaHost | None = g.hosts.get(name)
         if host is None or not host.up:
             g.send(self, self._probed, name, Outcome.CONNECT_FAILED, sent, {})
-        elif host.troubles.silent:
+        elif host.active_faults.silent:
             g.agenda.at(sent + PROBE_TIMEOUT_S, self.take, self._probed, name, Outcome.TIMEOUT, sent, {})
         else:
             g.send(self, self._probed, name, Outcome.OK, sent, host.report())
--- a/ledgehitch/model/media.py
+++ b/ledgehitch/model/media.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from ledgehitch.interface import Outcome
-from ledgehitch.standins.faults import Troubles
+from ledgehitch.standins.faults import ActiveFaults
 from ledgehitch.standins.links import Delivery
 from ledgehitch.standins.places import WarmUpLimit
 
@@ -74,7 +74,7 @@
         self.ground, self.name, self.cell, self.kind = ground, name, cell, kind
         self.zone, self.weight, self.new_warm_up_limit = zone, weight, new_warm_up_limit
         self.chance = random.Random(f"{ground.seed}/{name}")
-        self.troubles, self.delivery = Troubles(), Delivery()
+        self.active_faults, self.delivery = ActiveFaults(), Delivery()
         self.warm_up_limit = new_warm_up_limit()
         self.sessions: dict[str, Session] = {}
         self.by_key: dict[str, str] = {}
@@ -97,7 +97,7 @@
     def start(self, cold: bool = True) -> None:
         self.lives += 1
         self._up = True
-        self.warm_up_limit, self.troubles = self.new_warm_up_limit(), Troubles()
+        self.warm_up_limit, self.active_faults = self.new_warm_up_limit(), ActiveFaults()
         now = self.ground.agenda.now
         self.started = self.warm_up_limit.started = now if cold else now - self.warm_up_limit.warm_up
         if cold:
@@ -150,7 +150,7 @@
             rung=rung,
         )
         self.set_ups[key] = one
-        t = self.troubles
+        t = self.active_faults
         if not self.warm_up_limit.take(g.agenda.now):
             self.stop(fell=True)
         elif t.silent or t.hangs:
@@ -172,7 +172,7 @@
             return
         one.works = False
         self.working -= 1
-        t, g = self.troubles, self.ground
+        t, g = self.active_faults, self.ground
         if t.silent or t.hangs:
             return
         per_kb = g.scales.get(one.package, 1.0) * g.behaviour.true_rate(one.title)
@@ -211,7 +211,7 @@
             self.working -= one.works
             self.ground.write("setup_gone", id=one.id)
         session = self.sessions.get(self.by_key.get(key, ""))
-        if session is not None and not self.troubles.silent:
+        if session is not None and not self.active_faults.silent:
             self.drop(session)
 
     # ---- what plays ----------------------------------------------------------------------------------------
@@ -229,7 +229,7 @@
 
     def set_rung(self, session: Session, rung: int) -> bool:
         """A gateway tells a rung; False where nothing answers."""
-        if session.id not in self.sessions or self.troubles.hangs or self.troubles.silent:
+        if session.id not in self.sessions or self.active_faults.hangs or self.active_faults.silent:
             return False
         self.asked -= session.kb
         session.rung, session.kb = rung, self.ground.rates[rung] * session.per_kb
@@ -239,12 +239,12 @@
 
     def seen_by_viewer(self, id: str) -> tuple[float, int] | None | bool:
         """The answer to a viewer's sign: share and rung; None if it does not play, False for no answer."""
-        if not self._up or self.troubles.silent:
+        if not self._up or self.active_faults.silent:
             return False
         session = self.sessions.get(id)
         if session is None:
             return None
-        return (0.0 if self.troubles.hangs else self.delivery.share), session.rung
+        return (0.0 if self.active_faults.hangs else self.delivery.share), session.rung
 
     def report(self) -> Loads:
         """What it says of its load: up to `refresh` old, and noisy."""
--- a/ledgehitch/standins/faults.py
+++ b/ledgehitch/standins/faults.py
@@ -13,7 +13,7 @@
 DETECTION_S = 1.0  # until the list service detects a dead process; a silent machine takes four times that
 
 
-class Troubles:
+class ActiveFaults:
     """The faults that are active at one host."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
     """A media host that faults act on."""
 
     name: str
-    troubles: Troubles
+    active_faults: ActiveFaults
 
     @property
     def up(self) -> bool: ...
@@ -108,7 +108,7 @@
             self._after(fault.len, self._restart, host)
 
     def _detect_failure(self, host: Host) -> None:
-        if not host.up or host.troubles.silent:
+        if not host.up or host.active_faults.silent:
             self.stage.listed(host, "terminated")
 
     def _restart(self, host: Host) -> None:
@@ -120,7 +120,7 @@
     def _vanish(self, affected: list[str], fault: Fault) -> None:
         for name in affected:
             host = self.stage.hosts[name]
-            host.troubles.silent = True
+            host.active_faults.silent = True
             self._after(4 * DETECTION_S, self._detect_failure, host)
             self._after(fault.len, self._restart, host)
 
@@ -129,13 +129,13 @@
     ) -> None:
         """Sets faults of hosts for the fault's length; a restart in between has cleared them already."""
         for name in affected:
-            troubles = self.stage.hosts[name].troubles
+            active_faults = self.stage.hosts[name].active_faults
             for field, value in on.items():
-                setattr(troubles, field, value)
+                setattr(active_faults, field, value)
 
-            def end(troubles: Any = troubles) -> None:
+            def end(active_faults: Any = active_faults) -> None:
                 for field, value in off.items():
-                    setattr(troubles, field, value)
+                    setattr(active_faults, field, value)
 
             self._after(fault.len, end)
 
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -12,7 +12,7 @@
 from ledgehitch.proof.tape import Tape
 from ledgehitch.signalling import BadSdp, parse_sdp
 from ledgehitch.signalling.sdp import Media
-from ledgehitch.standins.faults import Troubles
+from ledgehitch.standins.faults import ActiveFaults
 from ledgehitch.standins.links import Delivery, Kinds
 from ledgehitch.standins.places import ORPHANED, HostBehaviour, WarmUpLimit
 
@@ -71,7 +71,7 @@
             media_at,
         )
         self.chance = random.Random(f"{seed}/{name}")
-        self.troubles = Troubles()
+        self.active_faults = ActiveFaults()
         self.delivery = Delivery()
         self.reported_load: tuple[float, Delivery] = (0.0, Delivery())
         self.sessions: dict[str, Session] = {}
@@ -96,7 +96,7 @@
         now = time.monotonic()
         self.warm_up_limit.started = now if cold else now - self.warm_up_limit.warm_up
         self.started_wall = time.time() - (now - self.warm_up_limit.started)
-        self.troubles = Troubles()
+        self.active_faults = ActiveFaults()
         self.server = Server(self.loop, self.want_at, self.handle)
         self.want_at = self.server.at
         if cold:
@@ -126,7 +126,7 @@
 
     def handle(self, request: Request) -> Response:
         parts = request.path.strip("/").split("/")
-        if self.troubles.silent and parts[0] not in ("whep", "whip"):
+        if self.active_faults.silent and parts[0] not in ("whep", "whip"):
             self._hang_until_disconnect(request)
         match request.method, parts:
             case "POST", ["whep" | "whip", package, title]:
@@ -209,15 +209,15 @@
         rung: int,
         gone: Event,
     ) -> tuple[Response | None, str | None]:
-        troubles = self.troubles
+        active_faults = self.active_faults
         survived = self.warm_up_limit.take(now)
         if not survived:
             self.stop(fell=True)
             raise NoAnswer("host crashed: too many set-ups while it warms up")
-        if troubles.silent or troubles.hangs:
+        if active_faults.silent or active_faults.hangs:
             gone.wait()
             return None, None
-        if self.chance.random() < troubles.errors:
+        if self.chance.random() < active_faults.errors:
             return Response(500, [self._load_metrics()], b"out of order"), None
         if len(self.sessions) + len(self.setting_up) >= self.warm_up_limit.slots or (
             self.behaviour.full_from and self.delivery.link >= self.behaviour.full_from
@@ -229,7 +229,7 @@
             return Response(400, [], str(error).encode()), None
         self.setting_up[key] = gone
         try:
-            ends = time.monotonic() + self.behaviour.draw_setup_time(self.chance) * troubles.slower
+            ends = time.monotonic() + self.behaviour.draw_setup_time(self.chance) * active_faults.slower
             timer = self.loop.call_at(ends, lambda: gone.set("done"))
             try:
                 gone.wait()
@@ -239,7 +239,7 @@
             self.setting_up.pop(key, None)
         if gone.value != "done" or not self.up:
             return None, None
-        if troubles.silent or troubles.hangs:
+        if active_faults.silent or active_faults.hangs:
             silent = Event(self.loop)
             request.on_disconnect(None)
             request.on_disconnect(lambda: silent.set())
@@ -257,8 +257,8 @@
             self._load_metrics(),
         ]
         response = Response(201, fields, answer)
-        if self.chance.random() < troubles.lost:
-            if troubles.lost_resets:
+        if self.chance.random() < active_faults.lost:
+            if active_faults.lost_resets:
                 request.reset()
                 return response, "injected fault: answer lost, connection reset"
             silent = Event(self.loop)
@@ -266,7 +266,7 @@
             request.on_disconnect(lambda: silent.set())
             silent.wait()
             return response, "injected fault: answer lost"
-        if self.chance.random() < troubles.bad:
+        if self.chance.random() < active_faults.bad:
             return self._malformed(request, response), None
         return response, None
 
@@ -322,7 +322,7 @@
         return Response(200 if id or pending else 404)
 
     def _layer(self, request: Request, id: str) -> Response:
-        if self.troubles.hangs:
+        if self.active_faults.hangs:
             self._hang_until_disconnect(request)
         session = self.sessions.get(id)
         if session is None:
@@ -388,7 +388,7 @@
 
     def _notify(self, gateway: str, name: str, viewing_id: int, kind: int, value: float = 0.0) -> None:
         feed = self.feeds.get(gateway)
-        if feed is not None and not self.troubles.silent:
+        if feed is not None and not self.active_faults.silent:
             data = msgspec.json.encode({"vw": viewing_id, "kind": kind, "value": round(value, 4)}).decode()
             feed.send(encode_event(data, name))
 
@@ -398,12 +398,12 @@
         if session is None:
             return None
         session.seen = time.monotonic()
-        return (0.0 if self.troubles.hangs else self.delivery.share), session.rung
+        return (0.0 if self.active_faults.hangs else self.delivery.share), session.rung
 
     def alive(self) -> None:
         """Sends a heartbeat to each subscribed gateway."""
         for feed in list(self.feeds.values()):
-            if not self.troubles.silent:
+            if not self.active_faults.silent:
                 feed.send(b": here\n\n")
 
     def sweep(self) -> None:
--- a/ledgehitch/standins/world.py
+++ b/ledgehitch/standins/world.py
@@ -153,7 +153,7 @@
             data, sender = self.media.receive()
             id = data.decode("ascii", "replace")
             host = self.hosts.get(id.partition("+")[0])
-            if host is None or not host.up or host.troubles.silent:
+            if host is None or not host.up or host.active_faults.silent:
                 continue
             state = host.on_keepalive(id)
             answer = f"{id} gone" if state is None else f"{id} {state[0]:.4f} {state[1]}"
