--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -25,7 +25,7 @@
 from ledgehitch.proof.tape import Line
 from ledgehitch.standins.faults import Faults
 from ledgehitch.standins.links import BEAT, Delivery, Fabric, Kinds, Link, NoteSchedule
-from ledgehitch.standins.places import ORPHANED, behaviour_of, warm_up_limit_of
+from ledgehitch.standins.places import ORPHAN_TIMEOUT_S, behaviour_of, warm_up_limit_of
 from ledgehitch.standins.plan import Step
 from ledgehitch.standins.service import Service
 from ledgehitch.standins.visiting import MOST_AFTER
@@ -358,7 +358,7 @@
             self.kept[step.gateway] = list(self.lists.lines.values())
             front.die()
             self.stopped_at_gate += front.stopped_at_gate
-            self.agenda.after(ORPHANED, self._orphaned, front)
+            self.agenda.after(ORPHAN_TIMEOUT_S, self._orphaned, front)
         elif step.do == "start":
             self.agenda.after(STARTS, self.start_gateway, step.gateway)
         elif step.do == "still":
--- a/ledgehitch/model/viewers.py
+++ b/ledgehitch/model/viewers.py
@@ -8,7 +8,17 @@
 from ledgehitch.model.media import Session
 from ledgehitch.standins.arrivals import Visit, visits, weighted_index
 from ledgehitch.standins.service import Booking
-from ledgehitch.standins.visiting import LATE_ANSWER, SIGN, Action, Rest, Seen, Try, TryResult, Watch, visit
+from ledgehitch.standins.visiting import (
+    KEEPALIVE_INTERVAL_S,
+    LATE_ANSWER,
+    Action,
+    Rest,
+    Seen,
+    Try,
+    TryResult,
+    Watch,
+    visit,
+)
 
 if TYPE_CHECKING:
     from ledgehitch.model.day import Ground
@@ -216,7 +226,7 @@
         elif not isinstance(told, bool):
             self.seen.on_answer(now, *told)
         self.told_at = now
-        c.ground.agenda.after(min(SIGN, self.ends - now), self._watched)
+        c.ground.agenda.after(min(KEEPALIVE_INTERVAL_S, self.ends - now), self._watched)
 
     def _watched(self) -> None:
         c = self.crowd
--- a/ledgehitch/standins/media.py
+++ b/ledgehitch/standins/media.py
@@ -14,7 +14,7 @@
 from ledgehitch.signalling.sdp import Media
 from ledgehitch.standins.faults import ActiveFaults
 from ledgehitch.standins.links import Delivery, Kinds
-from ledgehitch.standins.places import ORPHANED, HostBehaviour, WarmUpLimit
+from ledgehitch.standins.places import ORPHAN_TIMEOUT_S, HostBehaviour, WarmUpLimit
 
 LAYER = "urn:ietf:params:whep:ext:core:layer"
 NEVER = 1e9  # a time later than any monotonic time
@@ -412,7 +412,7 @@
         for session in list(self.sessions.values()):
             if now - session.seen > self.behaviour.consent:
                 self.end(session, 70)
-            elif now - self.unsubscribed_at.get(session.gateway, NEVER) > ORPHANED:
+            elif now - self.unsubscribed_at.get(session.gateway, NEVER) > ORPHAN_TIMEOUT_S:
                 self._drop(session)
 
     def note(self, kinds: Kinds) -> None:
--- a/ledgehitch/standins/places.py
+++ b/ledgehitch/standins/places.py
@@ -10,8 +10,8 @@
 from ledgehitch.config.day import Shape
 from ledgehitch.standins.links import Delivery
 
-ORPHANED = 3.0  # seconds that viewings continue without the event stream of their gateway
-CONSENT = 15.0  # seconds that a viewing continues without a keep-alive of its viewer
+ORPHAN_TIMEOUT_S = 3.0  # seconds that viewings continue without the event stream of their gateway
+CONSENT_TIMEOUT_S = 15.0  # seconds that a viewing continues without a keep-alive of its viewer
 SWING_PERIOD_S = 11.0  # period in which the true rates oscillate
 SLACK = 1.0  # set-ups over the limit that are tolerated, as arrivals are random
 
@@ -26,7 +26,7 @@
     report_noise: float = 0.05
     refresh: float = 0.3
     full_from: float = 0.0
-    consent: float = CONSENT
+    consent: float = CONSENT_TIMEOUT_S
     swing: float = 0.0  # relative amplitude of the oscillation of true rates
     _rates: dict[str, float] = field(default_factory=dict, repr=False)
 
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -18,9 +18,9 @@
 from ledgehitch.standins.players import Made, Player, faulty_of
 from ledgehitch.standins.service import Booking, Service
 from ledgehitch.standins.visiting import (
+    KEEPALIVE_INTERVAL_S,
     LATE_ANSWER,
     MOST_AFTER,
-    SIGN,
     Rest,
     Seen,
     Try,
@@ -319,7 +319,7 @@
         try:
             while (now := self._now()) < end:
                 self.media.send(ufrag.encode(), media)
-                self.loop.sleep(min(SIGN, end - now))
+                self.loop.sleep(min(KEEPALIVE_INTERVAL_S, end - now))
                 then = self._now()
                 share = seen.visible_share(then)
                 self.booking.watched(visitor, now, then - now, share, seen.rung, in_time)
--- a/ledgehitch/standins/visiting.py
+++ b/ledgehitch/standins/visiting.py
@@ -14,7 +14,7 @@
 
 LATE_ANSWER = 1.0  # seconds after its patience that a viewer still waits for an answer
 MOST_AFTER = 8.0  # seconds after the day's end until open viewings are cut off
-SIGN = 1.0  # seconds between a viewer's keep-alives to its media host
+KEEPALIVE_INTERVAL_S = 1.0  # seconds between a viewer's keep-alives to its media host
 NO_MEDIA = 3.0  # seconds without media after which a viewing counts as broken
 GATEWAY_GONE = 0.3  # seconds until a viewer whose gateway is unreachable tries another
 
@@ -139,7 +139,7 @@
 
     def visible_share(self, now: float) -> float:
         """Returns the delivered share as the viewer sees it; 0 if answers are overdue."""
-        return self.share if now - self.at < 1.5 * SIGN else 0.0
+        return self.share if now - self.at < 1.5 * KEEPALIVE_INTERVAL_S else 0.0
 
     def gives_up(self, now: float, spent: float, leave_under: float, chance: random.Random) -> bool:
         """Returns whether the viewer gives up now, `spent` seconds after the last check."""
--- a/ledgehitch/standins/world.py
+++ b/ledgehitch/standins/world.py
@@ -73,7 +73,7 @@
                 at_once=True,
             )
         loop.spawn(self._update_links, name="links")
-        loop.spawn(self._answer_keepalives, name="viewers' signs")
+        loop.spawn(self._answer_keepalives, name="viewers' keep-alives")
 
     def _add(
         self,
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -16,7 +16,7 @@
 from ledgehitch.model.agenda import Agenda
 from ledgehitch.model.day import Ground, Result, played
 from ledgehitch.proof.check import check_rules, rule_parameters
-from ledgehitch.standins.places import ORPHANED
+from ledgehitch.standins.places import ORPHAN_TIMEOUT_S
 from ledgehitch.standins.plan import site_of, steps_of
 from ledgehitch.standins.visiting import Seen
 
@@ -148,7 +148,7 @@
     assert not front.up and ground.crowd.gateway(0.5) is front
     ground.agenda.run(6.5)
     ground.do(steps[1])
-    ground.agenda.run(6.0 + ORPHANED + 0.1)
+    ground.agenda.run(6.0 + ORPHAN_TIMEOUT_S + 0.1)
     assert all(front not in h.by_front for h in ground.hosts.values()), "what nobody steers has ended"
     assert any(h.sessions for h in ground.hosts.values()), "the new life admits viewers"
 
