--- a/ledgehitch/model/media.py
+++ b/ledgehitch/model/media.py
@@ -1,7 +1,7 @@
 """A media host in virtual time: set-ups, sessions, warm-up, falling over, noisy reports. Free of I/O.
 
-It does what `standins/media.py` does on sockets, with the same warm-up limits, behaviour and faults, and writes the
-same lines on the tape.
+It does what `standins/media.py` does on sockets, with the same warm-up limits, behaviour and faults, and
+writes the same lines on the tape.
 """
 
 import random
