--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -23,7 +23,7 @@
 from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.words import decode, encode
 from ledgehitch.rehearsal.fleet import FleetRig
-from ledgehitch.standins.cuts import Bad, Cuts
+from ledgehitch.standins.cuts import Cuts, MessageFaults
 from tests.explore_owners import SCENARIOS, explore, walk
 
 FRAME = 52  # bytes of head and MAC around the words
@@ -44,7 +44,7 @@
     ) -> None:
         self.chance, self.now = random.Random(seed), 100.0
         self.cuts = Cuts(self.chance)
-        self.cuts.everywhere = Bad(loss=loss, late=0.02)
+        self.cuts.everywhere = MessageFaults(loss=loss, late=0.02)
         self.n, self.lease = members, lease
         self.names, self.duties = tuple(f"g{n}" for n in range(members)), duties
         self.rates = list(rates) or [1.0] * members
--- a/ledgehitch/rehearsal/fleet.py
+++ b/ledgehitch/rehearsal/fleet.py
@@ -41,7 +41,7 @@
 from ledgehitch.proof.tape import read_tapes
 from ledgehitch.regions.facts import regions_of
 from ledgehitch.rehearsal.play import READY_WITHIN, Stage, free_ports
-from ledgehitch.standins.cuts import Bad
+from ledgehitch.standins.cuts import MessageFaults
 from ledgehitch.standins.receiver import Receiver
 from ledgehitch.standins.wires import Wires
 
@@ -258,7 +258,7 @@
         self.wires.release_held()
 
     def bad_wires(self, loss: float = 0.0, doubled: float = 0.0, late: float = 0.0) -> None:
-        self.wires.cuts.everywhere = Bad(loss, doubled, late)
+        self.wires.cuts.everywhere = MessageFaults(loss, doubled, late)
 
     # ---- who is meant --------------------------------------------------------------------------------------
 
--- a/ledgehitch/scale/relay.py
+++ b/ledgehitch/scale/relay.py
@@ -19,7 +19,7 @@
 from ledgehitch.loop import Event, Loop, endpoint
 from ledgehitch.owners.words import FIRST_KIND as OF_OWNERS
 from ledgehitch.proof.tape import Tape
-from ledgehitch.standins.cuts import Bad
+from ledgehitch.standins.cuts import MessageFaults
 from ledgehitch.standins.wires import HEAD, Wires
 
 MECHANISMS = ("members", "owners", "budgets")
@@ -69,7 +69,7 @@
                 pairs = {(a, b) for a in told["some"] for b in told["others"]}
                 self.wires.cuts.shut -= pairs | {(b, a) for a, b in pairs}
             case "/bad":
-                self.wires.cuts.everywhere = Bad(**_told(request))
+                self.wires.cuts.everywhere = MessageFaults(**_told(request))
             case "/counts":
                 self.tape.flush()
                 return answer({"by": self.counted.by, **self.loop.lag.take_figures()})
--- a/ledgehitch/standins/cuts.py
+++ b/ledgehitch/standins/cuts.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class Bad:
+class MessageFaults:
     """Message faults of a path: shares of messages lost and duplicated, and the largest delay in seconds.
 
     Each delay is drawn between 0 and `late`, so that messages are reordered.
@@ -27,8 +27,8 @@
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
         self.shut: set[tuple[str, str]] = set()
-        self.bad: dict[tuple[str, str], Bad] = {}
-        self.everywhere = Bad()
+        self.bad: dict[tuple[str, str], MessageFaults] = {}
+        self.everywhere = MessageFaults()
 
     def cut(self, some: Iterable[str], others: Iterable[str], back: bool = True, there: bool = True) -> None:
         """Blocks messages from `some` to `others` (`there`) and from `others` to `some` (`back`)."""
@@ -41,7 +41,7 @@
 
     def heal(self) -> None:
         """Removes all partitions and message faults."""
-        self.shut, self.bad, self.everywhere = set(), {}, Bad()
+        self.shut, self.bad, self.everywhere = set(), {}, MessageFaults()
 
     def open(self, sender: str, to: str) -> bool:
         """Returns whether messages from `sender` can reach `to`."""
--- a/ledgehitch/standins/receiver.py
+++ b/ledgehitch/standins/receiver.py
@@ -17,7 +17,9 @@
     def __init__(self, loop: Loop, at: Endpoint, tape: Tape) -> None:
         self.tape, self.term, self.last = tape, 0, -1
         self.verdicts: dict[int, Any] = {}
-        self.nonsense: bytes | None = None  # body sent in place of the answer, to simulate a faulty receiver
+        self.invalid_answer: bytes | None = (
+            None  # body sent in place of the answer, to simulate a faulty receiver
+        )
         self.server = Server(loop, at, self._handle)
 
     def _handle(self, request: Request) -> Response:
@@ -28,8 +30,8 @@
             raise Refused(
                 400, "verdict report is invalid: expected a JSON object with an integer term and a window"
             ) from None
-        if self.nonsense is not None:
-            return Response(200, [], self.nonsense)
+        if self.invalid_answer is not None:
+            return Response(200, [], self.invalid_answer)
         fields = {"owner": body.get("owner"), "term": term, "window": window}
         if term < self.term:
             self.tape.write("verdict", **fields, status=409)
--- a/tests/test_owning.py
+++ b/tests/test_owning.py
@@ -12,7 +12,7 @@
 from ledgehitch.proof.owned import check_owners
 from ledgehitch.proof.tape import Line
 from ledgehitch.rehearsal.fleet import FleetRig
-from ledgehitch.standins.cuts import Bad, Cuts
+from ledgehitch.standins.cuts import Cuts, MessageFaults
 from ledgehitch.standins.wires import Step
 
 PLAN = ("--settle", "0.2", "--back-within", "30", "--worse", "1")
@@ -264,9 +264,9 @@
         rig.start_all()
         owner = rig.owner("verdicts")
         rig.until(lambda: len(receiver.verdicts) >= 2)
-        receiver.nonsense = b'{"last": "tomorrow"}'
+        receiver.invalid_answer = b'{"last": "tomorrow"}'
         rig.until(lambda: "does not count" in str(rig.asked(owner, "/v1/owners")["duties"]["verdicts"]))
-        receiver.nonsense = None
+        receiver.invalid_answer = None
         # Named as in a day script; the suspension ends by itself.
         rig.do_fault(Fault(kind="daemon_still", at=0.0, len=6 * rig.lease, who="owner of verdicts"))
         rig.owner("verdicts", but=[owner], within=60.0)
@@ -380,7 +380,7 @@
     cuts = Cuts(random.Random(1))
     cuts.cut(["a"], ["a", "b"], back=False)
     assert not cuts.open("a", "b") and cuts.open("b", "a") and cuts.open("a", "a")
-    cuts.everywhere = Bad(0.5, 0.5, 1.0)
+    cuts.everywhere = MessageFaults(0.5, 0.5, 1.0)
     deliveries = [cuts.arrives("b", "a") for _ in range(400)]
     assert 120 < sum(not times for times in deliveries) < 280 and {len(times) for times in deliveries} == {
         0,
