--- a/ledgehitch/standins/players.py
+++ b/ledgehitch/standins/players.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Faulty:
+class InjectedStalls:
     """Injected stalls of a rack or title that no metric of the fleet shows, from `at` for `len` seconds."""
 
     kind: str  # "rack" or "title"
@@ -22,17 +22,17 @@
     size: float  # share of the affected reports that contain stalls
 
 
-def faulty_of(day: Day, site: Site, titles: list[str], seed: int) -> list[Faulty]:
+def faulty_of(day: Day, site: Site, titles: list[str], seed: int) -> list[InjectedStalls]:
     """Returns the day's faults of racks and titles; `titles` in order of popularity."""
     chance = random.Random(f"{seed}/faulty")
     faulty = []
     for fault in day.faults:
         if fault.kind == "rack_stalls":
             rack = chance.randrange(max(1, site.fleet.racks))
-            faulty.append(Faulty("rack", str(rack), fault.at, fault.len, fault.strength()))
+            faulty.append(InjectedStalls("rack", str(rack), fault.at, fault.len, fault.strength()))
         elif fault.kind == "title_stalls":
             name = titles[chance.randrange(min(3, len(titles)))]
-            faulty.append(Faulty("title", name, fault.at, fault.len, fault.strength()))
+            faulty.append(InjectedStalls("title", name, fault.at, fault.len, fault.strength()))
     return faulty
 
 
@@ -59,7 +59,7 @@
         self._drops += 0 <= rung < self.rung
         self.rung = rung
 
-    def report(self, now: float, since: float, faulty: list[Faulty]) -> None:
+    def report(self, now: float, since: float, faulty: list[InjectedStalls]) -> None:
         """Queues a report at the day's time `now` on the `since` seconds before it."""
         for fault in faulty:
             affected = fault.name == (self.rack if fault.kind == "rack" else self.title)
@@ -81,7 +81,7 @@
 
 
 @dataclass
-class Made:
+class ReportCounts:
     """Counts of the reports that a day's players sent and of the answers, to compare with the fleet's own."""
 
     reports: int = 0  # each counted once
@@ -91,7 +91,9 @@
     became: dict[str, int] = field(default_factory=dict)
     statuses: dict[str, int] = field(default_factory=dict)
 
-    def heard(self, status: int, became: dict[str, int], batch: list[dict[str, Any]], player: Player) -> None:
+    def count_answer(
+        self, status: int, became: dict[str, int], batch: list[dict[str, Any]], player: Player
+    ) -> None:
         """Counts the answer to one batch; status 0: no answer."""
         if status == 0:
             self.unsent += len(batch)
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -15,7 +15,7 @@
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, Stream, TimedOut, connect, endpoint
 from ledgehitch.proof.tape import Tape
 from ledgehitch.standins.arrivals import Visit, titles_by_popularity, visits, weighted_index
-from ledgehitch.standins.players import Made, Player, faulty_of
+from ledgehitch.standins.players import Player, ReportCounts, faulty_of
 from ledgehitch.standins.service import Booking, Service
 from ledgehitch.standins.visiting import (
     KEEPALIVE_INTERVAL_S,
@@ -87,7 +87,7 @@
         self.keepalive_handlers: dict[str, Callable[[str], None]] = {}
         self.started = 0.0
         self.reporting = day.reporting
-        self.made = Made()
+        self.report_counts = ReportCounts()
         wanted = titles_by_popularity(site, random.Random(f"{seed}/arrivals"))
         self.faulty = faulty_of(day, site, wanted, seed)
         self.racks = {h.name: str(h.cell % max(1, site.fleet.racks)) for h in site.hosts}
@@ -350,16 +350,16 @@
         token = response.header("report-token") or ""
         to, path = reports_to(response, str(at))
         fields = [("Authorization", f"Bearer {token}"), ("Content-Type", "application/json")]
-        self.made.reports += 1
+        self.report_counts.reports += 1
         self._batches_in_flight += 1
 
         def send() -> None:
             try:
                 for copy in range(self.reporting.copies):
                     self.loop.sleep(player.chance.uniform(0.0, self.reporting.late))
-                    self.made.sent += len(batch)
+                    self.report_counts.sent += len(batch)
                     status, results = self._post(to, path, fields, json.dumps(batch).encode())
-                    self.made.heard(status, results, batch, player)
+                    self.report_counts.count_answer(status, results, batch, player)
                     if status == 0 and copy == 0:
                         player.pending = batch + player.pending
                         return
@@ -441,5 +441,5 @@
         tape.close()
     summary = service.summary()
     if day.reporting.every:
-        summary["players"] = {**asdict(viewers.made), "faulty": [asdict(f) for f in viewers.faulty]}
+        summary["players"] = {**asdict(viewers.report_counts), "faulty": [asdict(f) for f in viewers.faulty]}
     return summary
