--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -125,7 +125,7 @@
     [
         (["rehearse", "none.json"], "none.json: cannot be read"),
         (["serve", "--site", "none.json"], "none.json: cannot be read"),
-        (["replay", "none"], "none: no record there"),
+        (["replay", "none"], "none: no flight record found"),
         (["check-tape", "days"], "days: no tapes"),
         (["import-day", "days/bad-day.lh"], "not JSON: line 1"),
         (["standin", "fault", "127.0.0.1:1", "flood"], "no fault 'flood'"),
