--- a/ledgehitch/rehearsal/fleet.py
+++ b/ledgehitch/rehearsal/fleet.py
@@ -280,7 +280,7 @@
         """Ends all cuts and releases the messages that were held back."""
         self.wires.cuts.heal()
         self.wires.held = lambda step: False
-        self.wires.let_go()
+        self.wires.release_held()
 
     def bad_wires(self, loss: float = 0.0, doubled: float = 0.0, late: float = 0.0) -> None:
         """Loses, duplicates and delays messages on all links."""
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -223,11 +223,11 @@
         told = ground.fabric.deliveries({n: h.asked for n, h in ground.hosts.items() if h.up})
         for name, delivery in told.items():
             given_kb = ground.hosts[name].asked * delivery.share
-            assert given_kb <= ground.fabric.links[name].gives * (1 + 1e-9)
+            assert given_kb <= ground.fabric.links[name].available_kb * (1 + 1e-9)
             rack = ground.fabric.rack_of[name]
             by_rack[rack] = by_rack.get(rack, 0.0) + given_kb
         for rack, kb in by_rack.items():
-            assert kb <= ground.fabric.uplinks[rack].gives * (1 + 1e-9)
+            assert kb <= ground.fabric.uplinks[rack].available_kb * (1 + 1e-9)
 
 
 STRICT: dict[str, Any] = {
@@ -274,10 +274,10 @@
     import random
 
     seen = Seen(10.0)
-    seen.heard(10.0, 0.9, 2)
-    assert seen.shown(11.0) == 0.9 and seen.shown(11.6) == 0.0
-    assert not seen.leaves(11.0, 1.0, 0.5, random.Random(1))
-    assert seen.leaves(13.1, 1.0, 0.0, random.Random(1)), "three seconds without media"
+    seen.on_answer(10.0, 0.9, 2)
+    assert seen.visible_share(11.0) == 0.9 and seen.visible_share(11.6) == 0.0
+    assert not seen.gives_up(11.0, 1.0, 0.5, random.Random(1))
+    assert seen.gives_up(13.1, 1.0, 0.0, random.Random(1)), "three seconds without media"
 
 
 def test_a_day_too_large_for_loopback_plays_in_the_model_and_is_refused_there() -> None:
