--- a/ledgehitch/cli/config.py
+++ b/ledgehitch/cli/config.py
@@ -13,7 +13,7 @@
 
 from ledgehitch.config import BadInput
 from ledgehitch.config.change import changes
-from ledgehitch.config.explain import found, origins, reference
+from ledgehitch.config.explain import find_vertex, origins, reference
 from ledgehitch.config.layout import format_text
 from ledgehitch.config.load import Loaded, canonical, load
 from ledgehitch.config.syntax import Malformed
@@ -138,7 +138,7 @@
     """Where the value at PATH (as racks.a.hosts.h1.weight) comes from: every file, definition and default."""
     loaded = _good(file)
     assert loaded.vertex is not None
-    vertex = found(loaded.evaluation, loaded.vertex, path.split("."))
+    vertex = find_vertex(loaded.evaluation, loaded.vertex, path.split("."))
     if vertex is None:
         raise BadInput(f"{file}: the result has nothing at {path}")
     exact = vertex.value.exact()
--- a/ledgehitch/config/__init__.py
+++ b/ledgehitch/config/__init__.py
@@ -1,7 +1,7 @@
-"""What people write down: sites and days, as typed records that are checked when they are read.
+"""Configuration files: sites and days as typed records, validated when they are read.
 
-It never fetches, starts or decides anything: it reads, names what is wrong, and derives facts.
-Start reading at `site.py`; `day.py` holds the one definition of faults and day scripts.
+The package reads files, reports mistakes and derives settings. It opens no connection and starts no process.
+Start reading at `site.py`. `day.py` defines day scripts and their faults.
 """
 
 from ledgehitch.config.day import KINDS, Day, Fault, read_day
--- a/ledgehitch/config/change.py
+++ b/ledgehitch/config/change.py
@@ -1,7 +1,7 @@
-"""What differs in meaning between two versions, when each change takes effect, and what it may break.
+"""Differences between two versions of a configuration: when each takes effect, what it may break. No I/O.
 
-All decided here, free of I/O. `changes` compares; `Reloads` decides what a gateway does with a version that
-it is handed: it runs one version, may be told another, and never goes back to an older one unasked.
+`changes` compares two versions. `Reloads` decides what a gateway does with a version that it receives. It
+runs one version, may have received a newer one, and does not return to an older one by itself.
 """
 
 import fnmatch
@@ -10,7 +10,7 @@
 from typing import Any, Literal
 
 Effect = Literal["at once", "new viewings", "restart"]
-# By path, first match counts. What the module is told at start takes effect with its next start.
+# By path; the first match counts. What the decision module gets at start takes effect at its next start.
 EFFECTS: tuple[tuple[str, Effect], ...] = (
     ("titles*", "new viewings"),
     ("routes*", "new viewings"),
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Change:
-    """One place that differs; None stands for not there. `risk` says what it may break, empty if nothing."""
+    """One path that differs. None means absent. `risk` says what the change may break, empty if nothing."""
 
     path: str
     before: Any
@@ -38,7 +38,7 @@
 
 
 def leaves(data: Any, path: tuple[str, ...] = ()) -> Iterator[tuple[tuple[str, ...], Any]]:
-    """Every plain value with its path; empty records and lists stand for themselves."""
+    """Yields each plain value with its path. Empty records and lists count as plain values."""
     if isinstance(data, Mapping) and data:
         for name, value in data.items():
             yield from leaves(value, (*path, str(name)))
@@ -50,16 +50,16 @@
 
 
 def changes(before: Any, after: Any, held: Mapping[str, int] | None = None) -> list[Change]:
-    """What differs, by path. `held`: viewings held now by title, for what a change may break."""
+    """Returns the differences by path. `held` is the number of current viewings by title, for the risks."""
     old, new = dict(leaves(before)), dict(leaves(after))
-    called_anew = _renamed(before, after)
+    renamed_racks = _renamed(before, after)
     found = []
     for path in [*old, *(p for p in new if p not in old)]:
-        if path in old and path in new and _same(old[path], new[path]):
+        if path in old and path in new and _is_same_value(old[path], new[path]):
             continue
         name = ".".join(path)
         effect = next(e for pattern, e in EFFECTS if fnmatch.fnmatchcase(name, pattern))
-        if path[0] == "racks" and len(path) > 1 and path[1] in called_anew:
+        if path[0] == "racks" and len(path) > 1 and path[1] in renamed_racks:
             found.append(Change(name, old.get(path), new.get(path), "at once"))
             continue
         risk = _risk(path, old.get(path), new.get(path), before, after, held or {})
@@ -68,7 +68,7 @@
 
 
 def _renamed(before: Any, after: Any) -> set[str]:
-    """Names of racks, old and new, that differ in nothing but the name: they stand where they stood."""
+    """Returns the old and new names of racks that were only renamed. Their position is unchanged."""
     old, new = before.get("racks") or {}, after.get("racks") or {}
     if not isinstance(old, Mapping) or not isinstance(new, Mapping) or len(old) != len(new):
         return set()
@@ -76,12 +76,12 @@
     return {name for (a, x), (b, y) in pairs if a != b and x == y for name in (a, b)}
 
 
-def _same(a: Any, b: Any) -> bool:
+def _is_same_value(a: Any, b: Any) -> bool:
     return bool(a == b) and isinstance(a, bool) == isinstance(b, bool)
 
 
-def applied(before: Any, found: list[Change]) -> dict[str, Any]:
-    """The leaves of `before` with the changes made: the leaves of `after`."""
+def apply_changes(before: Any, found: list[Change]) -> dict[str, Any]:
+    """Returns the leaves of `before` with the changes applied, which are the leaves of `after`."""
     flat = {".".join(p): v for p, v in leaves(before)}
     for change in found:
         flat.pop(change.path, None)
@@ -122,12 +122,12 @@
     return ""
 
 
-# ---- in service --------------------------------------------------------------------------------------------
+# ---- reloads -----------------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True)
 class Version:
-    """A whole, checked configuration. `serial` rises with each that is handed in."""
+    """A complete configuration. `serial` increases with each version that is submitted."""
 
     serial: int
     digest: str
@@ -136,11 +136,14 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """Make this version the one that new viewings go by. `waits`: changes that need a restart. `steps`: what
-    is done, in this order: titles placed, titles moved, titles withdrawn."""
+    """Use this version for new viewings.
+
+    `restart_paths`: changes that need a restart. `steps`: the changes of titles in the order to apply:
+    placed, moved, withdrawn.
+    """
 
     version: Version
-    waits: tuple[str, ...]
+    restart_paths: tuple[str, ...]
     steps: tuple[tuple[str, str], ...] = field(default=(), compare=False)
 
 
@@ -153,7 +156,7 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """This version is not applied; the one that runs stays."""
+    """Reject this version and keep the running one."""
 
     digest: str
     reason: str
@@ -162,24 +165,26 @@
 Decision = Apply | Keep | Refuse
 
 
-def _gateways(data: Any) -> list[str]:
-    """Names of the gateways, in the language's form (by name) or JSON's (a list of records)."""
-    some = data.get("gateways", {})
-    return list(some) if isinstance(some, dict) else [g["name"] for g in some]
+def _gateway_names(data: Any) -> list[str]:
+    """Returns the gateways' names, from a mapping by name (the language) or a list of records (JSON)."""
+    gateways = data.get("gateways", {})
+    return list(gateways) if isinstance(gateways, dict) else [g["name"] for g in gateways]
 
 
-def placed(before: Any, after: Any) -> tuple[tuple[str, str], ...]:
-    """What happens to titles, in the order in which it is safe: first what is added, last what is withdrawn,
-    so that none that both versions place is missing in between."""
-    old, new = _titles(before), _titles(after)
+def placement_steps(before: Any, after: Any) -> tuple[tuple[str, str], ...]:
+    """Returns the changes of titles in a safe order: additions first, withdrawals last.
+
+    So no title that both versions place is missing in between.
+    """
+    old, new = _title_placements(before), _title_placements(after)
     steps = [("place", t) for t in sorted(new.keys() - old.keys())]
     steps += [("move", t) for t in sorted(new.keys() & old.keys()) if new[t] != old[t]]
     steps += [("withdraw", t) for t in sorted(old.keys() - new.keys())]
     return tuple(steps)
 
 
-def _titles(data: Any) -> dict[str, Any]:
-    """Where each title lies: its own entry, or the pool of its route."""
+def _title_placements(data: Any) -> dict[str, Any]:
+    """Returns the placement of each title: its own entry, or the pool of its route."""
     held = dict(data.get("titles", {}))
     for route in data.get("routes", {}).values():
         for title in route["titles"]:
@@ -188,14 +193,16 @@
 
 
 class Reloads:
-    """What one gateway runs, what it was told, and what it does about the difference.
-
-    - A version that does not check is refused whole, with the checker's words.
-    - Of two that overlap, the one handed in last counts: an earlier one that comes later is refused.
-    - One without this gateway is refused while viewings are held here: it is drained first.
-    - During a drain nothing is applied; the newest is told and counts if the drain is taken back.
-    - The digest that runs already is neither applied nor refused: there is nothing to do.
-    - A change that is taken back before it was applied leaves nothing behind.
+    """Tracks the running and the newest version of one gateway and decides how to get from one to the other.
+
+    - A version with mistakes is refused as a whole, with the checker's messages.
+    - Of two concurrent reloads the later serial wins: an earlier one that arrives afterwards is refused.
+    - A version without this gateway is refused while the gateway has viewings, since it must be drained
+      first.
+    - During a drain nothing is applied. The newest version is stored and takes effect if the drain is
+      cancelled.
+    - A version with the running digest is neither applied nor refused, since nothing changes.
+    - A change that is reverted before it was applied has no effect.
     """
 
     def __init__(self, running: Version, gateway: str = "") -> None:
@@ -204,11 +211,11 @@
         self.draining = False
         self.refused = 0
         self.last_refusal = ""
-        self._started = running.data  # what the module was told at start
-        self._due: list[Decision] = []
+        self._start_data = running.data  # configuration that the decision module got at start
+        self._pending: list[Decision] = []
 
-    def on_version(self, version: Version, mistakes: list[str], held: int = 0) -> None:
-        """A version, with what the checker says of it; `held`: viewings of this gateway now."""
+    def on_version(self, version: Version, mistakes: list[str], viewing_count: int = 0) -> None:
+        """Handles a new version and its mistakes. `viewing_count`: current viewings of this gateway."""
         if version.serial <= self.newest.serial:
             self._refuse(
                 version.digest,
@@ -216,48 +223,48 @@
             )
         elif mistakes:
             self._refuse(version.digest, "; ".join(mistakes[:3]))
-        elif held and self.gateway and self.gateway not in _gateways(version.data):
+        elif viewing_count and self.gateway and self.gateway not in _gateway_names(version.data):
             self._refuse(
                 version.digest,
-                f"it has no gateway {self.gateway}, which holds {held} viewings: drain it first",
+                f"it has no gateway {self.gateway}, which holds {viewing_count} viewings: drain it first",
             )
         else:
             self.newest = version
-            self._settle()
+            self._apply_newest()
 
     def on_drain(self, draining: bool) -> None:
         self.draining = draining
-        self._settle()
+        self._apply_newest()
 
     def _refuse(self, digest: str, reason: str) -> None:
         self.refused += 1
         self.last_refusal = reason
-        self._due.append(Refuse(digest, reason))
+        self._pending.append(Refuse(digest, reason))
 
-    def _settle(self) -> None:
+    def _apply_newest(self) -> None:
         if self.draining:
             return
         if self.newest.digest == self.running.digest:
             self.running = self.newest
             return
-        steps = placed(self.running.data, self.newest.data)
+        steps = placement_steps(self.running.data, self.newest.data)
         self.running = self.newest
-        self._due += [Apply(self.newest, self.waits(), steps), Keep(self.newest)]
+        self._pending += [Apply(self.newest, self.pending_restart(), steps), Keep(self.newest)]
 
-    def waits(self) -> tuple[str, ...]:
-        """Paths whose newest value the module will only know after a restart."""
-        found = changes(self._started, self.running.data)
+    def pending_restart(self) -> tuple[str, ...]:
+        """Returns the paths whose running value takes effect only after a restart."""
+        found = changes(self._start_data, self.running.data)
         return tuple(c.path for c in found if c.effect == "restart")
 
     def decide(self) -> Decision | None:
-        return self._due.pop(0) if self._due else None
+        return self._pending.pop(0) if self._pending else None
 
     def state(self) -> dict[str, Any]:
         return {
             "runs": self.running.digest,
             "told": self.newest.digest,
             "lags": self.newest.digest != self.running.digest,
-            "waits_for_restart": list(self.waits()),
+            "waits_for_restart": list(self.pending_restart()),
             "refused": self.refused,
             "last_refusal": self.last_refusal,
         }
--- a/ledgehitch/config/day.py
+++ b/ledgehitch/config/day.py
@@ -1,7 +1,7 @@
-"""Day scripts: arrivals and faults over some seconds. One definition, played on loopback and in models.
+"""Day scripts: arrivals and faults over a period of seconds, for runs on loopback and in the model alike.
 
-A fault has a kind, a time, a length and what it needs of `part` (share of the fleet that it meets), `size`
-(how strong) and `extra`. `KINDS` says for each kind what the figures mean and within which bounds.
+A fault has a kind, a time, a length and, as needed, `part` (fraction of the fleet that it affects), `size`
+(strength) and `extra`. `KINDS` documents their meaning and bounds for each kind.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """What a kind of fault does to `whom`, and the bounds of its size and extra (None: not used)."""
+    """A kind of fault: what it affects, its effect, and the bounds of `size` and `extra` (None: not used)."""
 
     whom: Literal["hosts", "links", "uplinks", "list", "gateways", "viewers", "peers", "daemons"]
     what: str
@@ -67,7 +67,7 @@
 }
 
 
-# Between daemons, as the rig of several processes plays them; days of one process and models have none.
+# Faults between daemons, injected by the rig of several processes. Days of one process and models have none.
 DAEMON_FAULTS: dict[str, Kind] = {
     "wires_cut": Kind(
         "daemons",
@@ -93,23 +93,24 @@
     extra: float | None = None
 
     def strength(self) -> float:
-        """`size`, or the middle of what the kind allows."""
-        return self.size if self.size is not None else _middle(_kind(self.kind).size)
+        """Returns `size`, or by default the middle of its bounds (at most 2, or the lower bound)."""
+        return self.size if self.size is not None else _default_within(_kind(self.kind).size)
 
     def further(self) -> float:
-        return self.extra if self.extra is not None else _middle(_kind(self.kind).extra)
+        """Returns `extra`, or by default the middle of its bounds (at most 2, or the lower bound)."""
+        return self.extra if self.extra is not None else _default_within(_kind(self.kind).extra)
 
 
 def _kind(name: str) -> Kind:
     return KINDS[name] if name in KINDS else DAEMON_FAULTS[name]
 
 
-def _middle(bounds: tuple[float, float] | None) -> float:
+def _default_within(bounds: tuple[float, float] | None) -> float:
     return 0.0 if bounds is None else min((bounds[0] + bounds[1]) / 2, max(2.0, bounds[0]))
 
 
 class Mix(Record, kw_only=True, frozen=True):
-    """One package's part of the arrivals and how long its viewers watch, in seconds (exponential)."""
+    """One package's share of the arrivals, and the mean of its exponential viewing times in seconds."""
 
     package: str
     share: Positive = 1.0
@@ -118,7 +119,7 @@
 
 
 class Arrivals(Record, kw_only=True, frozen=True):
-    """`rate` viewers a second; titles by Zipf's law with exponent `zipf`."""
+    """Arrivals of `rate` viewers per second, with titles by Zipf's law with exponent `zipf`."""
 
     rate: Positive
     mix: Annotated[list[Mix], msgspec.Meta(min_length=1)]
@@ -126,43 +127,43 @@
     swing: Share = 0.2
     zipf: Amount = 0.8
     small_screens: Share = 0.2  # viewers who cannot use the upper half of the rungs
-    returns: Share = 0.9  # of the blocked and broken who come again
+    returns: Share = 0.9  # fraction of blocked viewers and broken viewings that come again
     return_after: Positive = 1.0
     returns_at_most: Count = 3
     honour_advice: Share = 1.0
-    impatient: Share = 0.0  # hang up early
-    repeats: Share = 0.0  # send their offer again from a second connection before the first answer
-    seeks: Amount = 0.0  # a second of watching: each is a new tune-in of the same title
-    resizes: Amount = 0.0  # a second of watching: the highest rung changes, which is a new tune-in too
-    leave_under: Share = 0.75  # delivered share under which viewers begin to leave
+    impatient: Share = 0.0  # fraction that hangs up early
+    repeats: Share = 0.0  # fraction that repeats its offer on a second connection before the first answer
+    seeks: Amount = 0.0  # per second of watching; each is a new tune-in of the same title
+    resizes: Amount = 0.0  # per second of watching; a change of the highest rung, which is a new tune-in too
+    leave_under: Share = 0.75  # fraction of the rate delivered below which viewers begin to leave
 
 
 class Reporting(Record, kw_only=True, frozen=True):
-    """How players report to their gateways; `every` 0: they do not."""
+    """Reports of players to their gateways. With `every` 0 they send none."""
 
     every: Amount = 0.0
-    copies: Annotated[int, msgspec.Meta(ge=1, le=20)] = 1  # of each report that are sent
-    late: Amount = 0.0  # seconds by which each is sent late, by chance up to it
-    lying: Share = 0.0  # players that invent stalls
-    beside: bool = False  # a process beside each gateway takes them
+    copies: Annotated[int, msgspec.Meta(ge=1, le=20)] = 1  # sent of each report
+    late: Amount = 0.0  # maximum of the random delay of each, in seconds
+    lying: Share = 0.0  # fraction of players that report stalls that did not happen
+    beside: bool = False  # a separate process next to each gateway receives them
 
 
 class Shape(Record, kw_only=True, frozen=True):
-    """How many of what the day needs, and how its media hosts behave."""
+    """Size of the installation that the day needs, and the behaviour of its media hosts."""
 
     gateways: Annotated[int, msgspec.Meta(ge=1, le=4096)] = 3
     hosts: Annotated[int, msgspec.Meta(ge=1, le=4096)] = 9
     zones: Annotated[int, msgspec.Meta(ge=1, le=8)] = 1
     titles: Annotated[int, msgspec.Meta(ge=1, le=5000)] = 20
-    rack: Annotated[int, msgspec.Meta(ge=1, le=64)] = 3  # hosts of a rack
+    rack: Annotated[int, msgspec.Meta(ge=1, le=64)] = 3  # hosts per rack
     slots: Annotated[int, msgspec.Meta(ge=1)] = 60
     link_kb: Positive = 6000.0
-    uplink_share: Positive = 0.8  # of a rack's links
-    setup: Positive = 0.05  # seconds of a set-up, in the median
-    setup_spread: Amount = 0.4  # sigma of their logarithm
+    uplink_share: Positive = 0.8  # fraction of the sum of a rack's links
+    setup: Positive = 0.05  # median of the set-up time, in seconds
+    setup_spread: Amount = 0.4  # sigma of its logarithm
     true_rate_spread: Amount = 0.1
-    true_rate_swing: Share = 0.0  # by which true rates swing, each host in its own time
-    far: Amount = 0.0  # seconds of one way between zones, in the model only
+    true_rate_swing: Share = 0.0  # fraction by which true rates oscillate, each host with its own timing
+    far: Amount = 0.0  # one-way delay between zones in seconds, in the model only
     report_noise: Amount = 0.05
     list_delay: Amount = 0.5
     peer_delay: Amount = 0.01
@@ -179,12 +180,12 @@
     reporting: Reporting = Reporting()
     settle: Amount = 2.0  # seconds between the last start and the first viewer
     seed: int = 1
-    site: dict[str, msgspec.Raw] = {}  # parts of the site file that this day wants otherwise
+    site: dict[str, msgspec.Raw] = {}  # parts of the site file that this day overrides
     source: str = ""  # where an imported day came from
 
 
 def read_day(path: Path) -> Day:
-    """A day in the configuration language, or as JSON of the records (`.json`)."""
+    """Reads a day in the configuration language, or as JSON of the records (`.json`)."""
     if path.suffix != ".json":
         from ledgehitch.config.load import load  # it reads sites, which this module builds on
 
@@ -199,6 +200,7 @@
 
 
 def check_day(day: Day, name: str) -> None:
+    """Checks kinds, times and bounds of a day's faults. Raises `BadInput`, which calls the day `name`."""
     for i, fault in enumerate(day.faults):
         at = f"{name}: faults[{i}]"
         kind = KINDS.get(fault.kind)
--- a/ledgehitch/config/evaluate.py
+++ b/ledgehitch/config/evaluate.py
@@ -1,8 +1,9 @@
-"""What a tree means: fields met by unification, references, patterns, definitions. Free of I/O.
+"""Evaluates syntax trees: unification of fields, references, patterns and definitions. Free of I/O.
 
-A vertex is one place of the result. It gathers everything said of that place (a node, and the scope in which
-its names are looked up) and meets it all, so that the order of saying makes no difference. Every vertex is
-worked out once; one that needs itself is a mistake, and their number is bounded, so evaluation ends.
+A vertex is one position in the result. It collects all conjuncts for that position (a node, and the scope in
+which its names are resolved) and unifies them, so the order of statements makes no difference. Each vertex is
+evaluated once. A vertex that depends on itself is a mistake, and the number of vertices is limited, so
+evaluation ends.
 """
 
 import difflib
@@ -11,7 +12,7 @@
 from fractions import Fraction
 from typing import Any
 
-from ledgehitch.config.quantities import Quantity, spelt
+from ledgehitch.config.quantities import Quantity, format_quantity
 from ledgehitch.config.syntax import (
     SCHEMA,
     At,
@@ -30,50 +31,52 @@
     Sum,
     Text,
 )
-from ledgehitch.config.values import ANYTHING, Clash, Value, bound, choice, exactly, meet, of_kind
+from ledgehitch.config.values import ANYTHING, Conflict, Value, bound, choice, exact_value, meet, of_kind
 
-MOST_VERTICES = 400_000  # places of one result
-MOST_DEPTH = 100  # references through references, records within records
-MOST_TEXT = 10_000  # characters of one string that is put together
+MAX_VERTICES = 400_000  # in one result
+MAX_DEPTH = 100  # of nested references or records
+MAX_STRING_CHARACTERS = 10_000  # in one interpolated string
 
 
 @dataclass(eq=False)
 class Scope:
-    """Names of one record literal, standing in one vertex; then those of the record around it."""
+    """Names of one record literal in one vertex. `outer` is the scope of the enclosing record."""
 
     names: set[str]
     vertex: "Vertex"
     outer: "Scope | None"
-    variable: tuple[str, str] | None = None  # a pattern's variable and what it stands for
+    variable: tuple[str, str] | None = None  # name and value of a pattern's variable
 
 
 @dataclass(eq=False)
-class Said:
-    """One conjunct. `group`: the closed definition through which it came."""
+class Conjunct:
+    """A node to unify into a vertex. `group` identifies the closed definition that it came from, if any."""
 
     node: Node
     scope: Scope | None
     group: object | None = None
-    through: str = ""  # the definition or pattern that brought it
+    through: str = ""  # name of the definition or pattern that it came from
 
 
 @dataclass(eq=False)
 class Vertex:
     path: tuple[str, ...]
-    said: list[Said] = field(default_factory=list)
+    conjuncts: list[Conjunct] = field(default_factory=list)
     fields: "dict[str, Vertex]" = field(default_factory=dict)
     items: "list[Vertex] | None" = None
-    rests: list[Said] = field(default_factory=list)  # what all items of a list are
+    rest_conjuncts: list[Conjunct] = field(default_factory=list)  # constraints on all items of a list
     value: Value = ANYTHING
     is_record: bool = False
-    state: int = 0  # 0 not begun, 1 being worked out, 2 done
-    optional: bool = True  # only ever said with "?"
+    state: int = 0  # 0: not evaluated, 1: being evaluated, 2: evaluated
+    optional: bool = True  # every statement of this field has "?"
     declared: dict[object, "Allowed"] = field(default_factory=dict)
-    origins: list[tuple[At, str, str]] = field(default_factory=list)  # place, what it says, through what
+    origins: list[tuple[At, str, str]] = field(
+        default_factory=list
+    )  # position, value, and the definition it came from
     failed: bool = False
 
     def at(self) -> At | None:
-        return self.said[0].node.at if self.said else None
+        return self.conjuncts[0].node.at if self.conjuncts else None
 
     def name(self) -> str:
         return ".".join(self.path) or "the whole file"
@@ -81,7 +84,7 @@
 
 @dataclass
 class Allowed:
-    """What a closed definition allows in one vertex."""
+    """Field names that a closed definition allows in one vertex. For a list, `name` is its fixed length."""
 
     names: set[str] = field(default_factory=set)
     any_name: bool = False
@@ -93,233 +96,260 @@
         self.mistakes: list[Mistake] = []
         self.count = 0
         self.depth = 0
-        self.partial = False  # some text did not parse, so what it said is not known
-        self._told: set[tuple[str, str]] = set()
+        self.partial = False  # part of the text did not parse, so its content is unknown
+        self._reported: set[tuple[str, str]] = set()
 
-    def wrong(self, at: At | None, reason: str, hint: str = "", absent: bool = False) -> None:
-        """`absent`: that something is missing, which says nothing where part of the text did not parse."""
+    def add_mistake(self, at: At | None, reason: str, hint: str = "", absent: bool = False) -> None:
+        """Records a mistake once per position and reason.
+
+        `absent`: the mistake is a missing value. It is ignored if part of the text did not parse.
+        """
         if absent and self.partial:
             return
         at = at or At("", 0, 0)
-        if (str(at), reason) not in self._told:
-            self._told.add((str(at), reason))
+        if (str(at), reason) not in self._reported:
+            self._reported.add((str(at), reason))
             self.mistakes.append(Mistake(at, reason, hint))
 
     def root(self, records: list[Record]) -> Vertex:
-        """The vertex of all files together; definitions are looked up across them."""
+        """Returns the vertex of all files together. Definitions are resolved across files."""
         top = Vertex(())
         names = {f.name for r in records for f in r.fields}
         for record in records:
-            top.said.append(Said(record, Scope(names, top, None)))
+            top.conjuncts.append(Conjunct(record, Scope(names, top, None)))
         return top
 
-    # ---- working out ---------------------------------------------------------------------------------------
+    # ---- evaluation ----------------------------------------------------------------------------------------
 
-    def work_out(self, v: Vertex) -> Vertex:
-        """Meets all that is said of a vertex, not of its fields."""
-        if v.state == 2:
-            return v
-        if v.state == 1:
-            self.wrong(v.at(), f"{v.name()} needs itself to be worked out")
-            v.failed = True
-            return v
+    def evaluate(self, vertex: Vertex) -> Vertex:
+        """Unifies all conjuncts of a vertex, without those of its fields."""
+        if vertex.state == 2:
+            return vertex
+        if vertex.state == 1:
+            self.add_mistake(vertex.at(), f"{vertex.name()} needs itself to be worked out")
+            vertex.failed = True
+            return vertex
         self.depth += 1
-        v.state = 1
+        vertex.state = 1
         try:
-            if self.depth > MOST_DEPTH:
-                self.wrong(v.at(), f"{v.name()}: definitions within definitions never come to an end")
-                v.failed = True
-                return v
-            queue = list(v.said)
+            if self.depth > MAX_DEPTH:
+                self.add_mistake(
+                    vertex.at(), f"{vertex.name()}: definitions within definitions never come to an end"
+                )
+                vertex.failed = True
+                return vertex
+            queue = list(vertex.conjuncts)
             seen: set[tuple[int, int]] = set()
-            patterns: list[tuple[Pattern, Said]] = []
+            patterns: list[tuple[Pattern, Conjunct]] = []
             while queue:
-                one = queue.pop(0)
-                key = id(one.node), id(one.scope)
+                conjunct = queue.pop(0)
+                key = id(conjunct.node), id(conjunct.scope)
                 if key in seen:
                     continue
                 seen.add(key)
-                self._take(v, one, queue, patterns)
-            self._apply_patterns(v, patterns)
-            self._check_closed(v)
+                self._apply_conjunct(vertex, conjunct, queue, patterns)
+            self._apply_patterns(vertex, patterns)
+            self._check_closed(vertex)
         finally:
             self.depth -= 1
-            v.state = 2
-        return v
-
-    def _take(self, v: Vertex, one: Said, queue: list[Said], patterns: list[tuple[Pattern, Said]]) -> None:
-        node = one.node
+            vertex.state = 2
+        return vertex
+
+    def _apply_conjunct(
+        self,
+        vertex: Vertex,
+        conjunct: Conjunct,
+        queue: list[Conjunct],
+        patterns: list[tuple[Pattern, Conjunct]],
+    ) -> None:
+        node = conjunct.node
         match node:
             case Record():
-                self._record(v, node, one, patterns)
+                self._apply_record(vertex, node, conjunct, patterns)
             case Both(parts=parts):
-                queue += [Said(part, one.scope, one.group, one.through) for part in parts]
+                queue += [Conjunct(part, conjunct.scope, conjunct.group, conjunct.through) for part in parts]
             case Ref():
-                self._reference(v, node, one, queue)
+                self._apply_reference(vertex, node, conjunct, queue)
             case ListOf():
-                self._list(v, node, one)
+                self._apply_list(vertex, node, conjunct)
             case _:
-                self._meet(v, one, self._plain(node, one.scope))
+                self._meet_value(vertex, conjunct, self._plain_value(node, conjunct.scope))
 
-    def _meet(self, v: Vertex, one: Said, value: Value | None) -> None:
+    def _meet_value(self, vertex: Vertex, conjunct: Conjunct, value: Value | None) -> None:
         if value is None:
-            v.failed = True
+            vertex.failed = True
             return
-        if v.is_record or v.items is not None:
+        if vertex.is_record or vertex.items is not None:
             if value is not ANYTHING:
-                self._mixed(v, one)
+                self._report_mixed_kinds(vertex, conjunct)
             return
-        v.origins.append((one.node.at, str(value), one.through))
+        vertex.origins.append((conjunct.node.at, str(value), conjunct.through))
         try:
-            v.value = meet(v.value, value)
-        except Clash as clash:
-            if not v.failed:
-                # Told where a person said it, not where the schema forbids it.
-                own = [(at, what) for at, what, _ in v.origins if at.file != SCHEMA]
-                at = own[-1][0] if own else one.node.at
+            vertex.value = meet(vertex.value, value)
+        except Conflict as conflict:
+            if not vertex.failed:
+                # Reports the position in the user's files, not the one in the schema.
+                own = [(at, what) for at, what, _ in vertex.origins if at.file != SCHEMA]
+                at = own[-1][0] if own else conjunct.node.at
                 others = [f"{place} says {what}" for place, what in own if place != at][-3:]
-                self.wrong(at, f"{v.name()}: {clash}", "; ".join(others))
-            v.failed = True
+                self.add_mistake(at, f"{vertex.name()}: {conflict}", "; ".join(others))
+            vertex.failed = True
 
-    def _mixed(self, v: Vertex, one: Said) -> None:
-        if not v.failed:
-            own = [s.node.at for s in v.said if s.node.at.file != SCHEMA]
-            at = own[-1] if own else one.node.at
+    def _report_mixed_kinds(self, vertex: Vertex, conjunct: Conjunct) -> None:
+        if not vertex.failed:
+            own = [s.node.at for s in vertex.conjuncts if s.node.at.file != SCHEMA]
+            at = own[-1] if own else conjunct.node.at
             others = "; ".join(str(place) for place in own if place != at)
-            self.wrong(at, f"{v.name()} is a record or list in one place and not in another", others)
-        v.failed = True
+            self.add_mistake(
+                at, f"{vertex.name()} is a record or list in one place and not in another", others
+            )
+        vertex.failed = True
 
-    def _record(self, v: Vertex, node: Record, one: Said, patterns: list[tuple[Pattern, Said]]) -> None:
-        if v.value is not ANYTHING or v.items is not None:
-            self._mixed(v, one)
+    def _apply_record(
+        self, vertex: Vertex, node: Record, conjunct: Conjunct, patterns: list[tuple[Pattern, Conjunct]]
+    ) -> None:
+        if vertex.value is not ANYTHING or vertex.items is not None:
+            self._report_mixed_kinds(vertex, conjunct)
             return
-        v.is_record = True
+        vertex.is_record = True
         scope = (
-            one.scope if one.scope is not None and one.scope.vertex is v and one.scope.outer is None else None
+            conjunct.scope
+            if conjunct.scope is not None and conjunct.scope.vertex is vertex and conjunct.scope.outer is None
+            else None
         )
-        scope = scope or Scope({f.name for f in node.fields}, v, one.scope)
+        scope = scope or Scope({f.name for f in node.fields}, vertex, conjunct.scope)
         allowed = None
-        if one.group is not None:
-            allowed = v.declared.setdefault(one.group, Allowed(name=one.through))
+        if conjunct.group is not None:
+            allowed = vertex.declared.setdefault(conjunct.group, Allowed(name=conjunct.through))
             allowed.any_name |= node.opened
         for f in node.fields:
-            child = self._child(v, f)
+            child = self._get_or_add_field(vertex, f)
             child.optional &= f.optional
-            child.said.append(Said(f.value, scope, one.group, one.through))
+            child.conjuncts.append(Conjunct(f.value, scope, conjunct.group, conjunct.through))
             if allowed is not None:
                 allowed.names.add(f.name)
         for p in node.patterns:
-            patterns.append((p, Said(p.value, scope, one.group, one.through)))
+            patterns.append((p, Conjunct(p.value, scope, conjunct.group, conjunct.through)))
             if allowed is not None:
                 allowed.any_name = True
 
-    def _child(self, v: Vertex, f: Field) -> Vertex:
-        child = v.fields.get(f.name)
+    def _get_or_add_field(self, vertex: Vertex, f: Field) -> Vertex:
+        child = vertex.fields.get(f.name)
         if child is None:
             self.count += 1
-            if self.count > MOST_VERTICES:
-                raise TooMuch(f.at)
-            child = v.fields[f.name] = Vertex((*v.path, f.name))
+            if self.count > MAX_VERTICES:
+                raise ResultTooLarge(f.at)
+            child = vertex.fields[f.name] = Vertex((*vertex.path, f.name))
         return child
 
-    def _apply_patterns(self, v: Vertex, patterns: list[tuple[Pattern, Said]]) -> None:
-        for pattern, said in patterns:
-            for name, child in list(v.fields.items()):
+    def _apply_patterns(self, vertex: Vertex, patterns: list[tuple[Pattern, Conjunct]]) -> None:
+        for pattern, conjunct in patterns:
+            for name, child in list(vertex.fields.items()):
                 if not name.startswith("#"):
-                    scope = Scope(set(), v, said.scope, (pattern.variable, name))
-                    through = said.through or f"[{pattern.variable}=string]"
-                    child.said.append(Said(said.node, scope, said.group, through))
+                    scope = Scope(set(), vertex, conjunct.scope, (pattern.variable, name))
+                    through = conjunct.through or f"[{pattern.variable}=string]"
+                    child.conjuncts.append(Conjunct(conjunct.node, scope, conjunct.group, through))
 
-    def _check_closed(self, v: Vertex) -> None:
-        """A record of definitions holds what one of them allows, and nothing else (CUE asks it of each)."""
-        groups = list(v.declared.values()) if v.is_record else []
+    def _check_closed(self, vertex: Vertex) -> None:
+        """Checks that at least one closed definition allows each field (CUE requires it of every one)."""
+        groups = list(vertex.declared.values()) if vertex.is_record else []
         if not groups or any(allowed.any_name for allowed in groups):
             return
         names = {name for allowed in groups for name in allowed.names}
-        for name, child in list(v.fields.items()):
+        for name, child in list(vertex.fields.items()):
             if name not in names and not name.startswith("#"):
                 near = difflib.get_close_matches(name, sorted(names), 1, 0.5)
                 what = " and ".join(dict.fromkeys(a.name for a in groups if a.name)) or "this record"
                 hint = f"is {near[0]!r} meant?" if near else f"there are {', '.join(sorted(names)[:12])}"
-                self.wrong(
-                    self._field_at(v, name) or child.at(), f"{v.name()}: {what} has no field {name!r}", hint
+                self.add_mistake(
+                    self._field_at(vertex, name) or child.at(),
+                    f"{vertex.name()}: {what} has no field {name!r}",
+                    hint,
                 )
-                del v.fields[name]
+                del vertex.fields[name]
 
     @staticmethod
-    def _field_at(v: Vertex, name: str) -> At | None:
-        for one in v.said:
-            if isinstance(one.node, Record):
-                for f in one.node.fields:
+    def _field_at(vertex: Vertex, name: str) -> At | None:
+        for conjunct in vertex.conjuncts:
+            if isinstance(conjunct.node, Record):
+                for f in conjunct.node.fields:
                     if f.name == name:
                         return f.at
         return None
 
-    def _list(self, v: Vertex, node: ListOf, one: Said) -> None:
-        if v.value is not ANYTHING or v.is_record:
-            self._mixed(v, one)
+    def _apply_list(self, vertex: Vertex, node: ListOf, conjunct: Conjunct) -> None:
+        if vertex.value is not ANYTHING or vertex.is_record:
+            self._report_mixed_kinds(vertex, conjunct)
             return
-        if v.items is None:
-            v.items = []
-            v.declared["length"] = Allowed(any_name=True)
-        length = v.declared["length"]
+        if vertex.items is None:
+            vertex.items = []
+            vertex.declared["length"] = Allowed(any_name=True)
+        length = vertex.declared["length"]
         fixed = None if length.any_name else int(length.name)
         if not node.opened:
-            if fixed is not None and fixed != len(node.items) or len(node.items) < len(v.items):
-                self.wrong(
+            if fixed is not None and fixed != len(node.items) or len(node.items) < len(vertex.items):
+                self.add_mistake(
                     node.at,
-                    f"{v.name()}: lists of {len(node.items)} and {max(fixed or 0, len(v.items))} items",
+                    f"{vertex.name()}: lists of {len(node.items)} and "
+                    f"{max(fixed or 0, len(vertex.items))} items",
                 )
-                v.failed = True
+                vertex.failed = True
                 return
             length.any_name, length.name = False, str(len(node.items))
             fixed = len(node.items)
-        for i in range(max(len(node.items), len(v.items), fixed or 0)):
-            if i >= len(v.items):
+        for i in range(max(len(node.items), len(vertex.items), fixed or 0)):
+            if i >= len(vertex.items):
                 if fixed is not None and i >= fixed:
-                    self.wrong(node.at, f"{v.name()}: more than {fixed} items")
-                    v.failed = True
+                    self.add_mistake(node.at, f"{vertex.name()}: more than {fixed} items")
+                    vertex.failed = True
                     return
                 self.count += 1
-                if self.count > MOST_VERTICES:
-                    raise TooMuch(node.at)
-                v.items.append(Vertex((*v.path, str(i)), list(v.rests)))
+                if self.count > MAX_VERTICES:
+                    raise ResultTooLarge(node.at)
+                vertex.items.append(Vertex((*vertex.path, str(i)), list(vertex.rest_conjuncts)))
             if i < len(node.items):
-                v.items[i].said.append(Said(node.items[i], one.scope, one.group, one.through))
+                vertex.items[i].conjuncts.append(
+                    Conjunct(node.items[i], conjunct.scope, conjunct.group, conjunct.through)
+                )
             elif node.rest is not None:
-                v.items[i].said.append(Said(node.rest, one.scope, one.group, one.through))
+                vertex.items[i].conjuncts.append(
+                    Conjunct(node.rest, conjunct.scope, conjunct.group, conjunct.through)
+                )
         if node.rest is not None:
-            v.rests.append(Said(node.rest, one.scope, one.group, one.through))
+            vertex.rest_conjuncts.append(
+                Conjunct(node.rest, conjunct.scope, conjunct.group, conjunct.through)
+            )
 
     # ---- references ----------------------------------------------------------------------------------------
 
-    def _reference(self, v: Vertex, node: Ref, one: Said, queue: list[Said]) -> None:
-        bound_to = self._variable(node, one.scope)
-        if bound_to is not None:
-            self._meet(v, one, exactly(bound_to))
+    def _apply_reference(self, vertex: Vertex, node: Ref, conjunct: Conjunct, queue: list[Conjunct]) -> None:
+        variable_value = self._pattern_variable(node, conjunct.scope)
+        if variable_value is not None:
+            self._meet_value(vertex, conjunct, exact_value(variable_value))
             return
-        target = self._target(node, one.scope)
+        target = self._resolve(node, conjunct.scope)
         if target is None:
-            v.failed = True
+            vertex.failed = True
             return
-        if target is v or target.state == 1 and not node.path[-1].startswith("#"):
-            self.wrong(node.at, f"{target.name()} refers to itself")
-            v.failed = True
+        if target is vertex or target.state == 1 and not node.path[-1].startswith("#"):
+            self.add_mistake(node.at, f"{target.name()} refers to itself")
+            vertex.failed = True
             return
-        if target.path and target.path == v.path[: len(target.path)] and not v.optional:
-            self.wrong(
+        if target.path and target.path == vertex.path[: len(target.path)] and not vertex.optional:
+            self.add_mistake(
                 node.at, f"{target.name()} holds itself and never ends", "an optional field may, with '?'"
             )
-            v.failed = True
+            vertex.failed = True
             return
         definition = any(part.startswith("#") for part in node.path)
-        group = object() if definition else one.group
-        through = ".".join(node.path) if definition else one.through
+        group = object() if definition else conjunct.group
+        through = ".".join(node.path) if definition else conjunct.through
         queue += [
-            Said(s.node, s.scope, group if definition else s.group, through or s.through) for s in target.said
+            Conjunct(s.node, s.scope, group if definition else s.group, through or s.through)
+            for s in target.conjuncts
         ]
 
-    def _variable(self, node: Ref, scope: Scope | None) -> str | None:
+    def _pattern_variable(self, node: Ref, scope: Scope | None) -> str | None:
         while scope is not None:
             if scope.variable is not None and scope.variable[0] == node.path[0] and len(node.path) == 1:
                 return scope.variable[1]
@@ -328,7 +358,7 @@
             scope = scope.outer
         return None
 
-    def _target(self, node: Ref, scope: Scope | None) -> Vertex | None:
+    def _resolve(self, node: Ref, scope: Scope | None) -> Vertex | None:
         known: set[str] = set()
         while scope is not None:
             if node.path[0] in scope.names:
@@ -337,37 +367,37 @@
             scope = scope.outer
         if scope is None:
             near = difflib.get_close_matches(node.path[0], sorted(known), 1, 0.5)
-            self.wrong(
+            self.add_mistake(
                 node.at, f"nothing is called {node.path[0]!r} here", f"is {near[0]!r} meant?" if near else ""
             )
             return None
         target = scope.vertex
         for i, name in enumerate(node.path):
             if i:
-                self.work_out(target)
+                self.evaluate(target)
                 if target.failed:
                     return None
             found = target.fields.get(name)
             if found is None:
                 near = difflib.get_close_matches(name, sorted(target.fields), 1, 0.5)
                 hint = f"is {near[0]!r} meant?" if near else ""
-                self.wrong(node.at, f"{target.name()} has no field {name!r}", hint)
+                self.add_mistake(node.at, f"{target.name()} has no field {name!r}", hint)
                 return None
             target = found
         return target
 
     # ---- plain values --------------------------------------------------------------------------------------
 
-    def _plain(self, node: Node, scope: Scope | None) -> Value | None:
-        """The value of an expression that is no record, list or reference; None after a mistake."""
+    def _plain_value(self, node: Node, scope: Scope | None) -> Value | None:
+        """Returns the value of an expression other than record, list or reference; None after a mistake."""
         try:
             match node:
                 case Literal(exact=exact):
-                    return exactly(exact)
+                    return exact_value(exact)
                 case KindOf(kind=kind):
                     return of_kind(kind)
                 case Bound(operator=operator, of=of):
-                    inner = self._known(of, scope)
+                    inner = self._exact_operand(of, scope)
                     return None if inner is None else bound(operator, inner)
                 case Choice(parts=parts):
                     found = [(default, self._operand(part, scope)) for default, part in parts]
@@ -377,68 +407,72 @@
                 case Sum(parts=parts):
                     return self._sum(node, parts, scope)
                 case Text(parts=parts):
-                    return self._text(node, parts, scope)
-        except Clash as clash:
-            self.wrong(node.at, str(clash))
+                    return self._string_value(node, parts, scope)
+        except Conflict as conflict:
+            self.add_mistake(node.at, str(conflict))
             return None
-        self.wrong(node.at, "a choice is between plain values, not records or lists")
+        self.add_mistake(node.at, "a choice is between plain values, not records or lists")
         return None
 
     def _operand(self, node: Node, scope: Scope | None) -> Value | None:
-        """The value of an operand: references are worked out."""
+        """Returns the value of an operand, with references resolved, or None after a mistake."""
         if isinstance(node, (Ref, Both)):
-            v = Vertex(("a value",), [Said(node, scope)])
+            vertex = Vertex(("a value",), [Conjunct(node, scope)])
             self.count += 1
-            self.work_out(v)
-            if v.failed:
+            self.evaluate(vertex)
+            if vertex.failed:
                 return None
-            if v.is_record or v.items is not None:
-                self.wrong(node.at, "a plain value is meant here, not a record or list")
+            if vertex.is_record or vertex.items is not None:
+                self.add_mistake(node.at, "a plain value is meant here, not a record or list")
                 return None
-            return v.value
-        return self._plain(node, scope)
+            return vertex.value
+        return self._plain_value(node, scope)
 
-    def _known(self, node: Node, scope: Scope | None) -> Any:
-        """The exact value of an operand; None, with a mistake, where it has none."""
+    def _exact_operand(self, node: Node, scope: Scope | None) -> Any:
+        """Returns the exact value of an operand. Without one, records a mistake and returns None."""
         value = self._operand(node, scope)
         if value is None:
             return None
         exact = value.exact()
         if exact is None:
-            self.wrong(node.at, f"this has no one value, it is {value}")
+            self.add_mistake(node.at, f"this has no one value, it is {value}")
             return None
         return exact.exact
 
     def _sum(self, node: Node, parts: list[tuple[str, Node]], scope: Scope | None) -> Value | None:
         total: Quantity | None = None
         for operator, part in parts:
-            x = self._known(part, scope)
+            x = self._exact_operand(part, scope)
             if x is None:
                 return None
             if not isinstance(x, Quantity):
-                self.wrong(
+                self.add_mistake(
                     part.at, 'sums are for numbers and quantities; strings are put together as "\\(a)\\(b)"'
                 )
                 return None
             if total is None:
                 total = Quantity(-x.value, x.kind) if operator == "-" else x
                 continue
-            met = self._combined(part.at, operator, total, x)
+            met = self._combine(part.at, operator, total, x)
             if met is None:
                 return None
             total = met
-        return None if total is None else exactly(total)
+        return None if total is None else exact_value(total)
 
-    def _combined(self, at: At, operator: str, a: Quantity, b: Quantity) -> Quantity | None:
+    def _combine(self, at: At, operator: str, a: Quantity, b: Quantity) -> Quantity | None:
         bare = ("number", "any")
         if operator in "+-":
             if a.kind != b.kind and not (a.kind in bare and b.kind in bare):
-                self.wrong(at, f"{spelt(a)} {operator} {spelt(b)}: a {a.kind} and a {b.kind} cannot be added")
+                self.add_mistake(
+                    at,
+                    f"{format_quantity(a)} {operator} {format_quantity(b)}: "
+                    f"a {a.kind} and a {b.kind} cannot be added",
+                )
                 return None
             return Quantity(a.value + b.value if operator == "+" else a.value - b.value, a.kind)
         if operator == "/":
             if b.value == 0:
-                self.wrong(at, "division by zero")
+                self.add_mistake(at, "division by zero")
                 return None
             value = Fraction(a.value, b.value)
             if a.kind == b.kind:
@@ -449,89 +483,97 @@
                 return Quantity(value / 1000, "rate")
         else:
             value = a.value * b.value
-            for one, other in ((a, b), (b, a)):
-                if one.kind in bare or one.kind == "share":
-                    return Quantity(value, other.kind if other.kind not in bare else one.kind)
+            for left, right in ((a, b), (b, a)):
+                if left.kind in bare or left.kind == "share":
+                    return Quantity(value, right.kind if right.kind not in bare else left.kind)
             if {a.kind, b.kind} == {"rate", "duration"}:
                 return Quantity(value * 1000, "size")
-        self.wrong(at, f"{spelt(a)} {operator} {spelt(b)}: a {a.kind} and a {b.kind} make nothing known")
+        self.add_mistake(
+            at,
+            f"{format_quantity(a)} {operator} {format_quantity(b)}: "
+            f"a {a.kind} and a {b.kind} make nothing known",
+        )
         return None
 
-    def _text(self, node: Node, parts: list[Any], scope: Scope | None) -> Value | None:
+    def _string_value(self, node: Node, parts: list[Any], scope: Scope | None) -> Value | None:
         text = ""
         for part in parts:
             if isinstance(part, Node):
-                known = self._known(part, scope)
+                known = self._exact_operand(part, scope)
                 if known is None:
                     return None
                 part = (
                     known
                     if isinstance(known, str)
-                    else spelt(known)
+                    else format_quantity(known)
                     if isinstance(known, Quantity)
                     else str(known)
                 )
             text += part
-            if len(text) > MOST_TEXT:
-                self.wrong(node.at, f"this string is longer than {MOST_TEXT} characters")
+            if len(text) > MAX_STRING_CHARACTERS:
+                self.add_mistake(node.at, f"this string is longer than {MAX_STRING_CHARACTERS} characters")
                 return None
-        return exactly(text)
+        return exact_value(text)
 
     # ---- the result ----------------------------------------------------------------------------------------
 
-    def sound(self, v: Vertex, depth: int = 0) -> None:
-        """Works out a definition and all that it must hold, without asking for values."""
-        self.work_out(v)
-        if depth <= MOST_DEPTH and not v.failed:
-            for child in (*v.fields.values(), *(v.items or ())):
+    def check_definition(self, vertex: Vertex, depth: int = 0) -> None:
+        """Evaluates a definition and its required fields, without requiring exact values."""
+        self.evaluate(vertex)
+        if depth <= MAX_DEPTH and not vertex.failed:
+            for child in (*vertex.fields.values(), *(vertex.items or ())):
                 if not child.optional:
-                    self.sound(child, depth + 1)
+                    self.check_definition(child, depth + 1)
 
-    def result(self, v: Vertex, depth: int = 0, near: At | None = None) -> Any:
-        """Plain data: records without definitions, lists, and numbers in their kinds' own units. Optional
-        fields that nobody gave a value are left out; what has no one value is a mistake."""
-        self.work_out(v)
-        if v.failed:
+    def result(self, vertex: Vertex, depth: int = 0, near: At | None = None) -> Any:
+        """Returns plain data: records without definitions, lists, and numbers in base units.
+
+        Optional fields without a value are omitted. A required field without an exact value is a mistake.
+        """
+        self.evaluate(vertex)
+        if vertex.failed:
             return None
-        # What is missing is told where the nearest record stands that somebody wrote, not in the schema.
-        near = next((said.node.at for said in v.said if said.node.at.file != SCHEMA), near)
-        if depth > MOST_DEPTH:
-            self.wrong(near, f"{v.name()}: records within records never come to an end")
+        # Missing values are reported at the nearest enclosing record in the user's files, not in the schema.
+        near = next(
+            (conjunct.node.at for conjunct in vertex.conjuncts if conjunct.node.at.file != SCHEMA), near
+        )
+        if depth > MAX_DEPTH:
+            self.add_mistake(near, f"{vertex.name()}: records within records never come to an end")
             return None
-        if v.items is not None:
-            return [self.result(item, depth + 1, near) for item in v.items]
-        if v.is_record:
-            made = {}
-            for name, child in v.fields.items():
+        if vertex.items is not None:
+            return [self.result(item, depth + 1, near) for item in vertex.items]
+        if vertex.is_record:
+            fields = {}
+            for name, child in vertex.fields.items():
                 if name.startswith("#") or child.optional:
                     continue
-                made[name] = self.result(child, depth + 1, near)
-            return made
-        exact = v.value.exact()
+                fields[name] = self.result(child, depth + 1, near)
+            return fields
+        exact = vertex.value.exact()
         if exact is None:
-            self.wrong(near, f"{v.name()} is not given; it is {v.value}", absent=True)
+            self.add_mistake(near, f"{vertex.name()} is not given; it is {vertex.value}", absent=True)
             return None
         return plain_data(exact.exact)
 
-    def walk(self, v: Vertex) -> Iterator[Vertex]:
-        """All vertices that have a place in the result."""
-        self.work_out(v)
-        yield v
+    def walk(self, vertex: Vertex) -> Iterator[Vertex]:
+        """Yields all vertices that are part of the result."""
+        self.evaluate(vertex)
+        yield vertex
         children = (
-            v.items
-            if v.items is not None
-            else [c for n, c in v.fields.items() if not n.startswith("#") and not c.optional]
+            vertex.items
+            if vertex.items is not None
+            else [c for n, c in vertex.fields.items() if not n.startswith("#") and not c.optional]
         )
         for child in children:
             yield from self.walk(child)
 
 
-class TooMuch(Exception):
-    """A result with more places than are allowed."""
+class ResultTooLarge(Exception):
+    """Raised when a result has more than `MAX_VERTICES` vertices."""
 
     def __init__(self, at: At) -> None:
         super().__init__(str(at))
-        self.mistake = Mistake(at, f"this expands to more than {MOST_VERTICES} places")
+        self.mistake = Mistake(at, f"this expands to more than {MAX_VERTICES} places")
 
 
 def plain_data(exact: Any) -> Any:
--- a/ledgehitch/config/explain.py
+++ b/ledgehitch/config/explain.py
@@ -1,4 +1,4 @@
-"""Where a value comes from, and the reference of all fields. Free of I/O."""
+"""Explains where a value comes from, and generates the reference page of all fields. Free of I/O."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -9,36 +9,36 @@
 from ledgehitch.config.syntax import Both, Field, ListOf, Node, Record, Ref
 
 
-def found(e: Evaluation, body: Vertex, path: list[str]) -> Vertex | None:
-    """The vertex at a path of the result."""
-    v = body
+def find_vertex(evaluation: Evaluation, body: Vertex, path: list[str]) -> Vertex | None:
+    """Returns the vertex at a path of the result, or None if there is none."""
+    vertex = body
     for name in path:
-        e.work_out(v)
-        if v.items is not None and name.isdigit() and int(name) < len(v.items):
-            v = v.items[int(name)]
-        elif name in v.fields:
-            v = v.fields[name]
+        evaluation.evaluate(vertex)
+        if vertex.items is not None and name.isdigit() and int(name) < len(vertex.items):
+            vertex = vertex.items[int(name)]
+        elif name in vertex.fields:
+            vertex = vertex.fields[name]
         else:
             return None
-    return e.work_out(v)
+    return evaluation.evaluate(vertex)
 
 
-def origins(v: Vertex) -> Iterator[tuple[str, str, str]]:
-    """Where, what, and through which definition or pattern: all that is said of a place, in reading order."""
-    if v.origins:
-        for at, what, through in v.origins:
+def origins(vertex: Vertex) -> Iterator[tuple[str, str, str]]:
+    """Yields position, value and source definition or pattern of each statement on a vertex, in order."""
+    if vertex.origins:
+        for at, what, through in vertex.origins:
             yield str(at), what, through
         return
-    for said in v.said:
-        yield str(said.node.at), _short(said.node), said.through
+    for conjunct in vertex.conjuncts:
+        yield str(conjunct.node.at), _summary(conjunct.node), conjunct.through
 
 
-def _short(node: Node) -> str:
+def _summary(node: Node) -> str:
     match node:
         case Ref(path=path):
             return ".".join(path)
         case Both(parts=parts):
-            return " & ".join(_short(p) for p in parts)
+            return " & ".join(_summary(p) for p in parts)
         case Record(fields=fields):
             return "{ " + ", ".join(f.name for f in fields[:6]) + (", ... }" if len(fields) > 6 else " }")
         case ListOf():
@@ -47,49 +47,49 @@
 
 
 def reference() -> str:
-    """The page of every field with kind, unit and default, made from the schema."""
+    """Returns the reference page of all fields with kind, unit and default, generated from the schema."""
     lines = [
         "# Reference of the configuration language's fields",
         "",
         "Made by `ledgehitch config reference` from the schema; not written by hand.",
         "",
     ]
-    e = Evaluation()
-    top = e.root([schema()])
-    e.work_out(top)
+    evaluation = Evaluation()
+    top = evaluation.root([schema()])
+    evaluation.evaluate(top)
     for f in schema().fields:
         if not isinstance(f.value, Record):
             continue
         lines += [f"## `{f.name}`", "", "| field | what it is | default |", "| --- | --- | --- |"]
         for member in f.value.fields:
-            default, text = _described(e, top, member)
-            need = "" if not member.optional else ", may be left out"
-            lines.append(f"| `{member.name}` | {text}{need} | {default} |")
+            default, text = _describe_field(evaluation, top, member)
+            optional_note = "" if not member.optional else ", may be left out"
+            lines.append(f"| `{member.name}` | {text}{optional_note} | {default} |")
         lines.append("")
     return "\n".join(lines)
 
 
-def _described(e: Evaluation, top: Vertex, member: Field) -> tuple[str, str]:
+def _describe_field(evaluation: Evaluation, top: Vertex, member: Field) -> tuple[str, str]:
     node: Any = member.value
     if isinstance(node, Record) and node.patterns:
-        return "", f"records by name, each: {_short(node.patterns[0].value)}"
+        return "", f"records by name, each: {_summary(node.patterns[0].value)}"
     if isinstance(node, ListOf):
-        return "empty", f"list of {_short(node.rest) if node.rest is not None else 'values'}"
+        return "empty", f"list of {_summary(node.rest) if node.rest is not None else 'values'}"
     if isinstance(node, (Ref, Record)):
-        return "", _short(node)
+        return "", _summary(node)
     vertex = Vertex(("field",))
-    from ledgehitch.config.evaluate import Said
+    from ledgehitch.config.evaluate import Conjunct
 
-    vertex.said.append(Said(node, None))
-    e.work_out(vertex)
+    vertex.conjuncts.append(Conjunct(node, None))
+    evaluation.evaluate(vertex)
     value = vertex.value
     exact = value.exact()
     default = str(exact) if exact is not None and value.defaults else ""
-    kinds = sorted({a.kind for a in value.alts})
+    kinds = sorted({a.kind for a in value.alternatives})
     unit = f" ({EXAMPLES[kinds[0]]})" if len(kinds) == 1 and kinds[0] in EXAMPLES else ""
-    shown = " or ".join(
-        dict.fromkeys(str(a) for a in value.alts if len(value.alts) == 1 or str(a) != default)
+    allowed = " or ".join(
+        dict.fromkeys(str(a) for a in value.alternatives if len(value.alternatives) == 1 or str(a) != default)
     )
-    if not shown or all(a.is_exact for a in value.alts):
-        shown = " or ".join(str(a) for a in value.alts)
-    return default, f"{kinds[0] if len(kinds) == 1 else ''} {shown}{unit}".strip()
+    if not allowed or all(a.is_exact for a in value.alternatives):
+        allowed = " or ".join(str(a) for a in value.alternatives)
+    return default, f"{kinds[0] if len(kinds) == 1 else ''} {allowed}{unit}".strip()
--- a/ledgehitch/config/layout.py
+++ b/ledgehitch/config/layout.py
@@ -1,12 +1,12 @@
-"""The formatter: the same tokens and comments, laid out in one way. Free of I/O.
+"""Formatter of the configuration language. Free of I/O.
 
-Line breaks between fields stay where the author put them, at most one empty line together; indentation,
-spaces and the ends of lines are ours. Nothing is left out, added or moved, so the meaning cannot change.
+Line breaks between fields stay, with at most one empty line in a row. The formatter decides on indentation,
+spaces and line ends. It does not remove, add or move tokens or comments, so the meaning cannot change.
 """
 
 from lark.exceptions import UnexpectedInput
 
-from ledgehitch.config.syntax import At, Malformed, Mistake, read, tokens
+from ledgehitch.config.syntax import At, Malformed, Mistake, parse_text, tokens
 
 OPENING, CLOSING = {"LBRACE", "LSQB", "LPAR"}, {"RBRACE", "RSQB", "RPAR"}
 ENDS_OPERAND = {"NAME", "DEFINITION", "STRING", "NUMBER", "QUANTITY", "KIND", "CONSTANT", *CLOSING}
@@ -15,28 +15,28 @@
 
 
 def format_text(text: str, name: str = "text") -> str:
-    """The text in its one layout; raises `Malformed` where it does not parse."""
+    """Returns the formatted text. Raises `Malformed` if it does not parse."""
     if not name.endswith(".json"):
-        _, mistakes = read(text, name)
+        _, mistakes = parse_text(text, name)
         if mistakes:
             raise Malformed(mistakes[0])
     lines: list[str] = []
     line: list[str] = []
     depth = line_depth = 0
-    before = ""
+    previous_kind = ""
     unary = False
     try:
-        found = list(tokens(text))
-    except UnexpectedInput as wrong:
-        raise Malformed(Mistake(At(name, wrong.line, wrong.column), "this does not parse")) from None
+        all_tokens = list(tokens(text))
+    except UnexpectedInput as error:
+        raise Malformed(Mistake(At(name, error.line, error.column), "this does not parse")) from None
 
     def flush() -> None:
-        nonlocal line, before
+        nonlocal line, previous_kind
         if line:
             lines.append("\t" * line_depth + "".join(line).rstrip())
-        line, before = [], ""
+        line, previous_kind = [], ""
 
-    for token in found:
+    for token in all_tokens:
         kind = token.type
         if kind == "WS":
             breaks = str(token).count("\n")
@@ -49,13 +49,13 @@
             depth = max(0, depth - 1)
         if not line:
             line_depth = depth
-        if line and _spaced(before, kind, unary):
+        if line and _needs_space(previous_kind, kind, unary):
             line.append(" ")
-        unary = kind in ("SIGN", "MINUS", "DEFAULT", "TIMES") and before not in ENDS_OPERAND
+        unary = kind in ("SIGN", "MINUS", "DEFAULT", "TIMES") and previous_kind not in ENDS_OPERAND
         line.append(str(token).rstrip())
         if kind in OPENING:
             depth += 1
-        before = kind
+        previous_kind = kind
     flush()
     while lines and not lines[-1]:
         lines.pop()
@@ -64,9 +64,9 @@
     return "\n".join(lines) + "\n" if lines else ""
 
 
-def _spaced(before: str, kind: str, unary: bool) -> bool:
-    if kind in TIGHT_BEFORE or before in TIGHT_AFTER or unary:
+def _needs_space(previous_kind: str, kind: str, unary: bool) -> bool:
+    if kind in TIGHT_BEFORE or previous_kind in TIGHT_AFTER or unary:
         return False
-    if before == "LBRACE" and kind == "RBRACE":
+    if previous_kind == "LBRACE" and kind == "RBRACE":
         return False
-    return not (before == "__ANON_0" and kind not in ("RBRACE",))
+    return not (previous_kind == "__ANON_0" and kind not in ("RBRACE",))
--- a/ledgehitch/config/load.py
+++ b/ledgehitch/config/load.py
@@ -1,6 +1,7 @@
-"""Files of the language into one result: includes, limits, the schema, and the site that it comes to.
+"""Loads files of the configuration language: includes, limits, schema check and the resulting site.
 
-Reads files and nothing else. Includes are relative to the file, never outside the folder of the first one.
+The only I/O is reading files. Includes are relative to the including file and must lie in the first file's
+directory.
 """
 
 import os
@@ -13,21 +14,31 @@
 import msgspec
 from blake3 import blake3
 
-from ledgehitch.config.evaluate import Evaluation, TooMuch, Vertex
+from ledgehitch.config.evaluate import Evaluation, ResultTooLarge, Vertex
 from ledgehitch.config.read import BadInput
 from ledgehitch.config.site import Site, check
-from ledgehitch.config.syntax import MOST_BYTES, SCHEMA, At, Include, Mistake, Node, Record, Ref, read
-
-MOST_FILES = 500
-MOST_TOTAL = 16 << 20  # bytes of all files together
+from ledgehitch.config.syntax import (
+    MAX_FILE_BYTES,
+    SCHEMA,
+    At,
+    Include,
+    Mistake,
+    Node,
+    Record,
+    Ref,
+    parse_text,
+)
+
+MAX_FILES = 500
+MAX_TOTAL_BYTES = 16 << 20  # of all files together
 
 
 @dataclass
 class Loaded:
-    """What files come to. With mistakes, `data` and `site` are not to be used."""
+    """The result of loading files. If there are mistakes, `data` and `site` must not be used."""
 
     root: Path
-    texts: dict[str, str] = field(default_factory=dict)  # by name, for showing lines
+    texts: dict[str, str] = field(default_factory=dict)  # by file name, for messages that show a line
     mistakes: list[Mistake] = field(default_factory=list)
     data: Any = None
     site: Site | None = None
@@ -53,7 +64,7 @@
 @lru_cache(maxsize=1)
 def schema() -> Record:
     text = files("ledgehitch.config").joinpath("schema.lh").read_text("utf-8")
-    record, mistakes = read(text, SCHEMA)
+    record, mistakes = parse_text(text, SCHEMA)
     assert not mistakes, mistakes
     return record
 
@@ -62,43 +73,43 @@
     def __init__(self, loaded: Loaded) -> None:
         self.loaded = loaded
         self.records: list[Record] = []
-        self.done: set[Path] = set()
-        self.total = 0
+        self.visited: set[Path] = set()
+        self.total_bytes = 0
 
-    def wrong(self, at: At, reason: str, hint: str = "") -> None:
+    def add_mistake(self, at: At, reason: str, hint: str = "") -> None:
         self.loaded.mistakes.append(Mistake(at, reason, hint))
 
-    def file(self, path: Path, at: At | None, chain: list[Path]) -> None:
-        """Reads one file and what it includes; `chain` is how it was come to."""
-        name = self.name(path)
+    def read_file(self, path: Path, at: At | None, chain: list[Path]) -> None:
+        """Reads one file and its includes. `chain` holds the including files, first to last."""
+        name = self.display_name(path)
         at = at or At(name, 1, 1)
-        real = path.resolve()
-        if real in [p.resolve() for p in chain]:
-            loop = " -> ".join(self.name(p) for p in [*chain, path])
-            self.wrong(at, f"files include one another in a loop: {loop}")
+        resolved = path.resolve()
+        if resolved in [p.resolve() for p in chain]:
+            loop = " -> ".join(self.display_name(p) for p in [*chain, path])
+            self.add_mistake(at, f"files include one another in a loop: {loop}")
             return
-        if not real.is_relative_to(self.loaded.root):
-            self.wrong(at, f"{name} lies outside {self.loaded.root.name}/, where the first file is")
+        if not resolved.is_relative_to(self.loaded.root):
+            self.add_mistake(at, f"{name} lies outside {self.loaded.root.name}/, where the first file is")
             return
-        if real in self.done:
+        if resolved in self.visited:
             return
-        self.done.add(real)
-        if len(self.done) > MOST_FILES:
-            self.wrong(at, f"more than {MOST_FILES} files")
+        self.visited.add(resolved)
+        if len(self.visited) > MAX_FILES:
+            self.add_mistake(at, f"more than {MAX_FILES} files")
             return
-        text = self.text(path, name, at)
+        text = self.read_text(path, name, at)
         if text is None:
             return
         self.loaded.texts[name] = text
-        record, mistakes = read(text, name)
+        record, mistakes = parse_text(text, name)
         self.loaded.mistakes += mistakes
         self.records.append(record)
         for include in record.includes:
-            self.include(path, include, [*chain, path])
+            self.read_include(path, include, [*chain, path])
 
-    def include(self, path: Path, include: Include, chain: list[Path]) -> None:
+    def read_include(self, path: Path, include: Include, chain: list[Path]) -> None:
         if os.path.isabs(include.files) or not include.files:
-            self.wrong(include.at, "an include names files relative to its own file")
+            self.add_mistake(include.at, "an include names files relative to its own file")
             return
         found = (
             sorted(path.parent.glob(include.files))
@@ -106,23 +117,23 @@
             else [path.parent / include.files]
         )
         if not found:
-            self.wrong(include.at, f"no file is called {include.files!r}")
-        for one in found:
-            self.file(one, include.at, chain)
+            self.add_mistake(include.at, f"no file is called {include.files!r}")
+        for included in found:
+            self.read_file(included, include.at, chain)
 
-    def text(self, path: Path, name: str, at: At) -> str | None:
+    def read_text(self, path: Path, name: str, at: At) -> str | None:
         try:
             for _ in range(3):
                 before = os.stat(path)
-                if before.st_size > MOST_BYTES:
-                    self.wrong(
-                        at, f"{name} has {before.st_size} bytes, a file may have {MOST_BYTES}; split it"
+                if before.st_size > MAX_FILE_BYTES:
+                    self.add_mistake(
+                        at, f"{name} has {before.st_size} bytes, a file may have {MAX_FILE_BYTES}; split it"
                     )
                     return None
                 with open(path, "rb") as file:
-                    data = file.read(MOST_BYTES + 1)
+                    data = file.read(MAX_FILE_BYTES + 1)
                 after = os.stat(path)
-                # Guards against half of an old and half of a new file, swapped while it was read.
+                # A file replaced during the read could give half of the old and half of the new content.
                 if (before.st_ino, before.st_mtime_ns, before.st_size, len(data)) == (
                     after.st_ino,
                     after.st_mtime_ns,
@@ -131,23 +142,23 @@
                 ):
                     break
             else:
-                self.wrong(at, f"{name} changes while it is read")
+                self.add_mistake(at, f"{name} changes while it is read")
                 return None
-        except OSError as problem:
-            self.wrong(at, f"{name} cannot be read: {problem.strerror}")
+        except OSError as error:
+            self.add_mistake(at, f"{name} cannot be read: {error.strerror}")
             return None
-        self.total += len(data)
-        if self.total > MOST_TOTAL:
-            self.wrong(at, f"all files together have more than {MOST_TOTAL} bytes")
+        self.total_bytes += len(data)
+        if self.total_bytes > MAX_TOTAL_BYTES:
+            self.add_mistake(at, f"all files together have more than {MAX_TOTAL_BYTES} bytes")
             return None
         try:
             return data.decode("utf-8")
-        except UnicodeDecodeError as wrong:
-            line = data.count(b"\n", 0, wrong.start) + 1
-            self.wrong(At(name, line, 1), f"byte {wrong.start} is not UTF-8")
+        except UnicodeDecodeError as error:
+            line = data.count(b"\n", 0, error.start) + 1
+            self.add_mistake(At(name, line, 1), f"byte {error.start} is not UTF-8")
             return None
 
-    def name(self, path: Path) -> str:
+    def display_name(self, path: Path) -> str:
         absolute = Path(os.path.abspath(path))
         return (
             str(absolute.relative_to(self.loaded.root))
@@ -157,10 +168,10 @@
 
 
 def load(path: Path, kind: str = "#Site") -> Loaded:
-    """All that a file and its includes come to, checked against the schema's `kind`."""
+    """Loads a file and its includes and checks them against the definition `kind` of the schema."""
     loaded = Loaded(path.parent.resolve())
     reader = _Reader(loaded)
-    reader.file(path, None, [])
+    reader.read_file(path, None, [])
     if not reader.records:
         return loaded
     evaluate(loaded, reader.records, kind)
@@ -168,10 +179,10 @@
 
 
 def load_text(text: str, name: str = "text", kind: str = "#Site") -> Loaded:
-    """The same of one text without includes."""
+    """Loads one text without includes and checks it against the definition `kind` of the schema."""
     loaded = Loaded(Path("/"))
     loaded.texts[name] = text
-    record, loaded.mistakes = read(text, name)
+    record, loaded.mistakes = parse_text(text, name)
     for include in record.includes:
         loaded.mistakes.append(Mistake(include.at, "a text that is no file cannot include others"))
     evaluate(loaded, [record], kind)
@@ -179,50 +190,50 @@
 
 
 def evaluate(loaded: Loaded, records: list[Record], kind: str) -> None:
-    e = loaded.evaluation
-    e.partial = bool(loaded.mistakes)
-    used: list[Node] = [Ref(At(SCHEMA, 1, 1), [kind])] if kind else []
+    evaluation = loaded.evaluation
+    evaluation.partial = bool(loaded.mistakes)
+    kind_references: list[Node] = [Ref(At(SCHEMA, 1, 1), [kind])] if kind else []
     try:
-        top = e.root([*records, *([schema()] if kind else [])])
-        # Names of the schema are seen by all files; the result itself is of its kind.
-        for said in top.said:
-            assert said.scope is not None
+        top = evaluation.root([*records, *([schema()] if kind else [])])
+        # All files can use the names of the schema. The result itself is unified with its kind.
+        for conjunct in top.conjuncts:
+            assert conjunct.scope is not None
         body = Vertex(())
-        scope = top.said[0].scope
+        scope = top.conjuncts[0].scope
         for record in records:
             fields = [f for f in record.fields if not f.name.startswith("#")]
             part = Record(record.at, fields, record.patterns, [], record.opened)
-            body.said.append(_said(part, scope))
-        for node in used:
-            body.said.append(_said(node, scope, kind))
-        e.work_out(top)
+            body.conjuncts.append(_conjunct(part, scope))
+        for node in kind_references:
+            body.conjuncts.append(_conjunct(node, scope, kind))
+        evaluation.evaluate(top)
         for name, vertex in top.fields.items():
-            if name.startswith("#") and not _of_schema(vertex):
-                e.sound(vertex)
+            if name.startswith("#") and not _is_from_schema(vertex):
+                evaluation.check_definition(vertex)
         loaded.vertex = body
-        if not e.mistakes:
-            loaded.data = e.result(body)
-    except TooMuch as much:
-        e.mistakes.append(much.mistake)
-    loaded.mistakes += e.mistakes
+        if not evaluation.mistakes:
+            loaded.data = evaluation.result(body)
+    except ResultTooLarge as error:
+        evaluation.mistakes.append(error.mistake)
+    loaded.mistakes += evaluation.mistakes
     if not loaded.mistakes and kind == "#Site":
-        from ledgehitch.config.compiled import compiled
+        from ledgehitch.config.compiled import compile_site
 
-        compiled(loaded)
+        compile_site(loaded)
 
 
-def _said(node: Node, scope: Any, through: str = "") -> Any:
-    from ledgehitch.config.evaluate import Said
+def _conjunct(node: Node, scope: Any, through: str = "") -> Any:
+    from ledgehitch.config.evaluate import Conjunct
 
-    return Said(node, scope, None, through)
+    return Conjunct(node, scope, None, through)
 
 
-def _of_schema(vertex: Vertex) -> bool:
-    return all(s.node.at.file == SCHEMA for s in vertex.said)
+def _is_from_schema(vertex: Vertex) -> bool:
+    return all(s.node.at.file == SCHEMA for s in vertex.conjuncts)
 
 
 def read_site_text(path: Path) -> Site:
-    """A site in the language; raises `BadInput` with all mistakes."""
+    """Reads a site in the configuration language. Raises `BadInput` with all mistakes."""
     loaded = load(path)
     if loaded.mistakes or loaded.site is None:
         raise BadInput("\n".join(m.describe() for m in loaded.mistakes) or f"{path}: nothing there")
--- a/ledgehitch/config/quantities.py
+++ b/ledgehitch/config/quantities.py
@@ -1,6 +1,6 @@
-"""Numbers with kinds and units: durations, rates, sizes, shares. Exact, free of I/O.
+"""Exact numbers with kinds and units: durations, rates, sizes, shares. Free of I/O.
 
-A quantity is kept in its kind's own unit: seconds, kilobytes a second, bytes, parts of one.
+A quantity is stored in the base unit of its kind: seconds, kilobytes per second, bytes, fractions of one.
 """
 
 from dataclasses import dataclass
@@ -35,46 +35,49 @@
     },
     "share": {"%": Fraction(1, 100)},
 }
-OWN = {
+BASE_UNITS = {
     "duration": "s",
     "rate": "kB/s",
     "size": "B",
     "share": "",
-}  # the unit that a bare canonical number is in
+}  # unit of the plain numbers in the result
 EXAMPLES = {"duration": "800ms, 3s, 2min", "rate": "450kB/s, 3MB/s", "size": "64kB, 16MiB", "share": "95%"}
 KIND_OF = {unit: kind for kind, units in UNITS.items() for unit in units}
-LARGEST = Fraction(10**18)
-MOST_DIGITS = 40
+MAX_MAGNITUDE = Fraction(10**18)
+MAX_DIGITS = 40
 
 
 class BadNumber(ValueError):
-    """A number that cannot be read; the text says why in plain words."""
+    """Raised for a number that cannot be parsed. The text says why."""
 
 
 @dataclass(frozen=True)
 class Quantity:
-    """A number of a kind: "number" is bare, "any" stands for a bare number of JSON that takes any kind."""
+    """A number of a kind. "number" has no unit; "any" is a bare number from JSON, which takes any kind."""
 
     value: Fraction
     kind: str = "number"
 
     def __str__(self) -> str:
-        return spelt(self)
+        return format_quantity(self)
 
 
-def number(text: str) -> Fraction:
-    """The exact value of a decimal, or `BadNumber` for one that is out of all bounds."""
+def parse_number(text: str) -> Fraction:
+    """Returns the exact value of a decimal. Raises `BadNumber` if it has too many digits or is too large."""
     mantissa, _, exponent = text.lower().partition("e")
-    if len(mantissa) > MOST_DIGITS or len(exponent) > 5 or abs(int(exponent or 0)) > 30:
+    if len(mantissa) > MAX_DIGITS or len(exponent) > 5 or abs(int(exponent or 0)) > 30:
         raise BadNumber(f"{text[:20]} is larger or finer than any number here may be")
     value = Fraction(text)
-    if abs(value) > LARGEST:
+    if abs(value) > MAX_MAGNITUDE:
         raise BadNumber(f"{text[:20]} is larger than any number here may be")
     return value
 
 
-def quantity(text: str) -> Quantity:
-    """Reads `800ms`, `450kB/s`, `95%`; names what is wrong with `3sec` or `1h30min`."""
+def parse_quantity(text: str) -> Quantity:
+    """Parses a quantity such as `800ms`, `450kB/s` or `95%`.
+
+    Raises `BadNumber`, which names what is wrong, for instance with `3sec` or `1h30min`.
+    """
     end = 0
     while end < len(text) and (text[end].isdigit() or text[end] == "."):
         end += 1
@@ -89,37 +92,37 @@
         kinds = "; ".join(f"{kind} {', '.join(units)}" for kind, units in UNITS.items())
         raise BadNumber(f"{unit!r} is no unit; units are: {kinds}")
     kind = KIND_OF[unit]
-    return Quantity(number(text[:end]) * UNITS[kind][unit], kind)
-
-
-def spelt(q: Quantity) -> str:
-    """How a person writes it: the largest unit that leaves a short decimal."""
-    if q.kind in ("number", "any"):
-        return plain(q.value)
-    if q.kind == "share":
-        return plain(q.value * 100) + "%"
-    if q.value == 0:
-        return "0" + OWN[q.kind]
-    best = ""
-    for unit, worth in UNITS[q.kind].items():
-        text = plain(q.value / worth) + unit
+    return Quantity(parse_number(text[:end]) * UNITS[kind][unit], kind)
+
+
+def format_quantity(quantity: Quantity) -> str:
+    """Returns the quantity as text, in the largest unit that gives a short decimal."""
+    if quantity.kind in ("number", "any"):
+        return format_decimal(quantity.value)
+    if quantity.kind == "share":
+        return format_decimal(quantity.value * 100) + "%"
+    if quantity.value == 0:
+        return "0" + BASE_UNITS[quantity.kind]
+    shortest = ""
+    for unit, factor in UNITS[quantity.kind].items():
+        text = format_decimal(quantity.value / factor) + unit
         if "bit" in unit or unit.endswith("iB"):
             continue
-        if not best or len(text) <= len(best) and abs(q.value) >= worth:
-            best = text
-    return best
+        if not shortest or len(text) <= len(shortest) and abs(quantity.value) >= factor:
+            shortest = text
+    return shortest
 
 
-def plain(value: Fraction) -> str:
-    """A decimal without exponent; a fraction that has none is rounded to nine places."""
+def format_decimal(value: Fraction) -> str:
+    """Returns a decimal without exponent. A fraction with no finite decimal is rounded to nine places."""
     if value.denominator == 1:
         return str(value.numerator)
     text = f"{float(value):.9f}".rstrip("0").rstrip(".")
     return text if text not in ("0", "-0") else f"{float(value):g}"
 
 
-def wanted(kind: str, found: Quantity) -> str:
-    """Why `found` is not of the kind that is due."""
+def explain_wrong_kind(kind: str, found: Quantity) -> str:
+    """Returns why `found` is not of the expected kind."""
     if found.kind == "number":
-        return f"{plain(found.value)} has no unit; a {kind} is meant, as {EXAMPLES[kind]}"
-    return f"{spelt(found)} is a {found.kind}; a {kind} is meant, as {EXAMPLES[kind]}"
+        return f"{format_decimal(found.value)} has no unit; a {kind} is meant, as {EXAMPLES[kind]}"
+    return f"{format_quantity(found)} is a {found.kind}; a {kind} is meant, as {EXAMPLES[kind]}"
--- a/ledgehitch/config/site.py
+++ b/ledgehitch/config/site.py
@@ -1,7 +1,7 @@
 """The site file: ladder, packages, fleet, terms, titles, gateways and media hosts of one installation.
 
-Times are seconds, rates kilobytes a second, shares parts of one. `facts_of` derives what the decision module
-is told; the records themselves are not kept by it.
+Times are in seconds, rates in kilobytes per second, shares are fractions of one. `facts_of` derives the
+settings of the decision module, which does not store the records themselves.
 """
 
 from collections.abc import Iterator, Sequence
@@ -48,7 +48,7 @@
 class FleetRecord(Record, kw_only=True, frozen=True):
     cells: Count
     racks: Count
-    rack_names: list[str] = []  # for people, by number; without one it is rack-N
+    rack_names: list[str] = []  # display names by number; the default is rack-N
     link_unit_kb: Amount
     uplink_kb: Amount
     slots: dict[str, Annotated[int, msgspec.Meta(ge=1)]]
@@ -59,7 +59,7 @@
 
 
 class TermsRecord(Record, kw_only=True, frozen=True):
-    """The six rules' figures and what is allowed."""
+    """Parameters of the six decision rules, and which optional actions are allowed."""
 
     tune_ins: Annotated[int, msgspec.Meta(ge=1)] = 3
     answer_slack: Amount = 0.25
@@ -79,7 +79,7 @@
 
 
 class Title(Record, kw_only=True, frozen=True):
-    """Held by `spread` cells in a row from cell `first`, modulo the fleet's cells."""
+    """Placement of a title: `spread` consecutive cells from cell `first`, modulo the number of cells."""
 
     first: Count
     spread: Annotated[int, msgspec.Meta(ge=1)]
@@ -89,25 +89,28 @@
     name: Name
     at: str
     zone: str = ""
-    peer_at: str = ""  # where it hears other gateways
-    peer_via: str = ""  # where others send to reach it, if not there
+    peer_at: str = ""  # address where it receives messages of other gateways
+    peer_via: str = ""  # address that others send to, if it differs from peer_at
     rack: str = ""  # for the order of restarts
-    admin_via: str = ""  # where other gateways call it; empty: admin_at, or their own state directory
-    admin_at: str = ""  # where operators call it from other machines, over TLS; empty: its Unix socket alone
-    members_at: str = ""  # where it hears whether others are there; empty: it takes no part in membership
-    members_via: str = ""  # where others send to reach it, if not there
-    reports_at: str = ""  # where `ledgehitch reports` takes players' reports; empty: the gateway does
-    gone: bool = False  # for good: an operator vouches that it does not run; its number stays taken
+    admin_via: str = ""  # address for calls of other gateways; empty: admin_at, or their own state directory
+    admin_at: str = ""  # address for operators on other machines, over TLS; empty: its Unix socket only
+    members_at: str = ""  # address for membership messages; empty: it takes no part in membership
+    members_via: str = ""  # address that others send to, if it differs from members_at
+    reports_at: str = ""  # address of `ledgehitch reports` for players' reports; empty: the gateway's own
+    gone: bool = False  # permanently: the operator guarantees that it does not run; its number stays reserved
 
 
 class RegionRecord(Record, kw_only=True, frozen=True):
-    """Zones that may be cut off from the others together. Stated shares are of the whole of each of the
-    fleet's budgets; without one it goes by the number of gateways."""
+    """Zones that may be partitioned from the others together.
+
+    `share` is the fraction of each of the fleet's budgets. Without shares, it follows from the numbers of
+    gateways.
+    """
 
     name: Name
     zones: list[str]
     share: Annotated[float, msgspec.Meta(gt=0, le=1)] | None = None
-    gone: bool = False  # as a whole: an operator vouches that none of its gateways runs
+    gone: bool = False  # as a whole: the operator guarantees that none of its gateways runs
 
 
 class HostRecord(Record, kw_only=True, frozen=True):
@@ -120,29 +123,32 @@
 
 
 class DoorRecord(Record, kw_only=True, frozen=True):
-    """Whether and how clients are let in fairly; `order`: what names a client, the first known counts."""
+    """Admission control by client. `order`: what identifies a client; the first one available counts."""
 
     on: bool = False
     order: tuple[Literal["token", "certificate", "address"], ...] = ("token", "certificate", "address")
-    client_rate: Amount = 0.0  # offers a second of one client at one gateway; 0: no limit
-    client_burst: Annotated[float, msgspec.Meta(ge=1)] = 20.0  # offers of one client that may come at once
-    package_rates: dict[Name, Positive] = {}  # offers a second of a package, of the whole fleet
-    set_ups: Amount = 0.0  # at once, of the whole fleet; 0: only what each gateway finds out itself
+    client_rate: Amount = 0.0  # offers per second of one client at one gateway; 0: no limit
+    client_burst: Annotated[float, msgspec.Meta(ge=1)] = 20.0  # offers in one burst of a client
+    package_rates: dict[Name, Positive] = {}  # offers per second of a package in the whole fleet
+    set_ups: Amount = (
+        0.0  # concurrent in the whole fleet; 0: only the limit that each gateway estimates itself
+    )
 
 
 class OwnersRecord(Record, kw_only=True, frozen=True):
-    """Work for the whole fleet that one gateway at a time does. Times are seconds."""
+    """Fleet-wide duties, each of which one gateway at a time owns. Times are in seconds."""
 
     lease: Annotated[float, msgspec.Meta(ge=0.5, le=600)] = 10.0  # of a duty's owner
-    verdicts_to: str = ""  # HOST:PORT that takes the fleet's verdicts; empty: nobody does
+    verdicts_to: str = ""  # HOST:PORT that receives the fleet's verdicts; empty: they are not sent
     verdicts_every: Annotated[float, msgspec.Meta(ge=0.5)] = 60.0
 
 
 class BudgetsRecord(Record, kw_only=True, frozen=True):
-    """How the limits of the whole fleet (`door.package_rates`, `door.set_ups`) are divided among gateways
-    that take part in membership."""
+    """Division of the fleet's limits (`door.package_rates`, `door.set_ups`) among member gateways."""
 
-    own_part: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.1  # of the whole that is not lent: 1/n to each
+    own_part: Annotated[float, msgspec.Meta(ge=0, le=1)] = (
+        0.1  # of the whole, not lent: 1/n of it to each gateway
+    )
 
 
 class Site(Record, kw_only=True, frozen=True):
@@ -153,8 +159,8 @@
     terms: TermsRecord = TermsRecord()
     titles: dict[Name, Title]
     gateways: Annotated[list[GatewayRecord], msgspec.Meta(min_length=1)]
-    regions: list[RegionRecord] = []  # empty: the whole site is one
-    hosts: list[HostRecord] = []  # what the stand-ins run; gateways learn theirs from the list service
+    regions: list[RegionRecord] = []  # empty: the whole site is one region
+    hosts: list[HostRecord] = []  # run by the stand-ins; gateways get their list from the list service
     list_at: str
     peer_key_file: str = ""
     door: DoorRecord = DoorRecord()
@@ -163,13 +169,13 @@
 
 
 def active_gateways(site: Site) -> tuple[str, ...]:
-    """The gateways that count: those that nobody declared gone, nor their region."""
-    lost = {zone for r in site.regions if r.gone for zone in r.zones}
-    return tuple(g.name for g in site.gateways if not g.gone and g.zone not in lost)
+    """Returns the names of the gateways that are not declared gone, neither themselves nor their region."""
+    gone_zones = {zone for r in site.regions if r.gone for zone in r.zones}
+    return tuple(g.name for g in site.gateways if not g.gone and g.zone not in gone_zones)
 
 
-def wrong_regions(site: Site) -> Iterator[tuple[tuple[str, ...], str]]:
-    """What is wrong with a site's regions: where, with a region by its name, and why."""
+def region_mistakes(site: Site) -> Iterator[tuple[tuple[str, ...], str]]:
+    """Yields each mistake in a site's regions as path and reason. The path has regions by name."""
     zone_of = {g.name: g.zone for g in site.gateways}
     region_of: dict[str, str] = {}
     for n, r in enumerate(site.regions):
@@ -187,24 +193,27 @@
     for name, zone in zone_of.items() if site.regions else ():
         if zone not in region_of:
             yield ("gateways", name, "zone"), f"zone {zone!r} is in no region, while others are in one"
-    some = [r for r in site.regions if r.share is not None]
-    for r in site.regions if some else ():
+    with_share = [r for r in site.regions if r.share is not None]
+    for r in site.regions if with_share else ():
         if r.share is None:
-            yield ("regions", r.name), f"it has no share, while {some[0].name!r} states one"
-    whole = sum(Fraction(str(r.share)) for r in some)
+            yield ("regions", r.name), f"it has no share, while {with_share[0].name!r} states one"
+    whole = sum(Fraction(str(r.share)) for r in with_share)
     if whole > 1:
-        yield ("regions", some[-1].name, "share"), f"shares come to {float(whole):g}, more than the whole"
+        yield (
+            ("regions", with_share[-1].name, "share"),
+            f"shares come to {float(whole):g}, more than the whole",
+        )
     if site.regions and all(r.gone for r in site.regions):
         yield ("regions",), "all of them are declared gone"
 
 
 def can_lend_budgets(site: Site) -> bool:
-    """Whether limits of the fleet are lent among its gateways: all of them can hear one another."""
+    """Returns whether gateways lend budgets to each other, which requires all of them in membership."""
     return bool(site.peer_key_file) and all(g.members_at for g in site.gateways)
 
 
 def read_site(path: Path) -> Site:
-    """A site in the configuration language, or as JSON of the records (`.json`)."""
+    """Reads a site in the configuration language, or as JSON of the records (`.json`)."""
     if path.suffix != ".json":
         from ledgehitch.config.load import read_site_text  # it imports this module
 
@@ -215,14 +224,14 @@
 
 
 def check(site: Site, name: str) -> None:
-    """What the types do not say: references and orders between fields."""
+    """Checks what the types cannot express: references and order between fields. Raises `BadInput`."""
 
-    def wrong(field: str, reason: str) -> None:
+    def fail(field: str, reason: str) -> None:
         raise BadInput(f"{name}: {field}: {reason}")
 
     kb = [r.kb for r in site.ladder]
     if kb != sorted(set(kb)):
-        wrong("ladder", f"rungs must rise in kb, they are {kb}")
+        fail("ladder", f"rungs must rise in kb, they are {kb}")
     for what, names in (
         ("packages", [p.name for p in site.packages]),
         ("hosts", [h.name for h in site.hosts]),
@@ -230,42 +239,40 @@
     ):
         for i, one in enumerate(names):
             if one in names[:i]:
-                wrong(f"{what}[{i}].name", f"{one!r} is named twice")
+                fail(f"{what}[{i}].name", f"{one!r} is named twice")
     for i, p in enumerate(site.packages):
         if p.join_target > p.patience:
-            wrong(
-                f"packages[{i}].join_target", f"{p.join_target:g} s is more than patience, {p.patience:g} s"
-            )
+            fail(f"packages[{i}].join_target", f"{p.join_target:g} s is more than patience, {p.patience:g} s")
         if p.floor >= len(site.ladder):
-            wrong(f"packages[{i}].floor", f"{p.floor} is no rung, the ladder has 0 to {len(site.ladder) - 1}")
+            fail(f"packages[{i}].floor", f"{p.floor} is no rung, the ladder has 0 to {len(site.ladder) - 1}")
         if p.effect == "by_key" and not p.key_window:
-            wrong(f"packages[{i}].key_window", "a package set up by key needs a window above 0")
-    for title, held in site.titles.items():
-        if held.first >= max(1, site.fleet.cells):
-            wrong(f"titles.{title}.first", f"{held.first} is no cell, there are {site.fleet.cells}")
+            fail(f"packages[{i}].key_window", "a package set up by key needs a window above 0")
+    for title, placement in site.titles.items():
+        if placement.first >= max(1, site.fleet.cells):
+            fail(f"titles.{title}.first", f"{placement.first} is no cell, there are {site.fleet.cells}")
     for i, h in enumerate(site.hosts):
         if h.kind not in site.fleet.slots:
-            wrong(f"hosts[{i}].kind", f"{h.kind!r} has no places, known are {', '.join(site.fleet.slots)}")
+            fail(f"hosts[{i}].kind", f"{h.kind!r} has no places, known are {', '.join(site.fleet.slots)}")
         if h.cell >= site.fleet.cells:
-            wrong(f"hosts[{i}].cell", f"{h.cell} is no cell, there are {site.fleet.cells}")
+            fail(f"hosts[{i}].cell", f"{h.cell} is no cell, there are {site.fleet.cells}")
     for name in site.door.package_rates:
         if name not in [p.name for p in site.packages]:
-            wrong(f"door.package_rates.{name}", "no such package is sold")
-    for place, reason in wrong_regions(site):
-        wrong(".".join(place), reason)
+            fail(f"door.package_rates.{name}", "no such package is sold")
+    for place, reason in region_mistakes(site):
+        fail(".".join(place), reason)
     if not active_gateways(site):
-        wrong("gateways", "all of them are declared gone")
+        fail("gateways", "all of them are declared gone")
     if site.terms.extra_free is not None and not site.terms.extra_window:
-        wrong("terms.extra_window", "a budget for further tune-ins needs a window above 0")
+        fail("terms.extra_window", "a budget for further tune-ins needs a window above 0")
 
 
 def rack_name(names: Sequence[str], rack: str) -> str:
-    """What people call the rack of this number, by a site's `rack_names`."""
+    """Returns the display name of the rack with this number, from a site's `rack_names`."""
     return names[int(rack)] if rack.isdigit() and int(rack) < len(names) else f"rack-{rack}"
 
 
 def facts_of(site: Site, gateway: str) -> tuple[Ladder, tuple[Package, ...], Fleet, Terms]:
-    """What the decision module of one gateway is told at start."""
+    """Returns the settings that the decision module of one gateway gets at start."""
     names = [g.name for g in site.gateways]
     if gateway not in names:
         raise BadInput(f"site {site.name}: no gateway {gateway!r}, known are {', '.join(names)}")
--- a/ledgehitch/config/syntax.py
+++ b/ledgehitch/config/syntax.py
@@ -1,7 +1,7 @@
-"""Text into a tree, by `lark`; what does not parse is named by line and column. Free of I/O.
+"""Parses text to a syntax tree with `lark`, and reports syntax errors by line and column. Free of I/O.
 
-Line ends mean nothing; commas between fields may be left out. Nesting, size and length have stated limits, so
-that any text is read, or refused, in bounded time and memory.
+Line ends have no meaning and commas between fields are optional. Nesting, size and length are limited, so any
+text is parsed or rejected in bounded time and memory.
 """
 
 import json
@@ -14,12 +14,12 @@
 from lark import Lark, Token, Transformer, v_args
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput, UnexpectedToken, VisitError
 
-from ledgehitch.config.quantities import BadNumber, Quantity, number, quantity
+from ledgehitch.config.quantities import BadNumber, Quantity, parse_number, parse_quantity
 from ledgehitch.config.values import Exact
 
-MOST_BYTES = 2 << 20  # of one file
-MOST_DEPTH = 60
-SCHEMA = "schema"  # what the built-in definitions are called in messages
+MAX_FILE_BYTES = 2 << 20  # of one file
+MAX_DEPTH = 60
+SCHEMA = "schema"  # file name of the built-in definitions in messages
 
 GRAMMAR = r"""
 start: (item ","?)*
@@ -68,7 +68,7 @@
 %ignore COMMENT
 """
 
-IN_WORDS = {
+TOKEN_DESCRIPTIONS = {
     "COLON": "':'",
     "COMMA": "','",
     "RBRACE": "'}'",
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True)
 class At:
-    """A place in a text: line and column count from 1."""
+    """A position in a file. Line and column count from 1."""
 
     file: str
     line: int
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True)
 class Mistake:
-    """What is wrong, where, and what would be right."""
+    """What is wrong, where, and a hint how to correct it."""
 
     at: At
     reason: str
@@ -130,7 +130,7 @@
 
 @dataclass(eq=False)
 class Text(Node):
-    """A string with values in it: parts are strings and nodes."""
+    """A string with interpolated values. The parts are strings and nodes."""
 
     parts: list[Any]
 
@@ -158,7 +158,7 @@
 
 @dataclass(eq=False)
 class Sum(Node):
-    """Operands with the operator before each (the first has "+" or "*")."""
+    """Operands, each with the operator before it. The first has "+", "-" or "*"."""
 
     parts: list[tuple[str, Node]]
 
@@ -215,8 +215,8 @@
 
 
 @v_args(inline=True)
-class _Tree(Transformer[Token, Any]):
-    """Builds nodes as the parser goes, so that no second tree is kept."""
+class _NodeBuilder(Transformer[Token, Any]):
+    """Builds nodes from the parser's rules. Its public methods have the names of the grammar's rules."""
 
     def __init__(self, file: str, line: int = 1, column: int = 1) -> None:
         super().__init__()
@@ -243,10 +243,10 @@
         return record
 
     def include(self, files: Token) -> Include:
-        return Include(self._at(files), self._plain(files))
+        return Include(self._at(files), self._unquoted(files))
 
     def label(self, token: Token) -> tuple[At, str]:
-        return self._at(token), self._plain(token) if token.type == "STRING" else str(token)
+        return self._at(token), self._unquoted(token) if token.type == "STRING" else str(token)
 
     def member(self, label: tuple[At, str], *rest: Any) -> Field:
         value = rest[-1]
@@ -262,10 +262,10 @@
     def opened(self) -> str:
         return "..."
 
-    def expr(self, *alts: Any) -> Node:
-        if len(alts) == 1 and not alts[0][0]:
-            return alts[0][1]  # type: ignore[no-any-return]
-        return Choice(alts[0][1].at, list(alts))
+    def expr(self, *alternatives: Any) -> Node:
+        if len(alternatives) == 1 and not alternatives[0][0]:
+            return alternatives[0][1]  # type: ignore[no-any-return]
+        return Choice(alternatives[0][1].at, list(alternatives))
 
     def alt(self, *parts: Any) -> tuple[bool, Node]:
         return len(parts) > 1, parts[-1]
@@ -296,39 +296,39 @@
 
     def number(self, token: Token) -> Literal:
         kind = "any" if self.file.endswith(".json") else "number"
-        return Literal(self._at(token), Quantity(self._counted(token, number), kind))
+        return Literal(self._at(token), Quantity(self._parse_with(token, parse_number), kind))
 
     def quantity(self, token: Token) -> Literal:
-        return Literal(self._at(token), self._counted(token, quantity))
+        return Literal(self._at(token), self._parse_with(token, parse_quantity))
 
-    def _counted(self, token: Token, read: Any) -> Any:
+    def _parse_with(self, token: Token, parse: Any) -> Any:
         try:
-            return read(str(token))
-        except BadNumber as wrong:
-            raise Malformed(Mistake(self._at(token), str(wrong))) from None
+            return parse(str(token))
+        except BadNumber as error:
+            raise Malformed(Mistake(self._at(token), str(error))) from None
 
     def string(self, token: Token) -> Node:
         if "\\(" not in token:
-            return Literal(self._at(token), self._plain(token))
-        return self._text(token)
+            return Literal(self._at(token), self._unquoted(token))
+        return self._interpolated(token)
 
-    def _plain(self, token: Token) -> str:
+    def _unquoted(self, token: Token) -> str:
         try:
             return str(json.loads(str(token)))
-        except json.JSONDecodeError as wrong:
-            raise Malformed(Mistake(self._at(token), f"in this string: {wrong.msg}")) from None
+        except json.JSONDecodeError as error:
+            raise Malformed(Mistake(self._at(token), f"in this string: {error.msg}")) from None
 
-    def _text(self, token: Token) -> Text:
+    def _interpolated(self, token: Token) -> Text:
         parts: list[Any] = []
         body, at = str(token)[1:-1], 0
         place = self._at(token)
         for match in re.finditer(r"\\(?:\(([^()\"]*)\)|.)", body):
             if match[1] is None:
                 continue
-            parts.append(self._plain(Token("STRING", f'"{body[at : match.start()]}"')))
+            parts.append(self._unquoted(Token("STRING", f'"{body[at : match.start()]}"')))
             parts.append(_parsed(match[1], "expr", self.file, place.line, place.column + match.start(1) + 1))
             at = match.end()
-        parts.append(self._plain(Token("STRING", f'"{body[at:]}"')))
+        parts.append(self._unquoted(Token("STRING", f'"{body[at:]}"')))
         return Text(place, parts)
 
     def kind(self, token: Token) -> KindOf:
@@ -338,17 +338,17 @@
         return Literal(self._at(token), {"true": True, "false": False, "null": None}[str(token)])
 
     def ref(self, *parts: Token) -> Ref:
-        return Ref(self._at(parts[0]), [self._plain(p) if p.type == "STRING" else str(p) for p in parts])
+        return Ref(self._at(parts[0]), [self._unquoted(p) if p.type == "STRING" else str(p) for p in parts])
 
     def record(self, *items: Any) -> Record:
         at = items[0].at if items and isinstance(items[0], Node) else At(self.file, self.line, 1)
         return self._record(at, items)
 
     def list(self, *items: Any) -> ListOf:
-        kept = [i for i in items if not isinstance(i, tuple)]
+        elements = [i for i in items if not isinstance(i, tuple)]
         rest = next((i for i in items if isinstance(i, tuple)), None)
-        at = kept[0].at if kept else rest[1].at if rest and rest[1] else At(self.file, self.line, 1)
-        return ListOf(at, kept, rest[1] if rest else None, rest is not None)
+        at = elements[0].at if elements else rest[1].at if rest and rest[1] else At(self.file, self.line, 1)
+        return ListOf(at, elements, rest[1] if rest else None, rest is not None)
 
     def rest(self, *of: Any) -> tuple[str, Any]:
         return "...", of[0] if of else None
@@ -358,97 +358,103 @@
 
 
 def _parsed(text: str, start: str, file: str, line: int = 1, column: int = 1) -> Any:
-    tree = _Tree(file, line, column)
+    tree = _NodeBuilder(file, line, column)
     try:
         return tree.transform(parser().parse(text, start=start))
     except VisitError as error:
         if isinstance(error.orig_exc, Malformed):
             raise error.orig_exc from None
         raise
-    except UnexpectedInput as wrong:
-        raise Malformed(_said(wrong, text, file, line)) from None
+    except UnexpectedInput as error:
+        raise Malformed(_syntax_mistake(error, text, file, line)) from None
 
 
-def _said(wrong: UnexpectedInput, text: str, file: str, line: int) -> Mistake:
-    at = At(file, max(wrong.line, 1) - 1 + line, max(wrong.column, 1))
-    if isinstance(wrong, UnexpectedCharacters):
-        rest = text[wrong.pos_in_stream or 0 :]
+def _syntax_mistake(error: UnexpectedInput, text: str, file: str, line: int) -> Mistake:
+    at = At(file, max(error.line, 1) - 1 + line, max(error.column, 1))
+    if isinstance(error, UnexpectedCharacters):
+        rest = text[error.pos_in_stream or 0 :]
         if rest.startswith('"'):
             return Mistake(at, "this string does not end on its line")
         return Mistake(at, f"{rest[:1]!r} has no meaning here")
-    expected = wrong.accepts if isinstance(wrong, UnexpectedToken) and wrong.accepts else set()
-    words = sorted(IN_WORDS[name] for name in expected if name in IN_WORDS)
-    hint = f"what can follow: {', '.join(words[:8])}" if words else ""
-    if isinstance(wrong, UnexpectedEOF) or getattr(getattr(wrong, "token", None), "type", "") == "$END":
+    expected = error.accepts if isinstance(error, UnexpectedToken) and error.accepts else set()
+    descriptions = sorted(TOKEN_DESCRIPTIONS[name] for name in expected if name in TOKEN_DESCRIPTIONS)
+    hint = f"what can follow: {', '.join(descriptions[:8])}" if descriptions else ""
+    if isinstance(error, UnexpectedEOF) or getattr(getattr(error, "token", None), "type", "") == "$END":
         lines = text.rstrip().split("\n")
         end = At(file, len(lines) - 1 + line, len(lines[-1]) + 1)
         return Mistake(end, "the text ends inside a record, list or value", hint)
-    token = getattr(wrong, "token", "")
+    token = getattr(error, "token", "")
     return Mistake(at, f"{str(token)[:30]!r} is not expected here", hint)
 
 
-def read(text: str, file: str) -> tuple[Record, list[Mistake]]:
-    """The record that a file's text is, with what does not parse left out, and every mistake found."""
+def parse_text(text: str, file: str) -> tuple[Record, list[Mistake]]:
+    """Parses a file's text.
+
+    Returns its record without the parts that do not parse, and all mistakes found.
+    """
     mistakes: list[Mistake] = []
-    deep = _too_deep(text)
-    if deep:
+    too_deep_line = _first_line_too_deep(text)
+    if too_deep_line:
         return Record(At(file, 1, 1), [], [], []), [
-            Mistake(At(file, deep, 1), f"more than {MOST_DEPTH} records and lists inside one another")
+            Mistake(At(file, too_deep_line, 1), f"more than {MAX_DEPTH} records and lists inside one another")
         ]
-    whole = Record(At(file, 1, 1), [], [], [])
+    record = Record(At(file, 1, 1), [], [], [])
     line = 1
     rest = text.removeprefix("\ufeff")
     if file.endswith(".json"):
-        rest = _braces_off(rest)
+        rest = _without_outer_braces(rest)
     while True:
-        part, again = rest, 0
+        part, resume_index = rest, 0
         for _ in range(2):
             try:
-                found = _parsed(part, "start", file, line)
-                whole.fields += found.fields
-                whole.patterns += found.patterns
-                whole.includes += found.includes
-                whole.opened |= found.opened
+                parsed = _parsed(part, "start", file, line)
+                record.fields += parsed.fields
+                record.patterns += parsed.patterns
+                record.includes += parsed.includes
+                record.opened |= parsed.opened
                 break
-            except Malformed as wrong:
-                if again:
+            except Malformed as error:
+                if resume_index:
                     break
-                mistakes.append(wrong.mistake)
-                # Once more without what is broken: from the last field at the margin before the mistake.
+                mistakes.append(error.mistake)
+                # Second attempt without the broken part, which starts at the last unindented field before the
+                # mistake.
                 lines = rest.split("\n")
-                broken = min(max(0, wrong.mistake.at.line - line), len(lines) - 1)
-                first = max((i for i in range(broken + 1) if MARGIN.match(lines[i])), default=0)
-                again = next((i for i in range(broken + 1, len(lines)) if MARGIN.match(lines[i])), len(lines))
+                broken = min(max(0, error.mistake.at.line - line), len(lines) - 1)
+                first = max((i for i in range(broken + 1) if FIELD_START.match(lines[i])), default=0)
+                resume_index = next(
+                    (i for i in range(broken + 1, len(lines)) if FIELD_START.match(lines[i])), len(lines)
+                )
                 part = "\n".join(lines[:first])
-        if not again or len(mistakes) >= 50:
-            return whole, mistakes
-        rest, line = "\n".join(rest.split("\n")[again:]), line + again
+        if not resume_index or len(mistakes) >= 50:
+            return record, mistakes
+        rest, line = "\n".join(rest.split("\n")[resume_index:]), line + resume_index
         if not rest.strip():
-            return whole, mistakes
+            return record, mistakes
 
 
-MARGIN = re.compile(r'[#A-Za-z_"\[]')
-TOKENS = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*|[\[{(]|[\]})]|\n')
+FIELD_START = re.compile(r'[#A-Za-z_"\[]')
+NESTING_TOKEN = re.compile(r'"(?:[^"\\\n]|\\.)*"|//[^\n]*|[\[{(]|[\]})]|\n')
 
 
-def _too_deep(text: str) -> int:
-    """The line at which nesting passes the limit, 0 if it does not."""
+def _first_line_too_deep(text: str) -> int:
+    """Returns the first line at which nesting exceeds the limit, or 0 if none does."""
     depth, line = 0, 1
-    for match in TOKENS.finditer(text):
+    for match in NESTING_TOKEN.finditer(text):
         token = match[0]
         if token == "\n":
             line += 1
         elif token in "[{(":
             depth += 1
-            if depth > MOST_DEPTH:
+            if depth > MAX_DEPTH:
                 return line
         elif token in "]})":
             depth -= 1
     return 0
 
 
-def _braces_off(text: str) -> str:
-    """A JSON file is one record in braces, where a file of ours is its fields."""
+def _without_outer_braces(text: str) -> str:
+    """Replaces the outer braces of a JSON file by spaces, since a file of the language has none."""
     inner = text.strip()
     if inner.startswith("{") and inner.endswith("}"):
         start = text.index("{")
@@ -458,5 +464,5 @@
 
 
 def tokens(text: str) -> Iterator[Token]:
-    """All tokens with comments, for the formatter."""
+    """Yields all tokens including comments, for the formatter."""
     return parser().lex(text, dont_ignore=True)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -19,14 +19,24 @@
 from ledgehitch.config import BadInput, read_site
 from ledgehitch.config import day as days
 from ledgehitch.config import site as sites
-from ledgehitch.config.change import Apply, Keep, Refuse, Reloads, Version, applied, changes, leaves, placed
+from ledgehitch.config.change import (
+    Apply,
+    Keep,
+    Refuse,
+    Reloads,
+    Version,
+    apply_changes,
+    changes,
+    leaves,
+    placement_steps,
+)
 from ledgehitch.config.evaluate import Evaluation, plain_data
-from ledgehitch.config.explain import found, origins, reference
+from ledgehitch.config.explain import find_vertex, origins, reference
 from ledgehitch.config.layout import format_text
 from ledgehitch.config.load import Loaded, digest_of, load, load_text, schema
-from ledgehitch.config.quantities import Quantity, quantity, spelt
-from ledgehitch.config.syntax import MOST_BYTES, Malformed
-from ledgehitch.config.values import Clash, Value, bound, choice, exactly, meet, of_kind
+from ledgehitch.config.quantities import Quantity, format_quantity, parse_quantity
+from ledgehitch.config.syntax import MAX_FILE_BYTES, Malformed
+from ledgehitch.config.values import Conflict, Value, bound, choice, exact_value, meet, of_kind
 
 GOOD = """\
 name: "demo"
@@ -226,7 +236,7 @@
     write("cut.lh", GOOD[: len(GOOD) // 2])
     assert told("cut.lh")
     write("big.lh", "// " + "x" * (10 << 20))
-    assert f"a file may have {MOST_BYTES}; split it" in told("big.lh")
+    assert f"a file may have {MAX_FILE_BYTES}; split it" in told("big.lh")
     write("deep.lh", "a: " + "{ a: " * 10000 + "1" + "}" * 10000)
     assert "deep.lh:1:1: more than 60 records and lists inside one another" in told("deep.lh")
     for i, value in enumerate(("3s", "4s", "5s")):
@@ -258,7 +268,7 @@
 
 
 def test_a_definition_that_grows_without_end_is_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ledgehitch.config.evaluate.MOST_VERTICES", 20_000)
+    monkeypatch.setattr("ledgehitch.config.evaluate.MAX_VERTICES", 20_000)
     grows = (
         "".join(f"#D{i}: {{ a: #D{i + 1}, b: #D{i + 1}, c: #D{i + 1} }}\n" for i in range(14))
         + "#D14: { x: 1 }\n"
@@ -280,7 +290,7 @@
     None,
 ]
 atoms = st.one_of(
-    st.sampled_from(POINTS).map(lambda p: exactly(p)),
+    st.sampled_from(POINTS).map(lambda p: exact_value(p)),
     st.sampled_from(["number", "int", "duration", "string", "bool"]).map(of_kind),
     st.tuples(st.sampled_from([">=", "<=", ">", "<", "!="]), st.sampled_from(POINTS[:26])).map(
         lambda t: bound(*t)
@@ -292,7 +302,7 @@
 
 def allows(value: Value, point: Any) -> bool:
     """The plain reference: whether a value allows one exact point, alternative by alternative."""
-    for alt in value.alts:
+    for alt in value.alternatives:
         kind = (
             point.kind
             if isinstance(point, Quantity)
@@ -303,7 +313,7 @@
         if alt.is_exact and isinstance(alt.exact, bool) != isinstance(point, bool):
             continue
         if not isinstance(point, Quantity):
-            if alt.low is None and alt.high is None and not alt.whole and point not in alt.never:
+            if alt.low is None and alt.high is None and not alt.is_integer and point not in alt.excluded:
                 return True
             continue
         number = point.value
@@ -311,7 +321,7 @@
             continue
         if alt.high is not None and (number > alt.high or number == alt.high and alt.high_open):
             continue
-        if alt.whole and number.denominator != 1 or number in alt.never:
+        if alt.is_integer and number.denominator != 1 or number in alt.excluded:
             continue
         return True
     return False
@@ -322,7 +332,7 @@
         return None
     try:
         return meet(a, b)
-    except Clash:
+    except Conflict:
         return None
 
 
@@ -355,9 +365,9 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.fractions(0, 10**6, max_denominator=1000), st.sampled_from(["duration", "rate", "size", "share"]))
 def test_a_quantity_is_spelt_as_it_is_read(value: Fraction, kind: str) -> None:
-    text = spelt(Quantity(value, kind))
+    text = format_quantity(Quantity(value, kind))
     if value:
-        assert abs(quantity(text).value - value) <= max(value, Fraction(1)) / 10**6, text
+        assert abs(parse_quantity(text).value - value) <= max(value, Fraction(1)) / 10**6, text
 
 
 # ---- layout, difference, fuzz ------------------------------------------------------------------------------
@@ -454,7 +464,7 @@
     ).data
     assert changes(a, a) == []
     found_ = changes(a, b, {"other": 12})
-    assert applied(a, found_) == {".".join(p): v for p, v in leaves(b)}
+    assert apply_changes(a, found_) == {".".join(p): v for p, v in leaves(b)}
     # A rack that is only called otherwise stands where it stood: nothing waits for a restart, nothing moves.
     c = {**a, "racks": {"east" if name == "b" else name: rack for name, rack in a["racks"].items()}}
     renamed = changes(a, c)
@@ -476,11 +486,11 @@
 def test_explain_names_every_place_that_said_something() -> None:
     loaded = load_text(GOOD)
     assert loaded.vertex is not None
-    vertex = found(loaded.evaluation, loaded.vertex, ["packages", "live", "patience"])
+    vertex = find_vertex(loaded.evaluation, loaded.vertex, ["packages", "live", "patience"])
     assert vertex is not None
     said = list(origins(vertex))
     assert said[0] == ("text:3:21", "3s", "#Quick") and any(through == "#Package" for _, _, through in said)
-    assert found(loaded.evaluation, loaded.vertex, ["packages", "gold"]) is None
+    assert find_vertex(loaded.evaluation, loaded.vertex, ["packages", "gold"]) is None
 
 
 def test_the_reference_page_is_the_schema_s() -> None:
@@ -615,7 +625,7 @@
 def test_the_schema_and_the_records_say_the_same() -> None:
     """Fields, and defaults where both give one, so that JSON and the language mean the same."""
     e = Evaluation()
-    top = e.work_out(e.root([schema()]))
+    top = e.evaluate(e.root([schema()]))
     pairs: dict[str, Any] = {
         "#Package": sites.PackageRecord,
         "#Terms": sites.TermsRecord,
@@ -629,14 +639,14 @@
         "#Day": days.Day,
     }
     for name, record in pairs.items():
-        definition = e.work_out(top.fields[name])
+        definition = e.evaluate(top.fields[name])
         fields = {f.name: f for f in msgspec.structs.fields(record)}
         own = {n for n in fields if n not in ("name", "cell")}
         assert own - set(definition.fields) <= set(), name
         assert set(definition.fields) - set(fields) == set(), name
         for field in sorted(own):
             default = fields[field].default
-            exact = e.work_out(definition.fields[field]).value.exact()
+            exact = e.evaluate(definition.fields[field]).value.exact()
             if default is not msgspec.NODEFAULT and default is not None and exact is not None:
                 found_ = plain_data(exact.exact)
                 assert found_ == (pytest.approx(default) if isinstance(default, float) else default), field
@@ -645,10 +655,10 @@
 def test_titles_are_placed_before_others_are_withdrawn_and_a_gateway_that_holds_viewings_stays() -> None:
     a = load_text(GOOD).data
     b = load_text(GOOD.replace('"tsoureki"', '"melomakarona"').replace("first: 1", "first: 0")).data
-    assert placed(a, b) == (("place", "melomakarona"), ("move", "other"), ("withdraw", "tsoureki"))
+    assert placement_steps(a, b) == (("place", "melomakarona"), ("move", "other"), ("withdraw", "tsoureki"))
     r = Reloads(Version(0, digest_of(a), a), "g0")
     gone = load_text(GOOD.replace("gateways: g0", "gateways: g7")).data
-    r.on_version(Version(1, digest_of(gone), gone), [], held=3)
+    r.on_version(Version(1, digest_of(gone), gone), [], viewing_count=3)
     assert [type(d) for d in pulled(r)] == [Refuse] and "drain it first" in r.last_refusal
-    r.on_version(Version(2, digest_of(gone), gone), [], held=0)
+    r.on_version(Version(2, digest_of(gone), gone), [], viewing_count=0)
     assert [type(d) for d in pulled(r)] == [Apply, Keep]
