--- a/ledgehitch/config/change.py
+++ b/ledgehitch/config/change.py
@@ -49,8 +49,8 @@
         yield path, data
 
 
-def changes(before: Any, after: Any, held: Mapping[str, int] | None = None) -> list[Change]:
-    """Returns the differences by path. `held` is the number of current viewings by title, for the risks."""
+def changes(before: Any, after: Any, viewings_by_title: Mapping[str, int] | None = None) -> list[Change]:
+    """Returns the differences by path. `viewings_by_title` is used for the risks."""
     old, new = dict(leaves(before)), dict(leaves(after))
     renamed_racks = _renamed(before, after)
     found = []
@@ -62,7 +62,7 @@
         if path[0] == "racks" and len(path) > 1 and path[1] in renamed_racks:
             found.append(Change(name, old.get(path), new.get(path), "at once"))
             continue
-        risk = _risk(path, old.get(path), new.get(path), before, after, held or {})
+        risk = _risk(path, old.get(path), new.get(path), before, after, viewings_by_title or {})
         found.append(Change(name, old.get(path), new.get(path), effect, risk))
     return found
 
@@ -90,9 +90,13 @@
     return flat
 
 
-def _risk(path: tuple[str, ...], old: Any, new: Any, before: Any, after: Any, held: Mapping[str, int]) -> str:
+def _risk(
+    path: tuple[str, ...], old: Any, new: Any, before: Any, after: Any, viewings_by_title: Mapping[str, int]
+) -> str:
     if path[0] == "titles" and new is None and path[1] not in (after.get("titles") or {}):
-        watching = f", {held[path[1]]} viewings hold it now" if held.get(path[1]) else ""
+        watching = (
+            f", {viewings_by_title[path[1]]} viewings hold it now" if viewings_by_title.get(path[1]) else ""
+        )
         return f"{path[1]!r} is not placed any more: who asks for it gets 404{watching}"
     if path[0] == "racks" and new is None and "hosts" in path:
         return "one media host fewer holds the titles of its cell; the cells after it move"
@@ -185,11 +189,11 @@
 
 def _title_placements(data: Any) -> dict[str, Any]:
     """Returns the placement of each title: its own entry, or the pool of its route."""
-    held = dict(data.get("titles", {}))
+    placements = dict(data.get("titles", {}))
     for route in data.get("routes", {}).values():
         for title in route["titles"]:
-            held[title] = data["pools"].get(route["pool"])
-    return held
+            placements[title] = data["pools"].get(route["pool"])
+    return placements
 
 
 class Reloads:
@@ -233,6 +237,7 @@
             self._apply_newest()
 
     def on_drain(self, draining: bool) -> None:
+        """Handles the start or the cancellation of a drain."""
         self.draining = draining
         self._apply_newest()
 
@@ -257,9 +262,11 @@
         return tuple(c.path for c in found if c.effect == "restart")
 
     def decide(self) -> Decision | None:
+        """Returns the next decision to carry out, or None."""
         return self._pending.pop(0) if self._pending else None
 
     def state(self) -> dict[str, Any]:
+        """Returns the state of reloads for the admin API."""
         return {
             "runs": self.running.digest,
             "told": self.newest.digest,
--- a/ledgehitch/config/evaluate.py
+++ b/ledgehitch/config/evaluate.py
@@ -60,6 +60,8 @@
 
 @dataclass(eq=False)
 class Vertex:
+    """One position in the result, with all conjuncts for it and what they evaluate to."""
+
     path: tuple[str, ...]
     conjuncts: list[Conjunct] = field(default_factory=list)
     fields: "dict[str, Vertex]" = field(default_factory=dict)
@@ -70,9 +72,7 @@
     state: int = 0  # 0: not evaluated, 1: being evaluated, 2: evaluated
     optional: bool = True  # every statement of this field has "?"
     declared: dict[object, "Allowed"] = field(default_factory=dict)
-    origins: list[tuple[At, str, str]] = field(
-        default_factory=list
-    )  # position, value, and the definition it came from
+    origins: list[tuple[At, str, str]] = field(default_factory=list)  # position, value, source
     failed: bool = False
 
     def at(self) -> At | None:
@@ -92,6 +92,8 @@
 
 
 class Evaluation:
+    """One evaluation of a set of syntax trees, with the mistakes found so far."""
+
     def __init__(self) -> None:
         self.mistakes: list[Mistake] = []
         self.count = 0
@@ -577,6 +579,7 @@
 
 
 def plain_data(exact: Any) -> Any:
+    """Returns a quantity as an int or float in its base unit, and any other exact value unchanged."""
     if isinstance(exact, Quantity):
         value = exact.value
         return value.numerator if value.denominator == 1 else float(value)
--- a/ledgehitch/config/load.py
+++ b/ledgehitch/config/load.py
@@ -46,6 +46,7 @@
     vertex: Vertex | None = None
 
     def line(self, at: At) -> str:
+        """Returns the text of the line at a position, empty if there is none."""
         lines = self.texts.get(at.file, "").split("\n")
         return lines[at.line - 1] if 0 < at.line <= len(lines) else ""
 
@@ -54,15 +55,18 @@
 
 
 def canonical(data: Any) -> bytes:
+    """Returns the canonical JSON of plain data, the same for the same content."""
     return msgspec.json.encode(data, order="deterministic")
 
 
 def digest_of(data: Any) -> str:
+    """Returns the hexadecimal BLAKE3 digest of the canonical JSON."""
     return blake3(canonical(data)).hexdigest()
 
 
 @lru_cache(maxsize=1)
 def schema() -> Record:
+    """Returns the syntax tree of the built-in schema, parsed once per process."""
     text = files("ledgehitch.config").joinpath("schema.lh").read_text("utf-8")
     record, mistakes = parse_text(text, SCHEMA)
     assert not mistakes, mistakes
@@ -159,6 +163,7 @@
             return None
 
     def display_name(self, path: Path) -> str:
+        """Returns the path relative to the root directory, or the path itself outside it."""
         absolute = Path(os.path.abspath(path))
         return (
             str(absolute.relative_to(self.loaded.root))
@@ -190,6 +195,7 @@
 
 
 def evaluate(loaded: Loaded, records: list[Record], kind: str) -> None:
+    """Evaluates the parsed files and sets `data`, `vertex` and `site` of `loaded`, or adds mistakes."""
     evaluation = loaded.evaluation
     evaluation.partial = bool(loaded.mistakes)
     kind_references: list[Node] = [Ref(At(SCHEMA, 1, 1), [kind])] if kind else []
--- a/ledgehitch/config/site.py
+++ b/ledgehitch/config/site.py
@@ -146,9 +146,7 @@
 class BudgetsRecord(Record, kw_only=True, frozen=True):
     """Division of the fleet's limits (`door.package_rates`, `door.set_ups`) among member gateways."""
 
-    own_part: Annotated[float, msgspec.Meta(ge=0, le=1)] = (
-        0.1  # of the whole, not lent: 1/n of it to each gateway
-    )
+    own_part: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.1  # of the whole, not lent: 1/n to each
 
 
 class Site(Record, kw_only=True, frozen=True):
--- a/ledgehitch/config/syntax.py
+++ b/ledgehitch/config/syntax.py
@@ -115,6 +115,7 @@
     hint: str = ""
 
     def describe(self) -> str:
+        """Returns the mistake as one line with position, reason and hint."""
         return f"{self.at}: {self.reason}" + (f" ({self.hint})" if self.hint else "")
 
 
@@ -202,6 +203,8 @@
 
 
 class Malformed(Exception):
+    """Raised for text that does not parse, with the mistake."""
+
     def __init__(self, mistake: Mistake) -> None:
         super().__init__(mistake.describe())
         self.mistake = mistake
@@ -209,6 +212,7 @@
 
 @lru_cache(maxsize=1)
 def parser() -> Lark:
+    """Returns the parser, built once per process."""
     return Lark(
         GRAMMAR, parser="lalr", start=["start", "expr"], propagate_positions=False, maybe_placeholders=False
     )
--- a/ledgehitch/config/values.py
+++ b/ledgehitch/config/values.py
@@ -35,6 +35,7 @@
     excluded: frozenset[Fraction | str] = frozenset()
 
     def key(self) -> str:
+        """Returns a text that identifies the alternative, for deduplication and order."""
         return repr(
             (
                 self.kind,
@@ -87,6 +88,7 @@
 
 
 def format_exact(exact: Exact) -> str:
+    """Returns an exact value as it is written in the language."""
     if isinstance(exact, str):
         return '"' + exact.replace("\\", "\\\\").replace('"', '\\"') + '"'
     if isinstance(exact, Quantity):
@@ -95,6 +97,7 @@
 
 
 def exact_value(exact: Exact) -> Value:
+    """Returns the value that allows exactly `exact`."""
     return Value((_exact_alternative(exact),))
 
 
@@ -106,6 +109,7 @@
 
 
 def of_kind(kind: str) -> Value:
+    """Returns the value that allows everything of a kind. "int" stands for whole numbers."""
     return Value((Alternative("number", is_integer=True),)) if kind == "int" else Value((Alternative(kind),))
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration language: broken files with their messages, and what must hold of every text."""
+"""The configuration language: messages for broken files, and properties that hold for every text."""
 
 import json
 import os
@@ -58,7 +58,7 @@
 list_at: "127.0.0.1:8081"
 """
 
-# What is put in place of what, and what is said of it: line:column, and words that must be there.
+# Text to replace, its replacement, and the position (line:column) and part of the message that are expected.
 BROKEN: list[tuple[str, str, str, str]] = [
     ("warm_up: 6s", "warm_up: 6", "9:17", "6 has no unit; a duration is meant, as 800ms, 3s, 2min"),
     ("warm_up: 6s", "warm_up: 6sec", "9:17", "'sec' is no unit; units are: duration us, ms, s"),
@@ -169,7 +169,7 @@
     return "\n".join(m.describe() for m in loaded.mistakes)
 
 
-def test_the_good_file_comes_to_a_site() -> None:
+def test_valid_file_compiles_to_site() -> None:
     loaded = load_text(GOOD)
     assert messages(loaded) == "" and loaded.site is not None
     site = loaded.site
@@ -183,72 +183,70 @@
     assert [p.value for p in site.packages] == [1.0, 3.0]
 
 
-@pytest.mark.parametrize(("old", "new", "at", "words"), BROKEN)
-def test_a_broken_file_is_told_where_and_why(old: str, new: str, at: str, words: str) -> None:
+@pytest.mark.parametrize(("old", "new", "at", "expected"), BROKEN)
+def test_mistake_has_position_and_reason(old: str, new: str, at: str, expected: str) -> None:
     assert old in GOOD
-    told = messages(load_text(GOOD.replace(old, new, 1)))
-    assert words in told, told
-    assert f"text:{at}:" in told, told
+    reported = messages(load_text(GOOD.replace(old, new, 1)))
+    assert expected in reported, reported
+    assert f"text:{at}:" in reported, reported
 
 
-def test_many_mistakes_are_found_in_one_go() -> None:
+def test_many_mistakes_are_reported_at_once() -> None:
     text = (
         GOOD.replace("6s", "6").replace('["lamb"', "[7").replace("#Rung", "").replace("first: 1", "frist: 1")
     )
-    told = messages(load_text(text + "\noops oops\nname: 3\n"))
-    for words in ("6 has no unit", "7 is a number", "'frist'", "'oops' is not expected", "name: "):
-        assert words in told, told
+    reported = messages(load_text(text + "\noops oops\nname: 3\n"))
+    for expected in ("6 has no unit", "7 is a number", "'frist'", "'oops' is not expected", "name: "):
+        assert expected in reported, reported
 
 
-def test_broken_files_of_every_other_kind(tmp_path: Path) -> None:
+def test_mistakes_in_includes_encoding_and_limits(tmp_path: Path) -> None:
     root = tmp_path / "site"
     root.mkdir()
 
-    def told(name: str) -> str:
+    def mistakes_in(name: str) -> str:
         return messages(load(root / name))
 
     def write(name: str, text: str) -> None:
         (root / name).write_text(text)
 
     write("one.lh", 'include "one.lh"\n')
-    assert "one.lh:1:9: files include one another in a loop: one.lh -> one.lh" in told("one.lh")
+    assert "one.lh:1:9: files include one another in a loop: one.lh -> one.lh" in mistakes_in("one.lh")
     write("a.lh", 'include "b.lh"\n')
     write("b.lh", 'include "a.lh"\n')
-    assert "a.lh -> b.lh -> a.lh" in told("a.lh")
+    assert "a.lh -> b.lh -> a.lh" in mistakes_in("a.lh")
     for i in range(5):
         write(f"l{i}.lh", f'include "l{(i + 1) % 5}.lh"\n')
-    assert "l0.lh -> l1.lh -> l2.lh -> l3.lh -> l4.lh -> l0.lh" in told("l0.lh")
+    assert "l0.lh -> l1.lh -> l2.lh -> l3.lh -> l4.lh -> l0.lh" in mistakes_in("l0.lh")
     write("twice.lh", 'include "part.lh"\ninclude "part.lh"\ninclude "p*.lh"\n')
     write("part.lh", GOOD)
-    assert told("twice.lh") == "", "the same file twice is once"
+    assert mistakes_in("twice.lh") == "", "a file that is included twice counts once"
     write("none.lh", 'include "nothing*.lh"\ninclude "/etc/passwd"\ninclude "missing.lh"\n')
-    out = told("none.lh")
+    out = mistakes_in("none.lh")
     assert "no file is called 'nothing*.lh'" in out and "relative to its own file" in out
     assert "missing.lh cannot be read: No such file" in out
     (tmp_path / "outside.lh").write_text(GOOD)
     write("up.lh", 'include "../outside.lh"\n')
-    assert "lies outside site/, where the first file is" in told("up.lh")
+    assert "lies outside site/, where the first file is" in mistakes_in("up.lh")
     os.symlink(tmp_path / "outside.lh", root / "link.lh")
     write("via.lh", 'include "link.lh"\n')
-    assert "link.lh lies outside site/" in told("via.lh")
+    assert "link.lh lies outside site/" in mistakes_in("via.lh")
     (root / "bytes.lh").write_bytes(b'name: "x"\n\xff\n')
-    assert "bytes.lh:2:1: byte 10 is not UTF-8" in told("bytes.lh")
+    assert "bytes.lh:2:1: byte 10 is not UTF-8" in mistakes_in("bytes.lh")
     write("cut.lh", GOOD[: len(GOOD) // 2])
-    assert told("cut.lh")
+    assert mistakes_in("cut.lh")
     write("big.lh", "// " + "x" * (10 << 20))
-    assert f"a file may have {MAX_FILE_BYTES}; split it" in told("big.lh")
+    assert f"a file may have {MAX_FILE_BYTES}; split it" in mistakes_in("big.lh")
     write("deep.lh", "a: " + "{ a: " * 10000 + "1" + "}" * 10000)
-    assert "deep.lh:1:1: more than 60 records and lists inside one another" in told("deep.lh")
+    assert "deep.lh:1:1: more than 60 records and lists inside one another" in mistakes_in("deep.lh")
     for i, value in enumerate(("3s", "4s", "5s")):
         write(f"c{i}.lh", f"terms: warm_up: {value}\n")
     write("three.lh", GOOD.replace("terms: warm_up: 6s", "") + 'include "c*.lh"\n')
-    out = told("three.lh")
+    out = mistakes_in("three.lh")
     assert "c1.lh:1:17: terms.warm_up: 3s and 4s are different (c0.lh:1:17 says 3s" in out
 
 
-def test_a_file_swapped_while_it_is_read_is_read_again(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_file_replaced_during_read_is_read_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "s.lh"
     path.write_text(GOOD.replace("6s", "5s"))
     real, swapped = os.stat, list[int]()
@@ -267,14 +265,14 @@
     assert messages(loaded) == "" and loaded.data["terms"]["warm_up"] == 6
 
 
-def test_a_definition_that_grows_without_end_is_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_definition_with_unbounded_expansion_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("ledgehitch.config.evaluate.MAX_VERTICES", 20_000)
     grows = (
         "".join(f"#D{i}: {{ a: #D{i + 1}, b: #D{i + 1}, c: #D{i + 1} }}\n" for i in range(14))
         + "#D14: { x: 1 }\n"
     )
-    told = messages(load_text(grows + "y: #D0\n", kind=""))
-    assert "expands to more than 20000 places" in told
+    reported = messages(load_text(grows + "y: #D0\n", kind=""))
+    assert "expands to more than 20000 places" in reported
     assert "holds itself and never ends" in messages(
         load_text("#A: { n: #B }\n#B: { n: #A }\ny: #A\n", kind="")
     )
@@ -301,7 +299,7 @@
 
 
 def allows(value: Value, point: Any) -> bool:
-    """The plain reference: whether a value allows one exact point, alternative by alternative."""
+    """Reference implementation: returns whether a value allows one exact point, by each alternative."""
     for alt in value.alternatives:
         kind = (
             point.kind
@@ -327,7 +325,7 @@
     return False
 
 
-def met(a: Value | None, b: Value | None) -> Value | None:
+def meet_or_none(a: Value | None, b: Value | None) -> Value | None:
     if a is None or b is None:
         return None
     try:
@@ -338,39 +336,39 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(values, values, values)
-def test_meeting_is_commutative_associative_idempotent_and_agrees_with_the_reference(
+def test_meet_is_commutative_associative_idempotent_and_agrees_with_reference(
     a: Value, b: Value, c: Value
 ) -> None:
-    assert met(a, b) == met(b, a)
-    assert met(a, a) == a or met(met(a, a), a) == met(a, a)
-    left, right = met(met(a, b), c), met(a, met(b, c))
+    assert meet_or_none(a, b) == meet_or_none(b, a)
+    assert meet_or_none(a, a) == a or meet_or_none(meet_or_none(a, a), a) == meet_or_none(a, a)
+    left, right = meet_or_none(meet_or_none(a, b), c), meet_or_none(a, meet_or_none(b, c))
     for point in POINTS:
         both = allows(a, point) and allows(b, point)
-        one = met(a, b)
+        one = meet_or_none(a, b)
         assert (one is not None and allows(one, point)) == both, (point, str(a), str(b), str(one))
         assert (left is not None and allows(left, point)) == (right is not None and allows(right, point))
 
 
 @settings(max_examples=30, deadline=None, derandomize=True)
 @given(st.randoms(use_true_random=False))
-def test_the_order_of_saying_makes_no_difference(chance: random.Random) -> None:
+def test_order_of_statements_makes_no_difference(rng: random.Random) -> None:
     parts = GOOD.split("\n", 7)
     head = "\n".join(parts[3:7])
     statements = [*parts[:3], head, *parts[7].splitlines()]
-    chance.shuffle(statements)
-    again = load_text("\n".join([*statements, chance.choice(statements)]))
+    rng.shuffle(statements)
+    again = load_text("\n".join([*statements, rng.choice(statements)]))
     assert messages(again) == "" and again.digest() == load_text(GOOD).digest()
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.fractions(0, 10**6, max_denominator=1000), st.sampled_from(["duration", "rate", "size", "share"]))
-def test_a_quantity_is_spelt_as_it_is_read(value: Fraction, kind: str) -> None:
+def test_formatted_quantity_parses_to_same_value(value: Fraction, kind: str) -> None:
     text = format_quantity(Quantity(value, kind))
     if value:
         assert abs(parse_quantity(text).value - value) <= max(value, Fraction(1)) / 10**6, text
 
 
-# ---- layout, difference, fuzz ------------------------------------------------------------------------------
+# ---- format, changes, fuzz ---------------------------------------------------------------------------------
 
 PIECES = [
     " ",
@@ -410,10 +408,8 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.lists(st.sampled_from(PIECES), max_size=12), st.integers(0, len(GOOD)), st.integers(0, 6))
-def test_layout_is_idempotent_keeps_meaning_and_nothing_crashes(
-    pieces: list[str], at: int, gone: int
-) -> None:
-    text = GOOD[:at] + "".join(pieces) + GOOD[at + gone :]
+def test_formatter_is_idempotent_and_keeps_meaning(pieces: list[str], at: int, removed: int) -> None:
+    text = GOOD[:at] + "".join(pieces) + GOOD[at + removed :]
     before = load_text(text)
     try:
         new = format_text(text)
@@ -434,25 +430,25 @@
         st.lists(st.sampled_from(PIECES), max_size=60).map(lambda p: "".join(p).encode()),
     )
 )
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_any_bytes_are_parsed_or_rejected(data: bytes) -> None:
     loaded = load_text(data.decode("utf-8", "replace"))
     assert loaded.mistakes and all(m.at.line >= 1 and m.reason for m in loaded.mistakes)
 
 
 @pytest.mark.parametrize("text", ["racks: ... [r=string]: 1", "a: ...", "a: b: ... c: 1", "x: [...] & {...}"])
-def test_texts_that_the_long_fuzz_run_broke(text: str) -> None:
+def test_texts_that_crashed_in_fuzzing(text: str) -> None:
     loaded = load_text(text)
     assert loaded.mistakes and all(m.at.line == 1 for m in loaded.mistakes)
 
 
-def test_layout_of_a_file_that_nobody_laid_out() -> None:
+def test_formatter_on_unformatted_file() -> None:
     messy = 'name:"demo"   // who\n\n\n\nterms :{warm_up:6s,\n   cold_share :  30%\n}\nx:*1|>=2&<-3\n'
     assert format_text(messy) == (
         'name: "demo" // who\n\nterms: { warm_up: 6s,\n\tcold_share: 30%\n}\nx: *1 | >=2 & <-3\n'
     )
 
 
-def test_a_difference_is_empty_for_the_same_and_makes_one_of_the_other() -> None:
+def test_changes_are_empty_for_equal_data_and_turn_one_version_into_the_other() -> None:
     a = load_text(GOOD).data
     b = load_text(
         GOOD.replace("warm_up: 6s", "warm_up: 9s, may_probe: true")
@@ -465,11 +461,11 @@
     assert changes(a, a) == []
     found_ = changes(a, b, {"other": 12})
     assert apply_changes(a, found_) == {".".join(p): v for p, v in leaves(b)}
-    # A rack that is only called otherwise stands where it stood: nothing waits for a restart, nothing moves.
+    # A rack that was only renamed keeps its position: no change needs a restart and no title moves.
     c = {**a, "racks": {"east" if name == "b" else name: rack for name, rack in a["racks"].items()}}
     renamed = changes(a, c)
-    assert {r.path.split(".")[1] for r in renamed} == {"b", "east"}
-    assert {(r.effect, r.risk) for r in renamed} == {("at once", "")}
+    assert {change.path.split(".")[1] for change in renamed} == {"b", "east"}
+    assert {(change.effect, change.risk) for change in renamed} == {("at once", "")}
     by_path = {c.path: c for c in found_}
     assert by_path["terms.warm_up"].effect == "restart" and "rule 4" in by_path["terms.warm_up"].risk
     assert by_path["routes.easter.titles.1"].effect == "new viewings"
@@ -483,7 +479,7 @@
     assert "more of them blocked" in by_path["packages.recorded.patience"].risk
 
 
-def test_explain_names_every_place_that_said_something() -> None:
+def test_origins_lists_every_statement_on_a_value() -> None:
     loaded = load_text(GOOD)
     assert loaded.vertex is not None
     vertex = find_vertex(loaded.evaluation, loaded.vertex, ["packages", "live", "patience"])
@@ -493,12 +489,12 @@
     assert find_vertex(loaded.evaluation, loaded.vertex, ["packages", "gold"]) is None
 
 
-def test_the_reference_page_is_the_schema_s() -> None:
+def test_reference_page_matches_schema() -> None:
     page = Path(__file__).parent.parent / "docs" / "config-reference.md"
-    assert page.read_text() == reference() + "\n", "make it anew: ledgehitch config reference"
+    assert page.read_text() == reference() + "\n", "outdated; regenerate it with: ledgehitch config reference"
 
 
-def test_commands_read_the_language_and_json(tmp_path: Path) -> None:
+def test_site_is_read_from_language_and_json(tmp_path: Path) -> None:
     path = tmp_path / "site.lh"
     path.write_text(GOOD)
     assert read_site(path).name == "demo"
@@ -510,9 +506,9 @@
 
 
 def calls_and_bytes(work: Callable[[], object]) -> tuple[int, int]:
-    """Calls of functions (Python's and C's) during `work`, and the most bytes that it held at once.
+    """Returns the number of function calls (Python's and C's) during `work`, and its peak memory in bytes.
 
-    Neither depends on the clock, on other processes, or on what this process held before.
+    Neither depends on the clock, on other processes, or on memory that this process allocated before.
     """
     calls = 0
 
@@ -533,7 +529,7 @@
         tracemalloc.stop()
 
 
-def test_a_large_site_is_checked_with_work_that_grows_with_its_text(tmp_path: Path) -> None:
+def test_work_of_check_grows_linearly_with_text(tmp_path: Path) -> None:
     def write(name: str, hosts: int, routes: int, files: int) -> Path:
         root = tmp_path / name
         (root / "parts").mkdir(parents=True)
@@ -551,10 +547,10 @@
         assert messages(loaded) == "" and loaded.site is not None
 
     small, large = write("small", 70, 150, 30), write("large", 700, 1500, 30)
-    check(small)  # loads the schema, once
+    check(small)  # loads the schema, which is cached
     few, little = calls_and_bytes(lambda: check(small))
     many, much = calls_and_bytes(lambda: check(large))
-    # Ten times the text: ten times the work, and up to a fifth more for sorting.
+    # Ten times the text needs ten times the work, and up to a fifth more for sorting.
     assert many < 12 * few, f"ten times the text took {many / few:.1f} times as many calls"
     assert much < 12 * little, f"ten times the text took {much / little:.1f} times as many bytes"
 
@@ -568,62 +564,72 @@
     return Version(serial, digest_of(data), data)
 
 
-def pulled(r: Reloads) -> list[Any]:
+def take_decisions(reloads: Reloads) -> list[Any]:
     out = []
-    while (decision := r.decide()) is not None:
+    while (decision := reloads.decide()) is not None:
         out.append(decision)
     return out
 
 
-def test_each_case_of_reloads_has_one_result() -> None:
+def test_reload_decisions_by_case() -> None:
     first, second, third = version(1), version(2, n=2), version(3, warm_up=9)
-    r = Reloads(first)
-    r.on_version(second, ["x.lh:1:1: wrong"])
-    assert [type(d) for d in pulled(r)] == [Refuse] and r.running == first, "a bad one is refused whole"
-    r.on_version(second, [])
-    assert pulled(r) == [Apply(second, ()), Keep(second)]
-    r.on_version(third, [])
-    assert pulled(r) == [Apply(third, ("terms.warm_up",)), Keep(third)], "the module knows after a restart"
-    r.on_version(second, [])
-    assert [type(d) for d in pulled(r)] == [Refuse] and r.running == third, "older than what was told"
+    reloads = Reloads(first)
+    reloads.on_version(second, ["x.lh:1:1: wrong"])
+    assert [type(d) for d in take_decisions(reloads)] == [Refuse] and reloads.running == first, (
+        "a version with mistakes is refused as a whole"
+    )
+    reloads.on_version(second, [])
+    assert take_decisions(reloads) == [Apply(second, ()), Keep(second)]
+    reloads.on_version(third, [])
+    assert take_decisions(reloads) == [Apply(third, ("terms.warm_up",)), Keep(third)], (
+        "the decision module gets it after a restart"
+    )
+    reloads.on_version(second, [])
+    assert [type(d) for d in take_decisions(reloads)] == [Refuse] and reloads.running == third, (
+        "older than the newest version"
+    )
     same = Version(4, third.digest, third.data)
-    r.on_version(same, [])
-    assert pulled(r) == [] and r.state()["lags"] is False, "the same again: nothing to do"
-    r.on_drain(True)
+    reloads.on_version(same, [])
+    assert take_decisions(reloads) == [] and reloads.state()["lags"] is False, (
+        "the running digest again: nothing to do"
+    )
+    reloads.on_drain(True)
     back = version(5)
-    r.on_version(back, [])
-    assert pulled(r) == [] and r.state()["lags"] is True, "nothing is applied during a drain"
-    r.on_version(Version(6, third.digest, third.data), [])
-    r.on_drain(False)
-    assert pulled(r) == [] and r.running.serial == 6, (
-        "taken back before it was applied: nothing is left of it"
+    reloads.on_version(back, [])
+    assert take_decisions(reloads) == [] and reloads.state()["lags"] is True, (
+        "nothing is applied during a drain"
+    )
+    reloads.on_version(Version(6, third.digest, third.data), [])
+    reloads.on_drain(False)
+    assert take_decisions(reloads) == [] and reloads.running.serial == 6, (
+        "a change reverted before it was applied has no effect"
     )
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(1, 12), st.integers(0, 3), st.booleans(), st.booleans()), max_size=25))
-def test_reloads_never_go_back_and_end_at_the_newest_good_one(
+def test_reloads_never_go_back_and_end_at_newest_valid_version(
     steps: list[tuple[int, int, bool, bool]],
 ) -> None:
-    r, newest = Reloads(version(0)), version(0)
-    applied_: list[int] = [0]
+    reloads, newest = Reloads(version(0)), version(0)
+    applied_serials: list[int] = [0]
     for serial, n, bad, drain in steps:
         one = version(serial, n=n)
         if not bad and serial > newest.serial:
             newest = one
-        r.on_version(one, ["bad"] if bad else [])
-        r.on_drain(drain)
-        for decision in pulled(r):
+        reloads.on_version(one, ["bad"] if bad else [])
+        reloads.on_drain(drain)
+        for decision in take_decisions(reloads):
             if isinstance(decision, Apply):
-                applied_.append(decision.version.serial)
-        assert applied_ == sorted(applied_)
-    r.on_drain(False)
-    pulled(r)
-    assert r.running.digest == newest.digest and not r.state()["lags"]
+                applied_serials.append(decision.version.serial)
+        assert applied_serials == sorted(applied_serials)
+    reloads.on_drain(False)
+    take_decisions(reloads)
+    assert reloads.running.digest == newest.digest and not reloads.state()["lags"]
 
 
-def test_the_schema_and_the_records_say_the_same() -> None:
-    """Fields, and defaults where both give one, so that JSON and the language mean the same."""
+def test_schema_and_records_agree() -> None:
+    """Fields, and defaults that both define, agree, so JSON and the language have the same meaning."""
     e = Evaluation()
     top = e.evaluate(e.root([schema()]))
     pairs: dict[str, Any] = {
@@ -652,13 +658,13 @@
                 assert found_ == (pytest.approx(default) if isinstance(default, float) else default), field
 
 
-def test_titles_are_placed_before_others_are_withdrawn_and_a_gateway_that_holds_viewings_stays() -> None:
+def test_titles_are_placed_before_withdrawals_and_gateway_with_viewings_is_kept() -> None:
     a = load_text(GOOD).data
     b = load_text(GOOD.replace('"tsoureki"', '"melomakarona"').replace("first: 1", "first: 0")).data
     assert placement_steps(a, b) == (("place", "melomakarona"), ("move", "other"), ("withdraw", "tsoureki"))
-    r = Reloads(Version(0, digest_of(a), a), "g0")
-    gone = load_text(GOOD.replace("gateways: g0", "gateways: g7")).data
-    r.on_version(Version(1, digest_of(gone), gone), [], viewing_count=3)
-    assert [type(d) for d in pulled(r)] == [Refuse] and "drain it first" in r.last_refusal
-    r.on_version(Version(2, digest_of(gone), gone), [], viewing_count=0)
-    assert [type(d) for d in pulled(r)] == [Apply, Keep]
+    reloads = Reloads(Version(0, digest_of(a), a), "g0")
+    removed = load_text(GOOD.replace("gateways: g0", "gateways: g7")).data
+    reloads.on_version(Version(1, digest_of(removed), removed), [], viewing_count=3)
+    assert [type(d) for d in take_decisions(reloads)] == [Refuse] and "drain it first" in reloads.last_refusal
+    reloads.on_version(Version(2, digest_of(removed), removed), [], viewing_count=0)
+    assert [type(d) for d in take_decisions(reloads)] == [Apply, Keep]
