--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,9 @@
-# make run: sets up and starts a gateway with stand-ins. make test: sets up, checks and tests. make day: the bad day.
+# make run: sets up and starts a gateway with stand-ins. make test: sets up, lints, type-checks and runs the tests.
+# make day: runs days/bad-day.lh. make bench: runs the benchmarks.
 VENV ?= .venv
 PY = $(VENV)/bin/python
-# Lanes beside the rest of the tests: of many processes (two), of the platform's sockets. They wait more than they compute.
+# Groups of tests that run in parallel with the rest, since they wait more than they compute: two groups that start
+# many processes, and one that uses the platform's sockets.
 SEVERAL = tests/test_owning.py tests/test_scale.py
 LENDING = tests/test_lending.py tests/test_regions.py
 SOCKETS = tests/test_crossings.py tests/test_final_answers.py tests/test_platform_sockets.py tests/test_ramp.py
@@ -12,7 +14,8 @@
 	touch $@
 
 .PHONY: run test day setup bench
-# Guards against a start that compiles our sources each time, where the file system is read-only after the build.
+# Compiles the sources ahead of time: on a file system that is read-only after the build, each start would otherwise
+# compile them again.
 setup: $(VENV)/ready
 	$(PY) -m compileall -q ledgehitch
 
