--- a/ledgehitch/cli/fleet.py
+++ b/ledgehitch/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`fleet ...`: shows and changes many gateways at once."""
+"""`fleet ...`: many gateways at once."""
 
 import json
 import os
@@ -15,16 +15,16 @@
 from ledgehitch.config import BadInput, Site, read_site
 from ledgehitch.config.site import stated
 from ledgehitch.daemon.facts import PlanCall, PlanMessage
-from ledgehitch.fleet.carry import WITHIN, Caller, Work, trusted
-from ledgehitch.fleet.found import Found, Target, counted
-from ledgehitch.fleet.held import id_of, latest
-from ledgehitch.fleet.journal import Journal, head_of, lines_of, plan_of, unfinished
-from ledgehitch.fleet.owned import Said, cannot_vote, owned
-from ledgehitch.fleet.owned import read as read_owners
-from ledgehitch.fleet.plan import Action, Over, Plan, Rolling, Terms, foretold
-from ledgehitch.fleet.shared import Told, divided, remarks
-from ledgehitch.fleet.shared import read as read_budgets
-from ledgehitch.fleet.show import COLOURS, line_words
+from ledgehitch.fleet.carry import ANSWER_TIMEOUT_S, Caller, PlanRunner, verifying_client
+from ledgehitch.fleet.found import QueryResult, Target, count_by_kind
+from ledgehitch.fleet.held import latest_plan, plan_id_of
+from ledgehitch.fleet.journal import Journal, head_line, plan_at_head, read_lines, unfinished_journals
+from ledgehitch.fleet.owned import OwnersAnswer, summarize_duties, voting_problems
+from ledgehitch.fleet.owned import decode_answer as read_owners
+from ledgehitch.fleet.plan import Action, Finished, Plan, RollingChange, Terms, preview_groups
+from ledgehitch.fleet.shared import BudgetReport, remarks, summarize_budgets
+from ledgehitch.fleet.shared import decode_report as read_budgets
+from ledgehitch.fleet.show import KIND_COLOURS, format_line
 from ledgehitch.gateway.versions import compile_site
 from ledgehitch.http import ConnectFailed, Interrupted
 from ledgehitch.http.client import TLS
@@ -80,13 +80,13 @@
         if self.cert is None:
             return Caller(loop, self.within)
         names = {target.at: target.name for target in self.targets()}
-        client = trusted(loop, Keys(self.cert.parent), self.cert, names)
+        client = verifying_client(loop, Keys(self.cert.parent), self.cert, names)
         return Caller(loop, self.within, client)
 
-    def query_states(self, only: tuple[str, ...] = ()) -> list[Found]:
+    def query_states(self, only: tuple[str, ...] = ()) -> list[QueryResult]:
         """Returns the state of each gateway, including those that do not answer."""
         loop = Loop()
-        states: list[Found] = loop.run(lambda: self.caller(loop).ask_all(self.targets(only)))
+        states: list[QueryResult] = loop.run(lambda: self.caller(loop).ask_all(self.targets(only)))
         return states
 
     def request_all(
@@ -123,10 +123,10 @@
         loop.run(main)
         return [responses[target.name] for target in self.targets(only)]
 
-    def owner_reports(self) -> list[Said]:
+    def owner_reports(self) -> list[OwnersAnswer]:
         """Returns what each gateway reports on the owners of the duties."""
         return [
-            read_owners(name, status, body) if status else Said(name, None, body.decode())
+            read_owners(name, status, body) if status else OwnersAnswer(name, None, body.decode())
             for name, status, body, _ in self.request_all("GET", "/v1/owners")
         ]
 
@@ -183,7 +183,7 @@
 @click.option(
     "--within",
     type=click.FloatRange(0.01, 600),
-    default=WITHIN,
+    default=ANSWER_TIMEOUT_S,
     show_default=True,
     help="Seconds to wait for one gateway's answer.",
 )
@@ -218,11 +218,11 @@
     else:
         console = Console(highlight=False, width=None if sys.stdout.isatty() else 140)
         console.print(status_table(states, {target.name: target for target in context.targets(gateways)}))
-        console.print(", ".join(f"{number} {kind}" for kind, number in counted(states).items()))
+        console.print(", ".join(f"{number} {kind}" for kind, number in count_by_kind(states).items()))
     sys.exit(0 if all(state.kind in HEALTHY_KINDS for state in states) else 1)
 
 
-def status_table(states: list[Found], targets: dict[str, Target]) -> Table:
+def status_table(states: list[QueryResult], targets: dict[str, Target]) -> Table:
     """Returns the table of `fleet status`, with one row per gateway."""
     table = Table(
         "gateway", "hall", "rack", "is", "viewings", "asked", "blocked", "p50", "p99", "up", "why", box=None
@@ -233,7 +233,7 @@
             answer.name,
             target.zone,
             target.rack,
-            f"[{COLOURS.get(answer.kind, 'bold red')}]{answer.kind}[/]",
+            f"[{KIND_COLOURS.get(answer.kind, 'bold red')}]{answer.kind}[/]",
         ]
         if state is None:
             row += ["-"] * 6
@@ -333,7 +333,7 @@
         timestamp = time.strftime("%Y%m%d-%H%M%S", time.gmtime())
         plan = Plan(f"{timestamp}-{os.getpid()}-{action}", action, context.targets(gateways), terms, digest)
         if only_plan:
-            for number, group in enumerate(foretold(plan), 1):
+            for number, group in enumerate(preview_groups(plan), 1):
                 click.echo(f"{number}. {action} {', '.join(group)}")
             return
         if by_fleet:
@@ -344,13 +344,13 @@
                 f"{answer['id']} is stored by a majority and executed by the fleet; see `fleet plan status`"
             )
             return
-        unfinished_plans = unfinished(context.plans) if context.plans.is_dir() else []
+        unfinished_plans = unfinished_journals(context.plans) if context.plans.is_dir() else []
         if unfinished_plans:
             raise BadInput(
                 f"{unfinished_plans[-1]} is not at its end: run `fleet resume` or `fleet give-up` first"
             )
         journal = Journal(context.plans / f"{plan.id}.journal", context.lock_file())
-        journal.append(head_of(plan))
+        journal.append(head_line(plan))
         _run_plan(context, journal, plan)
 
     return command
@@ -381,7 +381,7 @@
 
     Exit code 1 if a duty has no known owner."""
     reports = context.owner_reports()
-    duties = owned(reports, context.regions())
+    duties = summarize_duties(reports, context.regions())
     if as_json:
         answers = {
             report.name: report.state if report.state is not None else {"silent": report.why}
@@ -404,7 +404,7 @@
                 reason,
             )
         Console(highlight=False, width=None if sys.stdout.isatty() else 160).print(table)
-        for line in cannot_vote(reports):
+        for line in voting_problems(reports):
             click.echo(line)
     sys.exit(0 if duties and all(duty.kind == "owned" for duty in duties) else 1)
 
@@ -417,14 +417,14 @@
     """Shows how the limits of the whole fleet are divided: own parts, loans, use and demand.
 
     Exit code 1 if a gateway is limited to its own part or does not answer, or if sums do not add up."""
-    answers, silent = dict[str, Told](), list[tuple[str, str]]()
+    answers, silent = dict[str, BudgetReport](), list[tuple[str, str]]()
     for name, status, body, _ in context.request_all("GET", "/v1/budgets"):
         answer = read_budgets(body) if status == 200 else _problem_detail(body) or f"it answers {status}"
         if isinstance(answer, str):
             silent.append((name, answer))
         else:
             answers[name] = answer
-    divisions, lines = divided(answers), remarks(answers, silent)
+    divisions, lines = summarize_budgets(answers), remarks(answers, silent)
     if as_json:
         click.echo(
             msgspec.json.encode({"budgets": divisions, "gateways": answers, "silent": silent}).decode()
@@ -490,8 +490,10 @@
                 held.append(msgspec.convert(message, PlanMessage))
         except (msgspec.MsgspecError, KeyError):
             silent.append(name)
-    last = latest(held)
-    doing = next((duty.doing for duty in owned(context.owner_reports()) if duty.duty == "restarts"), "")
+    last = latest_plan(held)
+    doing = next(
+        (duty.doing for duty in summarize_duties(context.owner_reports()) if duty.duty == "restarts"), ""
+    )
     holding_latest = [message for message in held if last is not None and message.order() == last.order()]
     out = {
         "plan": msgspec.to_builtins(last) if last else None,
@@ -507,7 +509,7 @@
     else:
         reason = f", {last.why}" if last.why else ""
         stored_by = f"stored by {len(holding_latest)} of {len(answers)} gateways"
-        click.echo(f"{id_of(last)}: {last.word}{reason}; {stored_by}")
+        click.echo(f"{plan_id_of(last)}: {last.word}{reason}; {stored_by}")
         click.echo(doing or "no known owner at present: the plan makes no progress")
     sys.exit(0 if len(silent) * 2 < len(answers) else 1)
 
@@ -532,16 +534,18 @@
 def _run_plan(context: FleetContext, journal: Journal, plan: Plan) -> None:
     """Executes a plan and prints its progress; exits with code 1 if it stops before its end."""
     loop = Loop()
-    rolling = Rolling(time.monotonic(), plan, journal.lines[1:])
+    rolling = RollingChange(time.monotonic(), plan, journal.lines[1:])
 
     def print_line(line: dict[str, Any]) -> None:
-        click.echo(line_words(line))
+        click.echo(format_line(line))
 
     try:
-        result: Over = loop.run(lambda: Work(loop, context.caller(loop), journal, rolling, print_line).run())
+        result: Finished = loop.run(
+            lambda: PlanRunner(loop, context.caller(loop), journal, rolling, print_line).run()
+        )
     finally:
         journal.close()
-    click.echo(", ".join(f"{number} {step}" for step, number in sorted(rolling.told().items())))
+    click.echo(", ".join(f"{number} {step}" for step, number in sorted(rolling.count_by_step().items())))
     if not result.ended:
         click.echo(f"stopped: {result.why}\njournal: {journal.path}; continue with `fleet resume`", err=True)
         sys.exit(1)
@@ -555,7 +559,7 @@
     """Resumes a plan that was interrupted or stopped; the newest one by default."""
     path = _plan_journal(context, journal_file)
     journal = Journal(path, context.lock_file())
-    plan = plan_of(journal.lines, path)
+    plan = plan_at_head(journal.lines, path)
     if again:
         journal.append({"ev": "again"})
     _run_plan(context, journal, plan)
@@ -575,7 +579,7 @@
     """Returns the named journal, or that of the newest unfinished plan; raises BadInput if there is none."""
     if named is not None:
         return named
-    unfinished_plans = unfinished(context.plans) if context.plans.is_dir() else []
+    unfinished_plans = unfinished_journals(context.plans) if context.plans.is_dir() else []
     if not unfinished_plans:
         raise BadInput(f"{context.plans}: no plan is under way")
     return unfinished_plans[-1]
@@ -591,15 +595,15 @@
     path = journal_file or (journals[-1] if journals else None)
     if path is None:
         raise BadInput(f"{context.plans}: no plan journals found")
-    for line in lines_of(path):
+    for line in read_lines(path):
         if as_json:
             click.echo(json.dumps(line))
         elif line["ev"] == "plan":
-            plan = plan_of([line], path)
+            plan = plan_at_head([line], path)
             click.echo(f"{plan.id}: {plan.action} of {len(plan.targets)} gateways")
         else:
             at = time.strftime("%H:%M:%S", time.gmtime(line.get("t", 0)))
-            click.echo(f"{at}  {line_words(line)}")
+            click.echo(f"{at}  {format_line(line)}")
 
 
 @fleet.command()
@@ -622,7 +626,7 @@
     options += ["--admin-dir", str(context.admin_dir)] if context.admin_dir is not None else []
     options += ["--cert", str(context.cert)] if context.cert is not None else []
 
-    async def fetch() -> tuple[list[Found], list[dict[str, Any]]]:
+    async def fetch() -> tuple[list[QueryResult], list[dict[str, Any]]]:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -638,6 +642,6 @@
         if process.returncode not in (0, 1):
             raise ValueError(err.decode("utf-8", "replace").strip()[-200:])
         journals = sorted(context.plans.glob("*.journal"))
-        return msgspec.json.decode(out, type=list[Found]), lines_of(journals[-1]) if journals else []
+        return msgspec.json.decode(out, type=list[QueryResult]), read_lines(journals[-1]) if journals else []
 
     FleetScreen(fetch, {target.name: target.zone for target in context.targets()}, every).run()
--- a/ledgehitch/cli/lab.py
+++ b/ledgehitch/cli/lab.py
@@ -89,7 +89,7 @@
     for name in (a, b):
         if name not in known:
             raise BadInput(
-                f"{results}: no {by} {name!r} with this code version, known are: {', '.join(known) or 'none'}"
+                f"{results}: no {by} {name!r} with this code, there are: {', '.join(known) or 'none'}"
             )
     answers = compared(rows, a, b, measures, by)
     if as_json:
