--- a/ledgehitch/cli/days.py
+++ b/ledgehitch/cli/days.py
@@ -34,7 +34,7 @@
     """Runs DAY on loopback. Exit codes: 0 all rules held, 1 a rule was broken, 2 bad input."""
     day = read_day(day_file)
     if directory is not None and directory.exists() and any(directory.iterdir()):
-        raise BadInput(f"{directory}: is not empty, and existing traces are never overwritten")
+        raise BadInput(f"{directory}: is not empty, and existing traces are never written over")
     result = rehearse(day, seed if seed is not None else day.seed, directory, record)
     if as_json:
         click.echo(json.dumps(result.told(), indent=1))
@@ -90,7 +90,7 @@
         None,
     )
     if site_file is None or not list(tape_directory.glob("*.tape")):
-        raise BadInput(f"{directory}: expected *.tape files and their site.json")
+        raise BadInput(f"{directory}: no tapes with their site.json found")
     breaches, entry_counts = check_tapes(tape_directory, rule_parameters(read_site(site_file)))
     if as_json:
         rows = [
--- a/ledgehitch/cli/scale.py
+++ b/ledgehitch/cli/scale.py
@@ -54,7 +54,7 @@
     plan = read_plan(plan_file, members or 0, seed)
     check(plan, str(plan_file), this_machine())
     if directory is not None and directory.exists() and any(directory.iterdir()):
-        raise BadInput(f"{directory}: is not empty, and existing traces are never overwritten")
+        raise BadInput(f"{directory}: is not empty, and existing traces are never written over")
     directory = directory or Path(tempfile.mkdtemp(prefix="ledgehitch-scale-"))
     arguments = [
         str(plan_file),
