--- a/ledgehitch/cli/config.py
+++ b/ledgehitch/cli/config.py
@@ -14,7 +14,7 @@
 from ledgehitch.config import BadInput
 from ledgehitch.config.change import changes
 from ledgehitch.config.explain import found, origins, reference
-from ledgehitch.config.layout import laid_out
+from ledgehitch.config.layout import format_text
 from ledgehitch.config.load import Loaded, canonical, load
 from ledgehitch.config.syntax import Malformed
 
@@ -42,7 +42,7 @@
 def _print_mistakes(loaded: Loaded) -> None:
     """Prints each mistake to standard error, with the source line and a caret under the column."""
     for mistake in loaded.mistakes:
-        click.echo(mistake.told(), err=True)
+        click.echo(mistake.describe(), err=True)
         line = loaded.line(mistake.at)
         if line.strip():
             text = line.expandtabs(4)
@@ -89,11 +89,11 @@
     for path in files:
         try:
             text = path.read_text("utf-8")
-            formatted = laid_out(text, path.name)
+            formatted = format_text(text, path.name)
         except (OSError, UnicodeDecodeError) as error:
             raise BadInput(f"{path}: cannot be read: {error}") from None
         except Malformed as error:
-            raise BadInput(error.mistake.told()) from None
+            raise BadInput(error.mistake.describe()) from None
         if formatted != text:
             changed = True
             if only_check:
--- a/tests/test_owning.py
+++ b/tests/test_owning.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ledgehitch.config import BadInput, Fault, read_day
-from ledgehitch.config.day import BETWEEN
+from ledgehitch.config.day import DAEMON_FAULTS
 from ledgehitch.proof.owned import check_owners
 from ledgehitch.proof.tape import Line
 from ledgehitch.rehearsal.fleet import FleetRig
@@ -62,8 +62,8 @@
 
 
 def test_gateway_killed_after_its_restart_is_not_restarted_again(tmp_path: Path) -> None:
-    """Regression (random script, seed 101): a gateway that was killed after its restart and started by another
-    party did not report the ticket of the plan, so the plan restarted it a second time."""
+    """Regression (random script, seed 101): a gateway that was killed after its restart and then started by
+    another party did not report the ticket of the plan, so the plan restarted it a second time."""
 
     def script(rig: FleetRig) -> None:
         rig.start_all()
@@ -350,7 +350,7 @@
 
 
 def test_day_of_one_process_rejects_faults_between_daemons(tmp_path: Path) -> None:
-    for kind in BETWEEN:
+    for kind in DAEMON_FAULTS:
         raw = {
             "name": "d",
             "length": 9.0,
