--- a/ledgehitch/config/change.py
+++ b/ledgehitch/config/change.py
@@ -97,11 +97,11 @@
         watching = (
             f", {viewings_by_title[path[1]]} viewings hold it now" if viewings_by_title.get(path[1]) else ""
         )
-        return f"{path[1]!r} is not placed any more: who asks for it gets 404{watching}"
+        return f"{path[1]!r} is not placed any more: requests for it get 404{watching}"
     if path[0] == "racks" and new is None and "hosts" in path:
         return "one media host fewer holds the titles of its cell; the cells after it move"
     if path[-1] == "seats" and isinstance(new, (int, float)) and new and (not old or new < old):
-        return "gateways that hold more keep them and take none until they are under it"
+        return "gateways that hold more keep them and take no more until they are below it"
     if (
         path[-1] == "patience"
         and isinstance(new, (int, float))
@@ -110,19 +110,19 @@
     ):
         return "viewers are answered sooner, more of them blocked"
     if path[0] == "door" and isinstance(new, (int, float)) and 0 < new < (old or float("inf")):
-        return "who is over it is turned away at once; what is let in already stays"
+        return "clients over the limit are refused at once; admitted viewings stay"
     if path[-1] == "floor" and isinstance(new, (int, float)) and new > (old or 0):
         return "more is blocked where links are full"
     if path[-1] in ("fall_multiple", "cold_share", "warm_up") and path[0] == "terms":
-        return "rule 4 is reckoned by it: wrong figures push cold media hosts over"
+        return "rule 4 depends on it: wrong values overload cold media hosts"
     if path[0] == "gateways" and path[-1] == "gone" and new:
-        return "it must not run: others stop counting its vote and lend its part; restart all others"
+        return "it must not run: others stop counting its vote and lend its share; restart all others"
     if path[0] == "regions" and path[-1] == "gone" and new:
         return "none of its gateways may run: the others get its share; restart all others"
     if path[0] == "regions":
         return "owners and shares of regions change: restart all gateways, few at a time"
     if path[0] == "gateways" and (old is None or new is None):
-        return "every gateway's part of shared limits changes: restart all of them, few at a time"
+        return "every gateway's share of the fleet's limits changes: restart all of them, few at a time"
     return ""
 
 
--- a/ledgehitch/config/day.py
+++ b/ledgehitch/config/day.py
@@ -25,45 +25,51 @@
 
 
 KINDS: dict[str, Kind] = {
-    "crash": Kind("hosts", "the process dies with resets and comes back cold when it is over"),
-    "vanish": Kind("hosts", "the machine goes silent and comes back cold"),
-    "hang": Kind("hosts", "takes set-ups and answers nothing; what plays gets nothing"),
-    "slow": Kind("hosts", "set-ups take `size` times as long, the link gives as much less", (1, 100)),
+    "crash": Kind("hosts", "the process dies, connections are reset, and it restarts cold at the end"),
+    "vanish": Kind("hosts", "the machine stops answering and returns cold"),
+    "hang": Kind("hosts", "accepts set-ups without an answer; playing viewings get no data"),
+    "slow": Kind(
+        "hosts", "set-ups take `size` times as long, the link capacity is divided by `size`", (1, 100)
+    ),
     "neighbour": Kind(
-        "links", "another program takes `size` of the link, `extra` s on and off", (0, 0.95), (0.05, 60)
+        "links", "another program uses `size` of the link, on and off every `extra` s", (0, 0.95), (0.05, 60)
     ),
-    "fast_errors": Kind("hosts", "`size` of the set-ups fail at once", (0, 1)),
+    "fast_errors": Kind("hosts", "`size` of the set-ups fail immediately", (0, 1)),
     "answers_lost": Kind(
         "hosts",
-        "of `size` of the set-ups that run the answer is lost: silence, or a reset where `extra` is 1",
+        "the answers of `size` of the running set-ups are lost: no answer, or a reset if `extra` is 1",
         (0, 1),
         (0, 1),
     ),
     "bad_answers": Kind(
-        "hosts", "`size` of the set-ups answer with half an answer, a wrong SDP, or twice, in turn", (0, 1)
+        "hosts",
+        "`size` of the set-ups answer with a truncated answer, a wrong SDP, or twice, in turn",
+        (0, 1),
     ),
-    "link_shrink": Kind("links", "the link gives 1 / `size`", (1, 100)),
-    "uplink_shrink": Kind("uplinks", "the rack's uplink gives 1 / `size`", (1, 100)),
+    "link_shrink": Kind("links", "the link has 1 / `size` of its capacity", (1, 100)),
+    "uplink_shrink": Kind("uplinks", "the rack's uplink has 1 / `size` of its capacity", (1, 100)),
     "deploy": Kind(
         "hosts",
         "hosts are replaced, `size` of the fleet at a time, drained for `extra` s; successors start cold",
         (0.01, 1),
         (0, 60),
     ),
-    "burst": Kind("viewers", "viewers come at `size` times the rate", (1, 100)),
-    "crowd": Kind("viewers", "`size` of the viewers want one title that few hold", (0, 1)),
-    "rack_stalls": Kind("viewers", "`size` of the reports of players fed from one rack tell stalls", (0, 1)),
-    "title_stalls": Kind("viewers", "`size` of the reports of players of one title tell stalls", (0, 1)),
+    "burst": Kind("viewers", "viewers arrive at `size` times the rate", (1, 100)),
+    "crowd": Kind("viewers", "`size` of the viewers request one title that few hosts hold", (0, 1)),
+    "rack_stalls": Kind(
+        "viewers", "`size` of the reports of players served by one rack report stalls", (0, 1)
+    ),
+    "title_stalls": Kind("viewers", "`size` of the reports of players of one title report stalls", (0, 1)),
     "gateways_killed": Kind(
         "gateways",
         "gateways are killed in waves, `size` of them at a time, and start again after `extra` s",
         (0.01, 1),
         (0, 30),
     ),
-    "gateways_still": Kind("gateways", "gateways stand still (are stopped) and go on when it is over"),
-    "peers_lost": Kind("peers", "`size` of the messages between gateways is lost", (0, 1)),
-    "list_late": Kind("list", "news of media hosts come `size` s later", (0, 60)),
-    "list_lost": Kind("list", "the list service is away"),
+    "gateways_still": Kind("gateways", "gateways are stopped and continue at the end"),
+    "peers_lost": Kind("peers", "`size` of the messages between gateways are lost", (0, 1)),
+    "list_late": Kind("list", "updates of the list of media hosts arrive `size` s late", (0, 60)),
+    "list_lost": Kind("list", "the list service is unavailable"),
 }
 
 
@@ -71,15 +77,18 @@
 DAEMON_FAULTS: dict[str, Kind] = {
     "wires_cut": Kind(
         "daemons",
-        "`who` and the others are cut from each other; `extra` 1: it is not heard, 2: it does not hear",
+        "`who` is partitioned from the others; `extra` 1: only its messages are lost, 2: only those to it",
         None,
         (0, 2),
     ),
     "wires_bad": Kind(
-        "daemons", "`size` of what daemons say is lost and doubled, late by up to `extra` s", (0, 1), (0, 60)
+        "daemons",
+        "`size` of the daemons' messages are lost, as many duplicated; delays up to `extra` s",
+        (0, 1),
+        (0, 60),
     ),
-    "daemon_still": Kind("daemons", "`who` stands still (is stopped) and goes on when it is over"),
-    "daemon_killed": Kind("daemons", "`who` is killed and starts again when it is over"),
+    "daemon_still": Kind("daemons", "`who` is stopped and continues at the end"),
+    "daemon_killed": Kind("daemons", "`who` is killed and restarts at the end"),
 }
 
 
