--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -19,8 +19,8 @@
 from ledgehitch.door.names import client_name
 from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.gateway.joins import JoinTimes
-from ledgehitch.gateway.mind import RecordedModule
 from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
+from ledgehitch.gateway.recorded_module import RecordedModule
 from ledgehitch.gateway.roll import HostEntry
 from ledgehitch.gateway.watch import Follow, HostLost, HostMonitor, Unfollow
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Response
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -27,9 +27,9 @@
 from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.gateway.front import HttpFrontend
 from ledgehitch.gateway.listing import HostListClient
-from ledgehitch.gateway.mind import RecordedModule
 from ledgehitch.gateway.peers import PeerCodec
 from ledgehitch.gateway.record import Recorder
+from ledgehitch.gateway.recorded_module import RecordedModule
 from ledgehitch.gateway.reports import ReportService, TokenIssuer
 from ledgehitch.gateway.versions import CompiledSite, SiteReloader
 from ledgehitch.gateway.watch import HostMonitor
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -296,7 +296,7 @@
 
 
 def test_a_record_rotates_and_each_segment_replays_from_its_own_checkpoint(tmp_path: Path) -> None:
-    from ledgehitch.gateway.mind import RecordedModule
+    from ledgehitch.gateway.recorded_module import RecordedModule
 
     module = RecordedModule(make_gateway(), Recorder(tmp_path / "r", segment_bytes=20000, max_segments=3))
     for n in range(300):
