--- a/benchmarks/doorway.py
+++ b/benchmarks/doorway.py
@@ -19,7 +19,7 @@
 from benchmarks.gateway import Process, loaded
 from ledgehitch.config import Day, read_site
 from ledgehitch.door.baselines import AdmitAll, FifoQueue, TokenBuckets
-from ledgehitch.gateway.doorman import AdmissionService
+from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.gateway.serve import RunningGateway, print_ready
 from ledgehitch.http import Client, ConnectFailed, Interrupted, NoAnswer, Request
 from ledgehitch.loop import Event, Loop, TimedOut
--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -29,7 +29,7 @@
 from ledgehitch.config import Site
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.daemon.owning import SHARE_NOT_RELEASED, Owning
-from ledgehitch.gateway.doorman import AdmissionService
+from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.loop import Loop
 from ledgehitch.owners.facts import BUDGETS, MemberLists
 from ledgehitch.owners.words import NO_MEMBER
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -17,7 +17,7 @@
 from ledgehitch import interface
 from ledgehitch.door.decide import Admit
 from ledgehitch.door.names import client_name
-from ledgehitch.gateway.doorman import AdmissionService
+from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.gateway.joins import JoinTimes
 from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.gateway.recorded_module import RecordedModule
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -23,8 +23,8 @@
 from ledgehitch.config.site import active_gateways, can_lend_budgets, rack_name
 from ledgehitch.door.decide import AdmissionController
 from ledgehitch.door.names import DEFAULT_ORDER
+from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.gateway.carry import Executor
-from ledgehitch.gateway.doorman import AdmissionService
 from ledgehitch.gateway.front import HttpFrontend
 from ledgehitch.gateway.listing import HostListClient
 from ledgehitch.gateway.peers import PeerCodec
--- a/ledgehitch/scale/hollow.py
+++ b/ledgehitch/scale/hollow.py
@@ -21,7 +21,7 @@
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.daemon.owning import Owning, Work
 from ledgehitch.door.rates import SET_UPS, offers_budget
-from ledgehitch.gateway.doorman import AdmissionService
+from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.http import Refused, Request, Response, Server
 from ledgehitch.keys.store import read_key_ring
 from ledgehitch.loop import Event, Loop, Task, endpoint
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -21,7 +21,7 @@
 from ledgehitch.door.queue import CELL_CAPACITY, QUEUE_CAPACITY, REKEY_PERIOD_S, FairQueue, QueuedRequest
 from ledgehitch.door.rates import ClientRateLimits, PackageRateLimits
 from ledgehitch.door.returns import EARLY_S, LATE_S, ReturnSlots, ReturnTickets
-from ledgehitch.gateway.doorman import AdmissionService
+from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.http import Limits, Request, Response
 from ledgehitch.lab.facts import PORTS
 from ledgehitch.loop import connect, endpoint
