--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -27,7 +27,7 @@
 from ledgehitch.config.load import load
 from ledgehitch.fleet.carry import Caller
 from ledgehitch.fleet.found import Target, count_by_kind
-from ledgehitch.gateway.roll import HostList, HostListUpdate
+from ledgehitch.gateway.host_list import HostList, HostListUpdate
 from ledgehitch.loop import Loop
 from ledgehitch.owners.facts import BUDGETS, DUTIES
 from ledgehitch.scale.facts import Point, kept_now, load_now, write_kept
--- a/ledgehitch/gateway/listing.py
+++ b/ledgehitch/gateway/listing.py
@@ -9,7 +9,7 @@
 import structlog
 
 from ledgehitch.gateway.carry import Executor
-from ledgehitch.gateway.roll import RECONNECT_DELAY_S, HostList, HostListUpdate
+from ledgehitch.gateway.host_list import RECONNECT_DELAY_S, HostList, HostListUpdate
 from ledgehitch.http import ConnectFailed, Interrupted, parse_events
 from ledgehitch.loop import Loop, TimedOut
 
--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -14,7 +14,7 @@
 from ledgehitch.config import Day, Site
 from ledgehitch.config.site import facts_of
 from ledgehitch.door.decide import AdmissionController
-from ledgehitch.gateway.roll import RECONNECT_DELAY_S
+from ledgehitch.gateway.host_list import RECONNECT_DELAY_S
 from ledgehitch.gateway.watch import LOSS_TIMEOUT_S, MIN_RETRY_DELAY_S
 from ledgehitch.interface import Fleet, Ladder, Package, Row, Terms
 from ledgehitch.model.agenda import Agenda
--- a/ledgehitch/scale/tables.py
+++ b/ledgehitch/scale/tables.py
@@ -423,7 +423,7 @@
         "read_cpu_s",
         "s",
         lambda t: float(t.readings.servers),
-        "`gateway/roll.py`, `brain.py`",
+        "`gateway/host_list.py`, `brain.py`",
         lambda t: t.delivery_within_s,
     ),
     Need(
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,6 +11,7 @@
 
 from ledgehitch.config import BadInput, Day, facts_of, read_day, read_site
 from ledgehitch.config.site import check
+from ledgehitch.gateway.host_list import HostEntry, HostList, HostListUpdate
 from ledgehitch.gateway.peers import MAX_CLOCK_DIFFERENCE_S, MAX_DATAGRAM_BYTES, DatagramRejected, PeerCodec
 from ledgehitch.gateway.record import (
     BadRecord,
@@ -21,7 +22,6 @@
     segment_paths,
 )
 from ledgehitch.gateway.replay import replay_record
-from ledgehitch.gateway.roll import HostEntry, HostList, HostListUpdate
 from ledgehitch.gateway.watch import (
     LOSS_TIMEOUT_S,
     SILENCE_TIMEOUT_S,
