--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -26,7 +26,7 @@
 from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.gateway.carry import Executor
 from ledgehitch.gateway.front import HttpFrontend
-from ledgehitch.gateway.listing import HostListClient
+from ledgehitch.gateway.host_list_client import HostListClient
 from ledgehitch.gateway.peers import PeerCodec
 from ledgehitch.gateway.record import Recorder
 from ledgehitch.gateway.recorded_module import RecordedModule
