--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -19,10 +19,10 @@
 from ledgehitch.door.names import client_name
 from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.gateway.host_list import HostEntry
+from ledgehitch.gateway.host_monitor import Follow, HostLost, HostMonitor, Unfollow
 from ledgehitch.gateway.joins import JoinTimes
 from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
 from ledgehitch.gateway.recorded_module import RecordedModule
-from ledgehitch.gateway.watch import Follow, HostLost, HostMonitor, Unfollow
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Response
 from ledgehitch.http.events import parse_events
 from ledgehitch.interface import Outcome, Package
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -27,12 +27,12 @@
 from ledgehitch.gateway.carry import Executor
 from ledgehitch.gateway.front import HttpFrontend
 from ledgehitch.gateway.host_list_client import HostListClient
+from ledgehitch.gateway.host_monitor import HostMonitor
 from ledgehitch.gateway.peers import PeerCodec
 from ledgehitch.gateway.record import Recorder
 from ledgehitch.gateway.recorded_module import RecordedModule
 from ledgehitch.gateway.reports import ReportService, TokenIssuer
 from ledgehitch.gateway.versions import CompiledSite, SiteReloader
-from ledgehitch.gateway.watch import HostMonitor
 from ledgehitch.http import Limits, Server
 from ledgehitch.keys.store import read_key_ring
 from ledgehitch.loop import Datagrams, Event, Loop, endpoint
--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -15,7 +15,7 @@
 from ledgehitch.config.site import facts_of
 from ledgehitch.door.decide import AdmissionController
 from ledgehitch.gateway.host_list import RECONNECT_DELAY_S
-from ledgehitch.gateway.watch import LOSS_TIMEOUT_S, MIN_RETRY_DELAY_S
+from ledgehitch.gateway.host_monitor import LOSS_TIMEOUT_S, MIN_RETRY_DELAY_S
 from ledgehitch.interface import Fleet, Ladder, Package, Row, Terms
 from ledgehitch.model.agenda import Agenda
 from ledgehitch.model.front import Front
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -12,6 +12,14 @@
 from ledgehitch.config import BadInput, Day, facts_of, read_day, read_site
 from ledgehitch.config.site import check
 from ledgehitch.gateway.host_list import HostEntry, HostList, HostListUpdate
+from ledgehitch.gateway.host_monitor import (
+    LOSS_TIMEOUT_S,
+    SILENCE_TIMEOUT_S,
+    Follow,
+    HostLost,
+    HostMonitor,
+    Unfollow,
+)
 from ledgehitch.gateway.peers import MAX_CLOCK_DIFFERENCE_S, MAX_DATAGRAM_BYTES, DatagramRejected, PeerCodec
 from ledgehitch.gateway.record import (
     BadRecord,
@@ -22,14 +30,6 @@
     segment_paths,
 )
 from ledgehitch.gateway.replay import replay_record
-from ledgehitch.gateway.watch import (
-    LOSS_TIMEOUT_S,
-    SILENCE_TIMEOUT_S,
-    Follow,
-    HostLost,
-    HostMonitor,
-    Unfollow,
-)
 from ledgehitch.signalling import (
     AbandonViewing,
     Answer,
