--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -17,7 +17,7 @@
 import msgspec
 from blake3 import blake3
 
-from ledgehitch.gateway.carry import LAYER_RELATION, Executor, Viewing
+from ledgehitch.gateway.executor import LAYER_RELATION, Executor, Viewing
 from ledgehitch.gateway.reports import REPORTS_RELATION, ReportService, TokenIssuer
 from ledgehitch.http import Feed, NoAnswer, Refused, Request, Response, problem
 from ledgehitch.http.events import encode_event
--- a/ledgehitch/gateway/host_list_client.py
+++ b/ledgehitch/gateway/host_list_client.py
@@ -8,7 +8,7 @@
 import msgspec
 import structlog
 
-from ledgehitch.gateway.carry import Executor
+from ledgehitch.gateway.executor import Executor
 from ledgehitch.gateway.host_list import RECONNECT_DELAY_S, HostList, HostListUpdate
 from ledgehitch.http import ConnectFailed, Interrupted, parse_events
 from ledgehitch.loop import Loop, TimedOut
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -24,7 +24,7 @@
 from ledgehitch.door.decide import AdmissionController
 from ledgehitch.door.names import DEFAULT_ORDER
 from ledgehitch.gateway.admission import AdmissionService
-from ledgehitch.gateway.carry import Executor
+from ledgehitch.gateway.executor import Executor
 from ledgehitch.gateway.front import HttpFrontend
 from ledgehitch.gateway.host_list_client import HostListClient
 from ledgehitch.gateway.host_monitor import HostMonitor
--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -1,6 +1,6 @@
 """A gateway in virtual time: the decision module, desk and gate of the running one, carried out on the model.
 
-What `gateway/carry.py` does with sockets and tasks is done here with calls at later times; what is decided is
+What `gateway/executor.py` does with sockets and tasks is done here with calls at later times; what is decided is
 decided by the same modules.
 """
 
@@ -12,7 +12,7 @@
 from ledgehitch import interface as say
 from ledgehitch.door.decide import AdmissionController, Admit
 from ledgehitch.door.names import client_name
-from ledgehitch.gateway.carry import COMMAND_TIMEOUT_S, PROBE_TIMEOUT_S
+from ledgehitch.gateway.executor import COMMAND_TIMEOUT_S, PROBE_TIMEOUT_S
 from ledgehitch.interface import Outcome, Package, Row
 from ledgehitch.model.media import Loads, MediaHost, Session
 from ledgehitch.model.spoilt import OpenGate
