--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -25,9 +25,9 @@
 from ledgehitch.door.names import DEFAULT_ORDER
 from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.gateway.executor import Executor
-from ledgehitch.gateway.front import HttpFrontend
 from ledgehitch.gateway.host_list_client import HostListClient
 from ledgehitch.gateway.host_monitor import HostMonitor
+from ledgehitch.gateway.http_frontend import HttpFrontend
 from ledgehitch.gateway.peers import PeerCodec
 from ledgehitch.gateway.record import Recorder
 from ledgehitch.gateway.recorded_module import RecordedModule
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -340,7 +340,7 @@
         return real(registry, now) if isinstance(decision, Answer) else decision
 
     monkeypatch.setattr(ViewingRegistry, "decide", mute)
-    monkeypatch.setattr("ledgehitch.gateway.front.ANSWER_GRACE_S", 30.0)
+    monkeypatch.setattr("ledgehitch.gateway.http_frontend.ANSWER_GRACE_S", 30.0)
     taped_rig = TapedRig(tmp_path)
     rig = Rig(
         {"*": taped_rig.host(Host.plays)},
