--- a/ledgehitch/cli/run.py
+++ b/ledgehitch/cli/run.py
@@ -5,7 +5,7 @@
 
 import click
 
-from ledgehitch.gateway.beside import run_report_server
+from ledgehitch.gateway.report_server import run_report_server
 from ledgehitch.gateway.serve import print_ready, serve
 from ledgehitch.gateway.versions import load_start_version
 from ledgehitch.rehearsal.up import run_up
