--- a/ledgehitch/cli/config.py
+++ b/ledgehitch/cli/config.py
@@ -151,7 +151,7 @@
 @click.argument("file", type=PATH)
 def compile_command(file: Path) -> None:
     """A checked version as a gateway takes it: JSON with digest, data, site, or the mistakes."""
-    from ledgehitch.gateway.versions import compile_site  # the other commands need no gateway
+    from ledgehitch.gateway.site_reloader import compile_site  # the other commands need no gateway
 
     sys.stdout.buffer.write(msgspec.json.encode(compile_site(file)))
 
--- a/ledgehitch/cli/daemon.py
+++ b/ledgehitch/cli/daemon.py
@@ -10,7 +10,7 @@
 from ledgehitch.daemon.run import run_daemon
 from ledgehitch.daemon.why import explain_viewing
 from ledgehitch.fleet.onduty import create_restarts_duty
-from ledgehitch.gateway.versions import load_start_version
+from ledgehitch.gateway.site_reloader import load_start_version
 from ledgehitch.keys.store import Keys
 
 
--- a/ledgehitch/cli/fleet.py
+++ b/ledgehitch/cli/fleet.py
@@ -25,7 +25,7 @@
 from ledgehitch.fleet.shared import BudgetReport, remarks, summarize_budgets
 from ledgehitch.fleet.shared import decode_report as read_budgets
 from ledgehitch.fleet.show import KIND_COLOURS, format_line
-from ledgehitch.gateway.versions import compile_site
+from ledgehitch.gateway.site_reloader import compile_site
 from ledgehitch.http import ConnectFailed, Interrupted
 from ledgehitch.http.client import TLS
 from ledgehitch.keys.store import Keys
--- a/ledgehitch/cli/run.py
+++ b/ledgehitch/cli/run.py
@@ -7,7 +7,7 @@
 
 from ledgehitch.gateway.report_server import run_report_server
 from ledgehitch.gateway.serve import print_ready, serve
-from ledgehitch.gateway.versions import load_start_version
+from ledgehitch.gateway.site_reloader import load_start_version
 from ledgehitch.rehearsal.up import run_up
 
 
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -34,7 +34,7 @@
 from ledgehitch.daemon.verdicts import Verdicts
 from ledgehitch.daemon.watchdog import Watchdog
 from ledgehitch.gateway.serve import RunningGateway, print_ready, read_peer_keys
-from ledgehitch.gateway.versions import CompiledSite, SiteReloader
+from ledgehitch.gateway.site_reloader import CompiledSite, SiteReloader
 from ledgehitch.http import Refused, Request, Response, Server
 from ledgehitch.http.client import TLS
 from ledgehitch.keys.contexts import tls_context
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -32,7 +32,7 @@
 from ledgehitch.gateway.record import Recorder
 from ledgehitch.gateway.recorded_module import RecordedModule
 from ledgehitch.gateway.reports import ReportService, TokenIssuer
-from ledgehitch.gateway.versions import CompiledSite, SiteReloader
+from ledgehitch.gateway.site_reloader import CompiledSite, SiteReloader
 from ledgehitch.http import Limits, Server
 from ledgehitch.keys.store import read_key_ring
 from ledgehitch.loop import Datagrams, Event, Loop, endpoint
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -19,7 +19,7 @@
 from ledgehitch.config import KINDS, BadInput, Day, Fault, Site, read_day
 from ledgehitch.config.load import digest_of
 from ledgehitch.gateway.replay import replay_record
-from ledgehitch.gateway.versions import compile_site, load_first_version, load_last_good
+from ledgehitch.gateway.site_reloader import compile_site, load_first_version, load_last_good
 from ledgehitch.loop import Loop
 from ledgehitch.proof.check import check_tapes, rule_parameters
 from ledgehitch.rehearsal.imported import FAULT_KINDS, import_bench_day
