--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -19,7 +19,7 @@
 from ledgehitch.config import BadInput
 from ledgehitch.daemon.facts import Drain, Fence, PlanCall, PlanMessage, Reload, State
 from ledgehitch.fleet.journal import _checksum, _decode
-from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
+from ledgehitch.gateway.peer_codec import DatagramRejected, PeerCodec
 from ledgehitch.http import Refused
 from ledgehitch.http.parse import RequestReader
 from ledgehitch.keys import judge
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -10,7 +10,7 @@
 from blake3 import blake3
 
 from ledgehitch.config import Site
-from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
+from ledgehitch.gateway.peer_codec import DatagramRejected, PeerCodec
 from ledgehitch.loop import Datagrams, Loop, endpoint
 from ledgehitch.loop.timers import Timer
 from ledgehitch.members.decide import Members, Send, StatusChanged
--- a/ledgehitch/gateway/executor.py
+++ b/ledgehitch/gateway/executor.py
@@ -21,7 +21,7 @@
 from ledgehitch.gateway.host_list import HostEntry
 from ledgehitch.gateway.host_monitor import Follow, HostLost, HostMonitor, Unfollow
 from ledgehitch.gateway.join_times import JoinTimes
-from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
+from ledgehitch.gateway.peer_codec import DatagramRejected, PeerCodec
 from ledgehitch.gateway.recorded_module import RecordedModule
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Response
 from ledgehitch.http.events import parse_events
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -28,7 +28,7 @@
 from ledgehitch.gateway.host_list_client import HostListClient
 from ledgehitch.gateway.host_monitor import HostMonitor
 from ledgehitch.gateway.http_frontend import HttpFrontend
-from ledgehitch.gateway.peers import PeerCodec
+from ledgehitch.gateway.peer_codec import PeerCodec
 from ledgehitch.gateway.record import Recorder
 from ledgehitch.gateway.recorded_module import RecordedModule
 from ledgehitch.gateway.reports import ReportService, TokenIssuer
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -10,7 +10,7 @@
 from cryptography.hazmat.primitives.serialization import Encoding
 
 from ledgehitch.config import BadInput
-from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
+from ledgehitch.gateway.peer_codec import DatagramRejected, PeerCodec
 from ledgehitch.http import Client, ConnectFailed, Interrupted, Request, Response, Server
 from ledgehitch.keys.contexts import tls_context
 from ledgehitch.keys.judge import CertificateRejected, authorize, parse_certificate
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -20,7 +20,12 @@
     HostMonitor,
     Unfollow,
 )
-from ledgehitch.gateway.peers import MAX_CLOCK_DIFFERENCE_S, MAX_DATAGRAM_BYTES, DatagramRejected, PeerCodec
+from ledgehitch.gateway.peer_codec import (
+    MAX_CLOCK_DIFFERENCE_S,
+    MAX_DATAGRAM_BYTES,
+    DatagramRejected,
+    PeerCodec,
+)
 from ledgehitch.gateway.record import (
     BadRecord,
     Recorder,
