--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -37,7 +37,7 @@
 from ledgehitch.door.part import BudgetShare
 from ledgehitch.door.rates import SET_UPS, PackageRateLimits, offers_budget
 from ledgehitch.owners.facts import BUDGETS
-from ledgehitch.owners.words import NO_MEMBER
+from ledgehitch.owners.messages import NO_MEMBER
 from ledgehitch.rehearsal.fleet import FleetRig
 from tests.explore_budgets import SCENARIOS, explore, walk
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -29,11 +29,11 @@
 from ledgehitch.owners.decide import Owners
 from ledgehitch.owners.facts import DUTIES, name_digest
 from ledgehitch.owners.memory import DurableState
-from ledgehitch.owners.words import KINDS as DUTY_KINDS
-from ledgehitch.owners.words import DutyMessage as Duty
-from ledgehitch.owners.words import InvalidMessage as BadDuty
-from ledgehitch.owners.words import decode as duty_read
-from ledgehitch.owners.words import encode as duty_written
+from ledgehitch.owners.messages import KINDS as DUTY_KINDS
+from ledgehitch.owners.messages import DutyMessage as Duty
+from ledgehitch.owners.messages import InvalidMessage as BadDuty
+from ledgehitch.owners.messages import decode as duty_read
+from ledgehitch.owners.messages import encode as duty_written
 
 KEY = bytes(range(32))
 
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -21,7 +21,7 @@
 from ledgehitch.owners.decide import Lost, Owners, Renewed, Send, Store, Won
 from ledgehitch.owners.facts import DUTIES
 from ledgehitch.owners.memory import DurableState
-from ledgehitch.owners.words import decode, encode
+from ledgehitch.owners.messages import decode, encode
 from ledgehitch.rehearsal.fleet import FleetRig
 from ledgehitch.standins.cuts import Bad, Cuts
 from tests.explore_owners import SCENARIOS, explore, walk
--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -32,7 +32,7 @@
 from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.loop import Loop
 from ledgehitch.owners.facts import BUDGETS, MemberLists
-from ledgehitch.owners.words import NO_MEMBER
+from ledgehitch.owners.messages import NO_MEMBER
 
 CHECKS_PER_REQUEST = 10  # in the time between two requests: whether the next one is due
 log = structlog.get_logger("budgets")
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -15,7 +15,7 @@
 from ledgehitch.loop.timers import Timer
 from ledgehitch.members.decide import Members, Send, StatusChanged
 from ledgehitch.members.words import InvalidMessage, decode, encode
-from ledgehitch.owners.words import FIRST_KIND
+from ledgehitch.owners.messages import FIRST_KIND
 from ledgehitch.quality.keep import SnapshotStore
 
 KEY_CONTEXT = "ledgehitch 2026 membership datagrams"  # separates these keys from those of other datagrams
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -28,7 +28,7 @@
 from ledgehitch.owners.decide import Lost, Owners, Renewed, Send, Store, Won
 from ledgehitch.owners.facts import BUDGETS, DUTIES, vote_duration
 from ledgehitch.owners.memory import DurableState
-from ledgehitch.owners.words import InvalidMessage, decode, encode
+from ledgehitch.owners.messages import InvalidMessage, decode, encode
 from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.regions.facts import REGIONAL_DUTIES, WHOLE, Region, region_of, regions_digest, regions_of
 from ledgehitch.regions.shares import initial_shares
--- a/ledgehitch/owners/decide.py
+++ b/ledgehitch/owners/decide.py
@@ -21,8 +21,8 @@
     rank_members,
 )
 from ledgehitch.owners.memory import DurableState
+from ledgehitch.owners.messages import NO_MEMBER, DutyMessage, Kind
 from ledgehitch.owners.votes import Lease
-from ledgehitch.owners.words import NO_MEMBER, DutyMessage, Kind
 
 # Intervals and time-outs without a unit in their name are fractions of a lease.
 RENEW_INTERVAL = 0.55  # between two rounds of vote requests
--- a/ledgehitch/scale/relay.py
+++ b/ledgehitch/scale/relay.py
@@ -17,7 +17,7 @@
 from ledgehitch.config import Site
 from ledgehitch.http import Refused, Request, Response, Server
 from ledgehitch.loop import Event, Loop, endpoint
-from ledgehitch.owners.words import FIRST_KIND as OF_OWNERS
+from ledgehitch.owners.messages import FIRST_KIND as OF_OWNERS
 from ledgehitch.proof.tape import Tape
 from ledgehitch.standins.cuts import Bad
 from ledgehitch.standins.wires import HEAD, Wires
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -22,8 +22,8 @@
 from ledgehitch.owners.decide import Owners
 from ledgehitch.owners.facts import BUDGETS, DUTIES, MemberLists, rank_members
 from ledgehitch.owners.memory import DurableState
-from ledgehitch.owners.words import DutyMessage, encode
-from ledgehitch.owners.words import decode as decode
+from ledgehitch.owners.messages import DutyMessage, encode
+from ledgehitch.owners.messages import decode as decode
 from ledgehitch.proof.budgeted import FleetLimits, check_budgets
 from ledgehitch.proof.owned import check_owners
 from ledgehitch.proof.tape import Line
