--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -30,8 +30,8 @@
     parts_wanted,
 )
 from ledgehitch.budgets.lender import Lender
+from ledgehitch.budgets.messages import FIRST_KIND, LoanMessage, decode, encode
 from ledgehitch.budgets.units import lendable, own_parts
-from ledgehitch.budgets.words import FIRST_KIND, LoanMessage, decode, encode
 from ledgehitch.door.decide import DEMAND_HEADROOM
 from ledgehitch.door.limits import RequestRate
 from ledgehitch.door.part import BudgetShare
--- a/ledgehitch/budgets/borrower.py
+++ b/ledgehitch/budgets/borrower.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 
 from ledgehitch.budgets.facts import EARLY_REQUEST, REQUESTS_PER_LOAN, WHOLE, Budget
-from ledgehitch.budgets.words import LoanMessage
+from ledgehitch.budgets.messages import LoanMessage
 
 MAX_PENDING_REQUESTS = 16  # loans answered later than this have ended anyway
 JUMP_FACTOR = 1.25  # a need this many times its part and its last need is a jump
--- a/ledgehitch/budgets/lender.py
+++ b/ledgehitch/budgets/lender.py
@@ -10,8 +10,8 @@
 
 from ledgehitch.budgets.facts import Budget
 from ledgehitch.budgets.ledger import Ledger, Loan, divide
+from ledgehitch.budgets.messages import LoanMessage
 from ledgehitch.budgets.turns import Turns
-from ledgehitch.budgets.words import LoanMessage
 from ledgehitch.owners.facts import MAX_CLOCK_DRIFT
 
 DIVISION_INTERVAL = 0.03  # of a loan's duration, between two divisions
--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -24,8 +24,8 @@
     parts_wanted,
 )
 from ledgehitch.budgets.lender import Lender
+from ledgehitch.budgets.messages import InvalidMessage, LoanMessage, decode, encode
 from ledgehitch.budgets.parts import OwnPart, lending_terms
-from ledgehitch.budgets.words import InvalidMessage, LoanMessage, decode, encode
 from ledgehitch.config import Site
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.daemon.owning import SHARE_NOT_RELEASED, Owning
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -17,7 +17,7 @@
 import structlog
 
 from ledgehitch.budgets.facts import loan_duration
-from ledgehitch.budgets.words import FIRST_KIND as FIRST_BUDGET_KIND
+from ledgehitch.budgets.messages import FIRST_KIND as FIRST_BUDGET_KIND
 from ledgehitch.config import BadInput, Site
 from ledgehitch.config.site import active_gateways
 from ledgehitch.daemon.membership import Membership
--- a/ledgehitch/scale/relay.py
+++ b/ledgehitch/scale/relay.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ledgehitch.budgets.words import FIRST_KIND as OF_BUDGETS
+from ledgehitch.budgets.messages import FIRST_KIND as OF_BUDGETS
 from ledgehitch.config import Site
 from ledgehitch.http import Refused, Request, Response, Server
 from ledgehitch.loop import Event, Loop, endpoint
--- a/ledgehitch/standins/wires.py
+++ b/ledgehitch/standins/wires.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from ledgehitch.budgets.words import FIRST_KIND as FIRST_LOAN_KIND
-from ledgehitch.budgets.words import InvalidMessage, LoanMessage
-from ledgehitch.budgets.words import decode as decode_loan
+from ledgehitch.budgets.messages import FIRST_KIND as FIRST_LOAN_KIND
+from ledgehitch.budgets.messages import InvalidMessage, LoanMessage
+from ledgehitch.budgets.messages import decode as decode_loan
 from ledgehitch.http import Client, ConnectFailed, Interrupted, NoAnswer, Request, Response, Server
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, TimedOut, endpoint
 from ledgehitch.proof.tape import Tape
--- a/tests/explore_budgets.py
+++ b/tests/explore_budgets.py
@@ -20,9 +20,9 @@
 from ledgehitch.budgets.facts import WHOLE, Budget
 from ledgehitch.budgets.ledger import Ledger
 from ledgehitch.budgets.lender import Lender
+from ledgehitch.budgets.messages import LoanMessage
 from ledgehitch.budgets.parts import OwnPart, lending_terms
 from ledgehitch.budgets.units import spread_units
-from ledgehitch.budgets.words import LoanMessage
 from ledgehitch.owners.facts import MemberLists
 from tests.interleavings import Exploration
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -18,9 +18,9 @@
 )
 from ledgehitch.budgets.ledger import MAX_OPEN_LOANS, divide, water_fill
 from ledgehitch.budgets.lender import Lender
+from ledgehitch.budgets.messages import InvalidMessage, LoanMessage, decode, encode
 from ledgehitch.budgets.parts import UNNUMBERED, OwnPart, lending_terms
 from ledgehitch.budgets.units import lendable, own_parts
-from ledgehitch.budgets.words import InvalidMessage, LoanMessage, decode, encode
 from ledgehitch.fleet.shared import BudgetReport, remarks
 from ledgehitch.fleet.shared import decode_report as decode_report
 from ledgehitch.fleet.shared import summarize_budgets as shares
