--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -24,8 +24,8 @@
 from ledgehitch.http.parse import RequestReader
 from ledgehitch.keys import judge
 from ledgehitch.members.decide import Members
+from ledgehitch.members.messages import InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.members.roster import MemberStatus
-from ledgehitch.members.words import InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.owners.decide import Owners
 from ledgehitch.owners.facts import DUTIES, name_digest
 from ledgehitch.owners.memory import DurableState
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ledgehitch.members.decide import Members, Send, StatusChanged
-from ledgehitch.members.words import decode, encode
+from ledgehitch.members.messages import decode, encode
 
 FRAME = 52  # bytes of head and MAC around the words
 
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -14,7 +14,7 @@
 from ledgehitch.loop import Datagrams, Loop, endpoint
 from ledgehitch.loop.timers import Timer
 from ledgehitch.members.decide import Members, Send, StatusChanged
-from ledgehitch.members.words import InvalidMessage, decode, encode
+from ledgehitch.members.messages import InvalidMessage, decode, encode
 from ledgehitch.owners.messages import FIRST_KIND
 from ledgehitch.quality.keep import SnapshotStore
 
--- a/ledgehitch/members/decide.py
+++ b/ledgehitch/members/decide.py
@@ -11,8 +11,8 @@
 from collections import deque
 from dataclasses import dataclass
 
+from ledgehitch.members.messages import MAX_UPDATES, MembershipMessage
 from ledgehitch.members.roster import MemberStatus, Roster, Status
-from ledgehitch.members.words import MAX_UPDATES, MembershipMessage
 
 PERIOD_S = 1.0  # between two probes
 RETRY_AFTER = 0.3  # of a period, before a probe is repeated and indirect probes are sent
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -14,8 +14,8 @@
 from ledgehitch.loop import Loop
 from ledgehitch.members.decide import StatusChanged
 from ledgehitch.members.elsewhere import pick_gateway
+from ledgehitch.members.messages import KINDS, MAX_UPDATES, InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.members.roster import INCARNATIONS_PER_LIFE, STATUSES, MemberStatus, Roster
-from ledgehitch.members.words import KINDS, MAX_UPDATES, InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.rehearsal.play import free_ports
 from tests.rig import site
 
