--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -27,8 +27,8 @@
 from ledgehitch.members.messages import InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.members.roster import MemberStatus
 from ledgehitch.owners.decide import Owners
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import DUTIES, name_digest
-from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.messages import KINDS as DUTY_KINDS
 from ledgehitch.owners.messages import DutyMessage as Duty
 from ledgehitch.owners.messages import InvalidMessage as BadDuty
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -19,8 +19,8 @@
 
 from ledgehitch.config import Fault
 from ledgehitch.owners.decide import Lost, Owners, Renewed, Send, Store, Won
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import DUTIES
-from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.messages import decode, encode
 from ledgehitch.rehearsal.fleet import FleetRig
 from ledgehitch.standins.cuts import Bad, Cuts
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -26,8 +26,8 @@
 from ledgehitch.loop.timers import Timer
 from ledgehitch.owners.clock import ClockCheck
 from ledgehitch.owners.decide import Lost, Owners, Renewed, Send, Store, Won
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import BUDGETS, DUTIES, vote_duration
-from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.messages import InvalidMessage, decode, encode
 from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.regions.facts import REGIONAL_DUTIES, WHOLE, Region, region_of, regions_digest, regions_of
--- a/ledgehitch/owners/decide.py
+++ b/ledgehitch/owners/decide.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import (
     EFFECT_WITHOUT_OWNER,
     MAX_CLOCK_DRIFT,
@@ -20,7 +21,6 @@
     name_digest,
     rank_members,
 )
-from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.messages import NO_MEMBER, DutyMessage, Kind
 from ledgehitch.owners.votes import Lease
 
--- a/tests/explore_owners.py
+++ b/tests/explore_owners.py
@@ -1,4 +1,4 @@
-"""Interleavings of a small fleet, for the invariants of `votes.py` and `memory.py`.
+"""Interleavings of a small fleet, for the invariants of `votes.py` and `durable_state.py`.
 
 Members become candidates, request votes, vote, renew, check, send effects and release leases. Messages are
 lost, duplicated, delayed and reordered. Members stop between check and effect, crash and lose what was not on
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import MemberLists
-from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.votes import Fence, Lease, Voter
 from tests.interleavings import Exploration
 
--- a/tests/explore_regions.py
+++ b/tests/explore_regions.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import MemberLists, vote_duration
-from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.votes import Fence, Lease, Voter
 from ledgehitch.regions.facts import WHOLE, Region, regions_digest
 from ledgehitch.regions.shares import RegionShares
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -14,8 +14,8 @@
 from benchmarks.owners import Crowd
 from ledgehitch.owners.clock import ClockCheck
 from ledgehitch.owners.decide import Lost, Owners, Send, Store, Won
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import DUTIES, MAX_TERM, MAX_TERM_STEP, MemberLists, majority, rank_members
-from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.messages import KINDS, DutyMessage, InvalidMessage, decode, encode
 from ledgehitch.owners.votes import Fence, Lease, Voter
 from ledgehitch.quality.keep import SnapshotStore as File
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -20,8 +20,8 @@
 from ledgehitch.fleet.owned import OwnersAnswer, summarize_duties, voting_problems
 from ledgehitch.fleet.shared import BudgetReport, GatewayBudget, LenderAccount, summarize_budgets
 from ledgehitch.owners.decide import Owners
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import BUDGETS, DUTIES, MemberLists, rank_members
-from ledgehitch.owners.memory import DurableState
 from ledgehitch.owners.messages import DutyMessage, encode
 from ledgehitch.owners.messages import decode as decode
 from ledgehitch.proof.budgeted import FleetLimits, check_budgets
