--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -42,7 +42,7 @@
 from ledgehitch.keys.store import Keys
 from ledgehitch.loop import Child, Endpoint, Event, Loop, TimedOut, endpoint
 from ledgehitch.loop.pump import Pump
-from ledgehitch.members.elsewhere import pick_gateway
+from ledgehitch.members.gateway_choice import pick_gateway
 from ledgehitch.owners.facts import BUDGETS, RESTARTS, VERDICTS
 from ledgehitch.quality.keep import SnapshotStore
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,7 +13,7 @@
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.loop import Loop
 from ledgehitch.members.decide import StatusChanged
-from ledgehitch.members.elsewhere import pick_gateway
+from ledgehitch.members.gateway_choice import pick_gateway
 from ledgehitch.members.messages import KINDS, MAX_UPDATES, InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.members.roster import INCARNATIONS_PER_LIFE, STATUSES, MemberStatus, Roster
 from ledgehitch.rehearsal.play import free_ports
