--- a/ledgehitch/model/front.py
+++ b/ledgehitch/model/front.py
@@ -1,7 +1,7 @@
 """A gateway in virtual time: the decision module, desk and gate of the running one, carried out on the model.
 
-What `gateway/executor.py` does with sockets and tasks is done here with calls at later times; what is decided is
-decided by the same modules.
+What `gateway/executor.py` does with sockets and tasks is done here with calls at later times; what is decided
+is decided by the same modules.
 """
 
 import itertools
