--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -17,7 +17,7 @@
 import structlog
 
 from ledgehitch.budgets.facts import loan_duration
-from ledgehitch.budgets.words import FIRST_KIND as FIRST_BUDGET_KIND
+from ledgehitch.budgets.messages import FIRST_KIND as FIRST_BUDGET_KIND
 from ledgehitch.config import BadInput, Site
 from ledgehitch.config.site import active_gateways
 from ledgehitch.daemon.membership import Membership
@@ -26,9 +26,9 @@
 from ledgehitch.loop.timers import Timer
 from ledgehitch.owners.clock import ClockCheck
 from ledgehitch.owners.decide import Lost, Owners, Renewed, Send, Store, Won
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import BUDGETS, DUTIES, vote_duration
-from ledgehitch.owners.memory import DurableState
-from ledgehitch.owners.words import InvalidMessage, decode, encode
+from ledgehitch.owners.messages import InvalidMessage, decode, encode
 from ledgehitch.quality.keep import SnapshotStore
 from ledgehitch.regions.facts import REGIONAL_DUTIES, WHOLE, Region, region_of, regions_digest, regions_of
 from ledgehitch.regions.shares import initial_shares
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -11,7 +11,21 @@
 
 from ledgehitch.config import BadInput, Day, facts_of, read_day, read_site
 from ledgehitch.config.site import check
-from ledgehitch.gateway.peers import MAX_CLOCK_DIFFERENCE_S, MAX_DATAGRAM_BYTES, DatagramRejected, PeerCodec
+from ledgehitch.gateway.host_list import HostEntry, HostList, HostListUpdate
+from ledgehitch.gateway.host_monitor import (
+    LOSS_TIMEOUT_S,
+    SILENCE_TIMEOUT_S,
+    Follow,
+    HostLost,
+    HostMonitor,
+    Unfollow,
+)
+from ledgehitch.gateway.peer_codec import (
+    MAX_CLOCK_DIFFERENCE_S,
+    MAX_DATAGRAM_BYTES,
+    DatagramRejected,
+    PeerCodec,
+)
 from ledgehitch.gateway.record import (
     BadRecord,
     Recorder,
@@ -21,15 +35,6 @@
     segment_paths,
 )
 from ledgehitch.gateway.replay import replay_record
-from ledgehitch.gateway.roll import HostEntry, HostList, HostListUpdate
-from ledgehitch.gateway.watch import (
-    LOSS_TIMEOUT_S,
-    SILENCE_TIMEOUT_S,
-    Follow,
-    HostLost,
-    HostMonitor,
-    Unfollow,
-)
 from ledgehitch.signalling import (
     AbandonViewing,
     Answer,
@@ -296,7 +301,7 @@
 
 
 def test_a_record_rotates_and_each_segment_replays_from_its_own_checkpoint(tmp_path: Path) -> None:
-    from ledgehitch.gateway.mind import RecordedModule
+    from ledgehitch.gateway.recorded_module import RecordedModule
 
     module = RecordedModule(make_gateway(), Recorder(tmp_path / "r", segment_bytes=20000, max_segments=3))
     for n in range(300):
