--- a/ledgehitch/config/day.py
+++ b/ledgehitch/config/day.py
@@ -18,7 +18,7 @@
 class Kind:
     """A kind of fault: what it affects, its effect, and the bounds of `size` and `extra` (None: not used)."""
 
-    whom: Literal["hosts", "links", "uplinks", "list", "gateways", "viewers", "peers", "daemons"]
+    target: Literal["hosts", "links", "uplinks", "list", "gateways", "viewers", "peers", "daemons"]
     what: str
     size: tuple[float, float] | None = None
     extra: tuple[float, float] | None = None
@@ -101,12 +101,12 @@
     size: float | None = None
     extra: float | None = None
 
-    def strength(self) -> float:
-        """Returns `size`, or by default the middle of its bounds (at most 2, or the lower bound)."""
+    def size_or_default(self) -> float:
+        """Returns `size`, or else the middle of its bounds (at most the larger of 2 and the lower one)."""
         return self.size if self.size is not None else _default_within(_kind(self.kind).size)
 
-    def further(self) -> float:
-        """Returns `extra`, or by default the middle of its bounds (at most 2, or the lower bound)."""
+    def extra_or_default(self) -> float:
+        """Returns `extra`, or else the middle of its bounds (at most the larger of 2 and the lower one)."""
         return self.extra if self.extra is not None else _default_within(_kind(self.kind).extra)
 
 
--- a/ledgehitch/rehearsal/fleet.py
+++ b/ledgehitch/rehearsal/fleet.py
@@ -525,7 +525,7 @@
             cut_links = {(a, b) for a in affected for b in rest} | {(b, a) for a in affected for b in rest}
             self._after(fault.len, lambda: self.wires.cuts.shut.difference_update(cut_links))
         elif fault.kind == "wires_bad":
-            self.bad_wires(fault.strength(), fault.strength(), fault.further())
+            self.bad_wires(fault.size_or_default(), fault.size_or_default(), fault.extra_or_default())
             self._after(fault.len, lambda: self.bad_wires())
         elif fault.kind == "daemon_still":
             for name in affected:
--- a/ledgehitch/rehearsal/imported.py
+++ b/ledgehitch/rehearsal/imported.py
@@ -158,7 +158,7 @@
         skipped.append(f"{trouble['kind']} at {at:.1f} s: starts after the end of the day")
         return None
     affected = set(trouble["on"]) | {i for step in trouble["steps"] for i in step["stop"]}
-    population = len(bench["balancers"] if KINDS[kind].whom == "gateways" else bench["servers"])
+    population = len(bench["balancers"] if KINDS[kind].target == "gateways" else bench["servers"])
     default_part = {"link_shrink": 1.0, "uplink_shrink": 0.3}.get(kind, 0.25)
     fault: dict[str, Any] = {"kind": kind, "at": at, "len": max(0.1, length)}
     fault["part"] = min(1.0, len(affected) / population) if affected else default_part
--- a/ledgehitch/standins/arrivals.py
+++ b/ledgehitch/standins/arrivals.py
@@ -40,7 +40,7 @@
         rate *= 1 + PEAK * arrivals.swing if t < 0.15 * day.length else 1 - arrivals.swing
     for fault in day.faults:
         if fault.kind == "burst" and fault.at <= t < fault.at + fault.len:
-            rate *= fault.strength()
+            rate *= fault.size_or_default()
     return rate
 
 
@@ -49,7 +49,7 @@
     share = 0.0
     for fault in day.faults:
         if fault.kind == "crowd" and fault.at <= t < fault.at + fault.len:
-            share = max(share, fault.strength() if fault.size is not None else 0.3)
+            share = max(share, fault.size_or_default() if fault.size is not None else 0.3)
     return share
 
 
@@ -77,7 +77,7 @@
     max_rate = (
         arrivals.rate
         * (1 + arrivals.swing * (PEAK if arrivals.shape in ("peak", "event") else 1.0))
-        * max([f.strength() for f in day.faults if f.kind == "burst"], default=1.0)
+        * max([f.size_or_default() for f in day.faults if f.kind == "burst"], default=1.0)
         * 1.01
     )
     t, number = 0.0, 0
--- a/ledgehitch/standins/faults.py
+++ b/ledgehitch/standins/faults.py
@@ -85,13 +85,13 @@
         """Starts a fault, which ends after its length, and returns the names of what it affects."""
         kind = KINDS[fault.kind]
         up = self.stage.in_service()
-        if kind.whom in ("hosts", "links"):
+        if kind.target in ("hosts", "links"):
             affected = self.chance.sample(up, max(1, round(fault.part * len(up)))) if up else []
-        elif kind.whom == "uplinks":
+        elif kind.target == "uplinks":
             racks = sorted(self.stage.fabric.uplinks)
             affected = [str(r) for r in self.chance.sample(racks, max(1, round(fault.part * len(racks))))]
         else:
-            affected = [kind.whom]
+            affected = [kind.target]
         getattr(self, "_" + fault.kind)(affected, fault)
         return affected
 
@@ -143,22 +143,24 @@
         self._set_while_active(affected, fault, {"hangs": True}, {"hangs": False})
 
     def _slow(self, affected: list[str], fault: Fault) -> None:
-        self._set_while_active(affected, fault, {"slower": fault.strength()}, {"slower": 1.0})
+        self._set_while_active(affected, fault, {"slower": fault.size_or_default()}, {"slower": 1.0})
         self._link_shrink(affected, fault)
 
     def _fast_errors(self, affected: list[str], fault: Fault) -> None:
-        self._set_while_active(affected, fault, {"errors": fault.strength()}, {"errors": 0.0})
+        self._set_while_active(affected, fault, {"errors": fault.size_or_default()}, {"errors": 0.0})
 
     def _answers_lost(self, affected: list[str], fault: Fault) -> None:
-        on = {"lost": fault.strength(), "lost_resets": bool(fault.extra)}
+        on = {"lost": fault.size_or_default(), "lost_resets": bool(fault.extra)}
         self._set_while_active(affected, fault, on, {"lost": 0.0, "lost_resets": False})
 
     def _bad_answers(self, affected: list[str], fault: Fault) -> None:
-        self._set_while_active(affected, fault, {"bad": fault.strength()}, {"bad": 0.0})
+        self._set_while_active(affected, fault, {"bad": fault.size_or_default()}, {"bad": 0.0})
 
     def _deploy(self, affected: list[str], fault: Fault) -> None:
         host_count = len(self.stage.hosts)
-        batch = max(1, round(fault.strength() * host_count)) if fault.size else max(1, len(affected) // 3)
+        batch = (
+            max(1, round(fault.size_or_default() * host_count)) if fault.size else max(1, len(affected) // 3)
+        )
         batches = [affected[i : i + batch] for i in range(0, len(affected), batch)]
         drain = fault.extra if fault.extra is not None else 2.0
         for i, names in enumerate(batches):
@@ -177,11 +179,11 @@
 
     def _shrink(self, links: list[Link], fault: Fault) -> None:
         for link in links:
-            link.divided_by *= fault.strength()
+            link.divided_by *= fault.size_or_default()
 
         def end() -> None:
             for link in links:
-                link.divided_by /= fault.strength()
+                link.divided_by /= fault.size_or_default()
 
         self._after(fault.len, end)
 
@@ -198,18 +200,18 @@
 
     def _toggle(self, link: Link, fault: Fault, ends: float, on: bool) -> None:
         ended = self.stage.now() >= ends
-        link.share_taken = fault.strength() if on and not ended else 0.0
+        link.share_taken = fault.size_or_default() if on and not ended else 0.0
         if not ended:
-            self._after(fault.further(), self._toggle, link, fault, ends, not on)
+            self._after(fault.extra_or_default(), self._toggle, link, fault, ends, not on)
 
     # ---- the list and the network between gateways ---------------------------------------------------------
 
     def _list_late(self, affected: list[str], fault: Fault) -> None:
         lists = self.stage.lists
-        lists.fault_delay += fault.strength()
+        lists.fault_delay += fault.size_or_default()
 
         def end() -> None:
-            lists.fault_delay = max(0.0, lists.fault_delay - fault.strength())
+            lists.fault_delay = max(0.0, lists.fault_delay - fault.size_or_default())
 
         self._after(fault.len, end)
 
@@ -219,7 +221,7 @@
 
     def _peers_lost(self, affected: list[str], fault: Fault) -> None:
         network = self.stage.network
-        network.fault_loss = fault.strength()
+        network.fault_loss = fault.size_or_default()
 
         def end() -> None:
             network.fault_loss = 0.0
--- a/ledgehitch/standins/plan.py
+++ b/ledgehitch/standins/plan.py
@@ -123,6 +123,6 @@
         elif fault.kind == "gateways_still":
             for name in affected:
                 steps += [Step(fault.at, "still", name), Step(fault.at + fault.len, "go_on", name)]
-        elif KINDS[fault.kind].whom != "viewers":
+        elif KINDS[fault.kind].target != "viewers":
             steps.append(Step(fault.at, "fault", fault=fault))
     return sorted(steps, key=lambda step: step.at)
--- a/ledgehitch/standins/players.py
+++ b/ledgehitch/standins/players.py
@@ -29,10 +29,10 @@
     for fault in day.faults:
         if fault.kind == "rack_stalls":
             rack = chance.randrange(max(1, site.fleet.racks))
-            faulty.append(Faulty("rack", str(rack), fault.at, fault.len, fault.strength()))
+            faulty.append(Faulty("rack", str(rack), fault.at, fault.len, fault.size_or_default()))
         elif fault.kind == "title_stalls":
             name = titles[chance.randrange(min(3, len(titles)))]
-            faulty.append(Faulty("title", name, fault.at, fault.len, fault.strength()))
+            faulty.append(Faulty("title", name, fault.at, fault.len, fault.size_or_default()))
     return faulty
 
 
--- a/ledgehitch/standins/world.py
+++ b/ledgehitch/standins/world.py
@@ -204,7 +204,7 @@
                 except msgspec.MsgspecError as error:
                     raise Refused(400, f"invalid fault: {error}") from None
                 kind = KINDS.get(fault.kind)
-                if kind is None or kind.whom in ("gateways", "viewers"):
+                if kind is None or kind.target in ("gateways", "viewers"):
                     raise Refused(
                         400,
                         f"fault kind {fault.kind!r} does not apply to media hosts, links, list or network",
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -106,7 +106,7 @@
     result = play(what)
     assert broken(what, result) == []
     assert result.service.joined > 100
-    if KINDS[kind].whom not in ("viewers",):
+    if KINDS[kind].target not in ("viewers",):
         assert result.met, "it met somebody"
 
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -146,7 +146,7 @@
     assert steps_of(day, site, 7) == steps_of(day, site, 7) != steps_of(day, site, 8)
     assert list(visits(day, site, 7)) == list(visits(day, site, 7))
     for name, kind in KINDS.items():
-        if kind.whom not in ("gateways", "viewers"):
+        if kind.target not in ("gateways", "viewers"):
             assert callable(getattr(Faults, "_" + name)), name
 
 
@@ -297,8 +297,11 @@
 
 
 def test_faults_default_to_the_middle_of_their_strength_range() -> None:
-    assert Fault(kind="neighbour", at=0).strength() == pytest.approx(0.475)
-    assert Fault(kind="burst", at=0).strength() == 2.0 and Fault(kind="crash", at=0).strength() == 0.0
+    assert Fault(kind="neighbour", at=0).size_or_default() == pytest.approx(0.475)
+    assert (
+        Fault(kind="burst", at=0).size_or_default() == 2.0
+        and Fault(kind="crash", at=0).size_or_default() == 0.0
+    )
 
 
 def test_fifty_reloads_under_load_ten_of_them_invalid_lose_no_viewing(tmp_path: Path) -> None:
