--- a/ledgehitch/fleet/carry.py
+++ b/ledgehitch/fleet/carry.py
@@ -35,6 +35,7 @@
         self.loop, self.within, self.client = loop, within, client or Client(loop)
 
     def ask(self, target: Target) -> QueryResult:
+        """Queries the state of a gateway and classifies the answer or its absence."""
         started = time.monotonic()
 
         def took() -> float:
@@ -145,6 +146,7 @@
         self.changed = Event(loop)
 
     def run(self) -> Finished:
+        """Runs the plan until it has ended or stopped."""
         self._measure_baseline()
         watch_task = self.loop.spawn(self._watch_joins, name="joins")
         try:
--- a/ledgehitch/fleet/held.py
+++ b/ledgehitch/fleet/held.py
@@ -19,13 +19,14 @@
         self.status, self.why = status, why
 
 
-def latest_plan(words: Iterable[PlanMessage | None]) -> PlanMessage | None:
+def latest_plan(plans: Iterable[PlanMessage | None]) -> PlanMessage | None:
     """Returns the latest of the plans stored by several gateways, None if there is none."""
-    return max((w for w in words if w is not None), key=PlanMessage.order, default=None)
+    return max((p for p in plans if p is not None), key=PlanMessage.order, default=None)
 
 
-def plan_id_of(words: PlanMessage) -> str:
-    return str(words.plan.get("id", "?")) if isinstance(words.plan, dict) else "?"
+def plan_id_of(message: PlanMessage) -> str:
+    """Returns the id of the plan, "?" if it has none."""
+    return str(message.plan.get("id", "?")) if isinstance(message.plan, dict) else "?"
 
 
 def apply_command(held: PlanMessage | None, call: PlanCall, known: Mapping[str, Target]) -> PlanMessage:
--- a/ledgehitch/fleet/journal.py
+++ b/ledgehitch/fleet/journal.py
@@ -109,6 +109,7 @@
 
 
 def head_line(plan: Plan) -> dict[str, Any]:
+    """Returns the first line of the journal of a plan."""
     return {"ev": "plan", "plan": msgspec.to_builtins(plan)}
 
 
--- a/ledgehitch/fleet/onduty.py
+++ b/ledgehitch/fleet/onduty.py
@@ -76,6 +76,8 @@
 
 
 class RestartsDuty:
+    """Carries out the fleet's restart plan while this gateway owns the duty and takes commands."""
+
     def __init__(self, loop: Loop, name: str, targets: list[Target], owning: Owning, client: Client) -> None:
         self.loop, self.name, self.owning, self.client = loop, name, owning, client
         self.targets = targets
@@ -88,6 +90,7 @@
         self._version = 0
 
     def doing(self) -> str:
+        """Returns the current activity, for the owners' status."""
         if not self.plan_known:
             return "asks a majority for the plan"
         stored_plan = self.stored_plan
@@ -103,6 +106,7 @@
     # ---- a term --------------------------------------------------------------------------------------------
 
     def run(self, term: int) -> None:
+        """Runs the duty under a term, until the term is over."""
         self.term, self.stored_plan, self.plan_known, self.rolling = term, None, False, None
         self._store_in_progress, self._version = None, 0
         caller = TermCaller(self.loop, self.client, self.owning, term)
@@ -175,7 +179,7 @@
 
         while True:
             tasks = [
-                self.loop.spawn(self._ignore_lost_term, store_at, t, name=f"leave {t.name}")
+                self.loop.spawn(self._ignore_lost_term, store_at, t, name=f"store plan at {t.name}")
                 for t in self.targets
                 if t.name not in stored_by
             ]
@@ -200,13 +204,13 @@
         plan = msgspec.convert(stored_plan.plan, Plan)
         before = [] if stored_plan.share is None else [{"ev": "baseline", "share": stored_plan.share}]
         self.rolling = RollingChange(time.monotonic(), plan, before, without_journal=True)
-        work = PlanRunner(self.loop, caller, _BaselineSink(self, caller), self.rolling, self._log_step)
+        runner = PlanRunner(self.loop, caller, _BaselineSink(self, caller), self.rolling, self._log_step)
         results: list[Finished] = []
         changed = self.changed  # the event of this run: a task cancelled late must not set that of the next
 
         def run_plan() -> None:
             try:
-                results.append(work.run())
+                results.append(runner.run())
             finally:
                 changed.set()
 
@@ -263,13 +267,13 @@
     The progress of the gateways is recovered from themselves.
     """
 
-    def __init__(self, work: RestartsDuty, caller: TermCaller) -> None:
-        self.work, self.caller = work, caller
+    def __init__(self, duty: RestartsDuty, caller: TermCaller) -> None:
+        self.duty, self.caller = duty, caller
 
     def append(self, line: Mapping[str, Any]) -> None:
-        if line.get("ev") == "baseline" and self.work.stored_plan is not None:
-            stored_plan, share = self.work.stored_plan, float(line["share"])
-            self.work._store(
+        if line.get("ev") == "baseline" and self.duty.stored_plan is not None:
+            stored_plan, share = self.duty.stored_plan, float(line["share"])
+            self.duty._store(
                 self.caller, lambda now: msgspec.structs.replace(now or stored_plan, share=share)
             )
 
@@ -291,6 +295,6 @@
         names = {t.at: t.name for t in targets}
         client = verifying_client(daemon.loop, keys, keys.directory / f"{daemon.name}.pem", names)
     assert daemon.admin.owning is not None
-    work = RestartsDuty(daemon.loop, daemon.name, targets, daemon.admin.owning, client)
-    daemon.admin.on_plan_call = work.on_plan_call
-    return work
+    duty = RestartsDuty(daemon.loop, daemon.name, targets, daemon.admin.owning, client)
+    daemon.admin.on_plan_call = duty.on_plan_call
+    return duty
--- a/ledgehitch/fleet/owned.py
+++ b/ledgehitch/fleet/owned.py
@@ -34,7 +34,7 @@
 
 
 def decode_answer(name: str, status: int, body: bytes) -> OwnersAnswer:
-    """Returns the answer of one gateway, decoded and checked."""
+    """Returns the answer of one gateway; without a state if it is not a valid one."""
     if status != 200:
         return OwnersAnswer(name, None, f"it answers {status}")
     try:
@@ -47,6 +47,8 @@
 
 
 class _DutyReport(msgspec.Struct):
+    """One duty as a gateway reports it. `mine`: whether the gateway claims it; `refused`: refused calls."""
+
     owner: str
     term: int
     lease_left: float
--- a/ledgehitch/fleet/plan.py
+++ b/ledgehitch/fleet/plan.py
@@ -97,8 +97,10 @@
 
 
 def order_targets(targets: Sequence[Target]) -> list[Target]:
-    """Returns the targets by zone, rack and name: those that share a failure domain are changed together, one
-    zone after the other."""
+    """Returns the targets by zone, rack and name.
+
+    Gateways that share a failure domain are changed together, one zone after the other.
+    """
     return sorted(targets, key=lambda t: (t.zone, t.rack, t.name))
 
 
@@ -112,6 +114,7 @@
     p99: dict[str, float] = field(default_factory=dict)  # join time in ms by gateway, over its last minute
 
     def add(self, found: QueryResult) -> None:
+        """Adds what changed since the last result of the same gateway; its counts restart with each boot."""
         if found.state is None:
             return
         counts, boot = found.state.counts, found.state.boot
@@ -126,10 +129,13 @@
         self.last_counts[found.name] = boot, counts.asked, failed_joins
 
     def failure_share(self) -> float | None:
+        """Returns the share of viewings that failed, None if there were too few."""
         return self.failed_joins / self.requested if self.requested >= MIN_JOINS_TO_JUDGE else None
 
 
 class RollingChange:
+    """Decides the steps of one plan. Pull `decide` after each input and at `wake_at`."""
+
     QUERY_INTERVAL_S = 0.25  # between two queries to one gateway that is under way
 
     def __init__(
@@ -174,6 +180,7 @@
         return True
 
     def ticket(self, name: str) -> str:
+        """Returns the string by which a gateway's state identifies the call of this plan."""
         return f"{self.plan.id}/{name}"
 
     # ---- inputs --------------------------------------------------------------------------------------------
@@ -339,6 +346,7 @@
     # ---- decisions -----------------------------------------------------------------------------------------
 
     def decide(self, now: float) -> Decision | None:
+        """Returns the next decision, None if there is none at this time."""
         if not self._decisions and not self.finished:
             self._decide_next(now)
         return self._decisions.popleft() if self._decisions else None
--- a/ledgehitch/fleet/screen.py
+++ b/ledgehitch/fleet/screen.py
@@ -62,10 +62,10 @@
         yield Footer()
 
     def on_mount(self) -> None:
-        zone_table = ("hall", "gateways", "viewings", "asked", "not let play", "p99")
-        self.query_one("#halls", DataTable).add_columns(*zone_table)
-        names = ("gateway", "hall", "is", "viewings", "asked", "blocked", "p50", "p99", "up", "why")
-        self.query_one("#gateways", DataTable).add_columns(*names)
+        zone_columns = ("hall", "gateways", "viewings", "asked", "not let play", "p99")
+        self.query_one("#halls", DataTable).add_columns(*zone_columns)
+        gateway_columns = ("gateway", "hall", "is", "viewings", "asked", "blocked", "p50", "p99", "up", "why")
+        self.query_one("#gateways", DataTable).add_columns(*gateway_columns)
         self.set_interval(self.every, self.action_now)
         self.set_interval(0.5, self._show_status)
         self.action_now()
--- a/ledgehitch/fleet/shared.py
+++ b/ledgehitch/fleet/shared.py
@@ -30,6 +30,11 @@
 
 
 class BudgetReport(msgspec.Struct):
+    """The budgets of one gateway. `lends`: its accounts as a lender, None if it is not one.
+
+    `loan_left`: seconds left of its loans; `alone`: why it has only its own parts, empty if it has not.
+    """
+
     whole: int
     budgets: dict[str, GatewayBudget]
     loan_left: float
@@ -62,11 +67,12 @@
     """Returns the report of one gateway, or why it does not decode."""
     try:
         return msgspec.json.decode(body, type=BudgetReport)
-    except msgspec.MsgspecError as wrong:
-        return f"what it says does not read: {wrong}"[:200]
+    except msgspec.MsgspecError as error:
+        return f"what it says does not read: {error}"[:200]
 
 
 def summarize_budgets(reports: Mapping[str, BudgetReport]) -> list[BudgetSummary]:
+    """Returns the summary of each budget, from the reports by gateway."""
     names = sorted({budget for t in reports.values() for budget in t.budgets})
     return [_summarize(budget, reports) for budget in names]
 
--- a/ledgehitch/fleet/show.py
+++ b/ledgehitch/fleet/show.py
@@ -67,4 +67,5 @@
 
 
 def format_line(line: Mapping[str, Any]) -> str:
+    """Returns a journal line as text: event, gateway and reason."""
     return "  ".join(str(line[k]) for k in ("ev", "gateway", "why") if k in line)
