--- a/ledgehitch/standins/plan.py
+++ b/ledgehitch/standins/plan.py
@@ -91,9 +91,7 @@
     sold_packages = {p.name for p in site.packages}
     for i, mix in enumerate(day.arrivals.mix):
         if mix.package not in sold_packages:
-            raise BadInput(
-                f"{day.name}: arrivals.mix[{i}].package: the site sells no {mix.package!r}"
-            )
+            raise BadInput(f"{day.name}: arrivals.mix[{i}].package: the site sells no {mix.package!r}")
     return site
 
 
