--- a/ledgehitch/model/day.py
+++ b/ledgehitch/model/day.py
@@ -24,7 +24,7 @@
 from ledgehitch.model.viewers import Crowd
 from ledgehitch.proof.tape import Line
 from ledgehitch.standins.faults import Faults
-from ledgehitch.standins.links import BEAT, Delivery, Fabric, Kinds, Link, Telling
+from ledgehitch.standins.links import BEAT, Delivery, Fabric, Kinds, Link, NoteSchedule
 from ledgehitch.standins.places import ORPHANED, habits_of, places_of
 from ledgehitch.standins.plan import Step
 from ledgehitch.standins.service import Service
@@ -38,13 +38,13 @@
     """The list service: states reach gateways late; gateways that start get all of it."""
 
     def __init__(self, ground: "Ground", delay: float) -> None:
-        self.ground, self.delay, self.later = ground, delay, 0.0
+        self.ground, self.delay, self.fault_delay = ground, delay, 0.0
         self.chance = random.Random(f"{ground.seed}/list")
         self.lines: dict[str, Row] = {}
         self.away = False
 
     def set(self, row: Row, at_once: bool = False) -> None:
-        wait = 0.0 if at_once else (self.delay + self.later) * self.chance.uniform(0.7, 1.3)
+        wait = 0.0 if at_once else (self.delay + self.fault_delay) * self.chance.uniform(0.7, 1.3)
         self.ground.agenda.after(wait, self._change, row)
 
     def _change(self, row: Row) -> None:
@@ -92,13 +92,13 @@
     """Messages between gateways: late, and some are lost."""
 
     def __init__(self, ground: "Ground", delay: float, loss: float) -> None:
-        self.ground, self.delay, self.loss, self.lost_more = ground, delay, loss, 0.0
+        self.ground, self.delay, self.loss, self.fault_loss = ground, delay, loss, 0.0
         self.chance = random.Random(f"{ground.seed}/peers")
         self.sent = self.lost = 0
 
     def send(self, to: int, words: bytes) -> None:
         self.sent += 1
-        if self.chance.random() < max(self.loss, self.lost_more):
+        if self.chance.random() < max(self.loss, self.fault_loss):
             self.lost += 1
             return
         name = self.ground.site.gateways[to].name
@@ -147,7 +147,7 @@
         self._facts: tuple[Ladder, tuple[Package, ...], Fleet, Terms] | None = None
         self._ordinals = {g.name: i for i, g in enumerate(site.gateways)}
         self._silent: dict[str, float] = {}
-        self.telling = Telling(self.agenda.now, site.fleet.told_every)
+        self.note_schedule = NoteSchedule(self.agenda.now, site.fleet.told_every)
         self._born = 0
         for rack in range(site.fleet.racks):
             self.fabric.uplinks[rack] = Link(site.fleet.uplink_kb)
@@ -287,11 +287,11 @@
     def beat(self) -> None:
         """Works out what links deliver, and has gateways told of shortfall and use, late as the site says."""
         now = self.agenda.now
-        asked = {n: h.asked * self.habits.swung(n, now) for n, h in self.hosts.items() if h.up}
+        asked = {n: h.asked * self.habits.rate_factor(n, now) for n, h in self.hosts.items() if h.up}
         told = self.fabric.deliveries(asked)
         for name, delivery in told.items():
             self.hosts[name].delivery = delivery
-        second, notes = self.telling.due(now, told)
+        second, notes = self.note_schedule.due(now, told)
         if second:
             self._look_for_silent(now)
             self._sample(told)
@@ -387,7 +387,12 @@
 
     def told(self) -> dict[str, Any]:
         samples = {str(s): told for s, told in sorted(self.samples.items()) if s >= 0}
-        return {"service": self.service.told(), "faults": self.met, "samples": samples, "calls": self.calls}
+        return {
+            "service": self.service.summary(),
+            "faults": self.met,
+            "samples": samples,
+            "calls": self.calls,
+        }
 
 
 def played(
--- a/ledgehitch/standins/viewers.py
+++ b/ledgehitch/standins/viewers.py
@@ -14,10 +14,20 @@
 from ledgehitch.http.parse import ResponseReader
 from ledgehitch.loop import Datagrams, Endpoint, Event, Loop, Stream, TimedOut, connect, endpoint
 from ledgehitch.proof.tape import Tape
-from ledgehitch.standins.arrivals import Visit, picked, titles_by_popularity, visits
+from ledgehitch.standins.arrivals import Visit, titles_by_popularity, visits, weighted_index
 from ledgehitch.standins.players import Made, Player, faulty_of
 from ledgehitch.standins.service import Booking, Service
-from ledgehitch.standins.visiting import LATE_ANSWER, MOST_AFTER, SIGN, Came, Rest, Seen, Try, Watch, visit
+from ledgehitch.standins.visiting import (
+    LATE_ANSWER,
+    MOST_AFTER,
+    SIGN,
+    Rest,
+    Seen,
+    Try,
+    TryResult,
+    Watch,
+    visit,
+)
 
 REPORTS = re.compile(r'<([^>]*)>; *rel="urn:ledgehitch:reports"')
 KINDS = {201: "plays", 503: "blocked", 502: "aborted", 504: "aborted", 307: "moved"}
@@ -133,7 +143,7 @@
         try:
             target = self.packages[visitor.package].join_target
             steps = visit(visitor, self.day, target, self.booking, self.chance, self._now)
-            result: Came | bool | None = None
+            result: TryResult | bool | None = None
             attempt: AttemptResult | None = None
             took = 0.0
             while True:
@@ -149,7 +159,7 @@
                             visitor if top == visitor.top else replace(visitor, top=top), place, ticket
                         )
                         took = time.monotonic() - tried_at
-                        result = Came(attempt.kind, attempt.advice, attempt.ticket)
+                        result = TryResult(attempt.kind, attempt.advice, attempt.ticket)
                     case Rest(seconds):
                         self.loop.sleep(max(0.0, seconds))
                     case Watch(place, seconds, in_time):
@@ -159,7 +169,7 @@
             finished()
 
     def _attempt(self, visitor: Visit, place: float, ticket: str) -> AttemptResult:
-        name, at = self.gateways[picked(place, self.lean)]
+        name, at = self.gateways[weighted_index(place, self.lean)]
         package = self.packages[visitor.package]
         body = offer_of(visitor.number * 10 + self.chance.randrange(10), f"v{self._conns:x}")
         if visitor.method == "whip":
@@ -300,7 +310,7 @@
             if len(parts) == 2:
                 seen.gone = True
             elif len(parts) == 3:
-                seen.heard(self._now(), float(parts[1]), int(parts[2]))
+                seen.on_answer(self._now(), float(parts[1]), int(parts[2]))
 
         self.keepalive_handlers[ufrag] = on_answer
         player = self._player(visitor, ufrag, took) if self.reporting.every else None
@@ -311,7 +321,7 @@
                 self.media.send(ufrag.encode(), media)
                 self.loop.sleep(min(SIGN, end - now))
                 then = self._now()
-                share = seen.shown(then)
+                share = seen.visible_share(then)
                 self.booking.watched(visitor, now, then - now, share, seen.rung, in_time)
                 if player is not None:
                     player.played(then - now, share, seen.rung)
@@ -319,7 +329,7 @@
                         player.report(then, then - reported_at, self.faulty)
                         reported_at = then
                         self._send_reports(player, response, place)
-                if seen.leaves(then, then - now, self.day.arrivals.leave_under, self.chance):
+                if seen.gives_up(then, then - now, self.day.arrivals.leave_under, self.chance):
                     content = False
                     break
         finally:
@@ -335,7 +345,7 @@
 
     def _send_reports(self, player: Player, response: Response, place: float) -> None:
         """Sends the player's pending reports in a task, with the day's delays and number of copies."""
-        _, at = self.gateways[picked(place, self.lean)]
+        _, at = self.gateways[weighted_index(place, self.lean)]
         batch, player.pending = player.pending, []
         token = response.header("report-token") or ""
         to, path = reports_to(response, str(at))
@@ -370,7 +380,7 @@
         return answer.status, json.loads(answer.body) if answer.status == 200 else {}
 
     def _delete(self, location: str, place: float) -> None:
-        _, at = self.gateways[picked(place, self.lean)]
+        _, at = self.gateways[weighted_index(place, self.lean)]
         try:
             with self.loop.deadline(2.0):
                 stream = connect(self.loop, at)
@@ -429,7 +439,7 @@
         service: Service = loop.run(viewers.run)
     finally:
         tape.close()
-    summary = service.told()
+    summary = service.summary()
     if day.reporting.every:
         summary["players"] = {**asdict(viewers.made), "faulty": [asdict(f) for f in viewers.faulty]}
     return summary
