--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -30,14 +30,14 @@
     parts_wanted,
 )
 from ledgehitch.budgets.lender import Lender
+from ledgehitch.budgets.messages import FIRST_KIND, LoanMessage, decode, encode
 from ledgehitch.budgets.units import lendable, own_parts
-from ledgehitch.budgets.words import FIRST_KIND, LoanMessage, decode, encode
 from ledgehitch.door.decide import DEMAND_HEADROOM
 from ledgehitch.door.limits import RequestRate
 from ledgehitch.door.part import BudgetShare
 from ledgehitch.door.rates import SET_UPS, PackageRateLimits, offers_budget
 from ledgehitch.owners.facts import BUDGETS
-from ledgehitch.owners.words import NO_MEMBER
+from ledgehitch.owners.messages import NO_MEMBER
 from ledgehitch.rehearsal.fleet import FleetRig
 from tests.explore_budgets import SCENARIOS, explore, walk
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -19,21 +19,21 @@
 from ledgehitch.config import BadInput
 from ledgehitch.daemon.facts import Drain, Fence, PlanCall, PlanMessage, Reload, State
 from ledgehitch.fleet.journal import _checksum, _decode
-from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
+from ledgehitch.gateway.peer_codec import DatagramRejected, PeerCodec
 from ledgehitch.http import Refused
 from ledgehitch.http.parse import RequestReader
 from ledgehitch.keys import judge
 from ledgehitch.members.decide import Members
+from ledgehitch.members.messages import InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.members.roster import MemberStatus
-from ledgehitch.members.words import InvalidMessage, MembershipMessage, decode, encode
 from ledgehitch.owners.decide import Owners
+from ledgehitch.owners.durable_state import DurableState
 from ledgehitch.owners.facts import DUTIES, name_digest
-from ledgehitch.owners.memory import DurableState
-from ledgehitch.owners.words import KINDS as DUTY_KINDS
-from ledgehitch.owners.words import DutyMessage as Duty
-from ledgehitch.owners.words import InvalidMessage as BadDuty
-from ledgehitch.owners.words import decode as duty_read
-from ledgehitch.owners.words import encode as duty_written
+from ledgehitch.owners.messages import KINDS as DUTY_KINDS
+from ledgehitch.owners.messages import DutyMessage as Duty
+from ledgehitch.owners.messages import InvalidMessage as BadDuty
+from ledgehitch.owners.messages import decode as duty_read
+from ledgehitch.owners.messages import encode as duty_written
 
 KEY = bytes(range(32))
 
--- a/ledgehitch/cli/config.py
+++ b/ledgehitch/cli/config.py
@@ -173,7 +173,7 @@
 @click.argument("file", type=PATH)
 def compile_command(file: Path) -> None:
     """Prints a checked version as a gateway reads it: JSON with digest, data and site, or the mistakes."""
-    from ledgehitch.gateway.versions import compile_site  # the other commands do not need the gateway
+    from ledgehitch.gateway.site_reloader import compile_site  # the other commands do not need the gateway
 
     sys.stdout.buffer.write(msgspec.json.encode(compile_site(file)))
 
--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -24,15 +24,15 @@
     parts_wanted,
 )
 from ledgehitch.budgets.lender import Lender
+from ledgehitch.budgets.messages import InvalidMessage, LoanMessage, decode, encode
 from ledgehitch.budgets.parts import OwnPart, lending_terms
-from ledgehitch.budgets.words import InvalidMessage, LoanMessage, decode, encode
 from ledgehitch.config import Site
 from ledgehitch.daemon.membership import Membership
 from ledgehitch.daemon.owning import SHARE_NOT_RELEASED, Owning
-from ledgehitch.gateway.doorman import AdmissionService
+from ledgehitch.gateway.admission import AdmissionService
 from ledgehitch.loop import Loop
 from ledgehitch.owners.facts import BUDGETS, MemberLists
-from ledgehitch.owners.words import NO_MEMBER
+from ledgehitch.owners.messages import NO_MEMBER
 
 CHECKS_PER_REQUEST = 10  # in the time between two requests: whether the next one is due
 log = structlog.get_logger("budgets")
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -10,12 +10,12 @@
 from blake3 import blake3
 
 from ledgehitch.config import Site
-from ledgehitch.gateway.peers import DatagramRejected, PeerCodec
+from ledgehitch.gateway.peer_codec import DatagramRejected, PeerCodec
 from ledgehitch.loop import Datagrams, Loop, endpoint
 from ledgehitch.loop.timers import Timer
 from ledgehitch.members.decide import Members, Send, StatusChanged
-from ledgehitch.members.words import InvalidMessage, decode, encode
-from ledgehitch.owners.words import FIRST_KIND
+from ledgehitch.members.messages import InvalidMessage, decode, encode
+from ledgehitch.owners.messages import FIRST_KIND
 from ledgehitch.quality.keep import SnapshotStore
 
 KEY_CONTEXT = "ledgehitch 2026 membership datagrams"  # separates these keys from those of other datagrams
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -34,7 +34,7 @@
 from ledgehitch.daemon.verdicts import Verdicts
 from ledgehitch.daemon.watchdog import Watchdog
 from ledgehitch.gateway.serve import RunningGateway, print_ready, read_peer_keys
-from ledgehitch.gateway.versions import CompiledSite, SiteReloader
+from ledgehitch.gateway.site_reloader import CompiledSite, SiteReloader
 from ledgehitch.http import Refused, Request, Response, Server
 from ledgehitch.http.client import TLS
 from ledgehitch.keys.contexts import tls_context
@@ -42,7 +42,7 @@
 from ledgehitch.keys.store import Keys
 from ledgehitch.loop import Child, Endpoint, Event, Loop, TimedOut, endpoint
 from ledgehitch.loop.pump import Pump
-from ledgehitch.members.elsewhere import pick_gateway
+from ledgehitch.members.gateway_choice import pick_gateway
 from ledgehitch.owners.facts import BUDGETS, RESTARTS, VERDICTS
 from ledgehitch.quality.keep import SnapshotStore
 
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -23,16 +23,16 @@
 from ledgehitch.config.site import active_gateways, can_lend_budgets, rack_name
 from ledgehitch.door.decide import AdmissionController
 from ledgehitch.door.names import DEFAULT_ORDER
-from ledgehitch.gateway.carry import Executor
-from ledgehitch.gateway.doorman import AdmissionService
-from ledgehitch.gateway.front import HttpFrontend
-from ledgehitch.gateway.listing import HostListClient
-from ledgehitch.gateway.mind import RecordedModule
-from ledgehitch.gateway.peers import PeerCodec
+from ledgehitch.gateway.admission import AdmissionService
+from ledgehitch.gateway.executor import Executor
+from ledgehitch.gateway.host_list_client import HostListClient
+from ledgehitch.gateway.host_monitor import HostMonitor
+from ledgehitch.gateway.http_frontend import HttpFrontend
+from ledgehitch.gateway.peer_codec import PeerCodec
 from ledgehitch.gateway.record import Recorder
+from ledgehitch.gateway.recorded_module import RecordedModule
 from ledgehitch.gateway.reports import ReportService, TokenIssuer
-from ledgehitch.gateway.versions import CompiledSite, SiteReloader
-from ledgehitch.gateway.watch import HostMonitor
+from ledgehitch.gateway.site_reloader import CompiledSite, SiteReloader
 from ledgehitch.http import Limits, Server
 from ledgehitch.keys.store import read_key_ring
 from ledgehitch.loop import Datagrams, Event, Loop, endpoint
