--- a/ledgehitch/rehearsal/play.py
+++ b/ledgehitch/rehearsal/play.py
@@ -134,7 +134,7 @@
         if day.shape.gateways > MAX_GATEWAYS or day.shape.hosts > MAX_HOSTS:
             raise BadInput(
                 f"{day.name}: shape: {day.shape.gateways} gateways and {day.shape.hosts} media hosts; on "
-                f"loopback allows {MAX_GATEWAYS} and {MAX_HOSTS} at most; use the lab for larger days"
+                f"loopback {MAX_GATEWAYS} and {MAX_HOSTS} are allowed at most; use the lab for larger days"
             )
         self.tapes = directory / "tape"
         key = write_key(directory / "peer.key")
