--- a/Makefile
+++ b/Makefile
@@ -20,6 +20,7 @@
 	@exec $(PY) -m ledgehitch --log text up $(ARGS)
 
 test: $(VENV)/ready
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/mypy
 	$(VENV)/bin/lint-imports
--- a/benchmarks/cut.py
+++ b/benchmarks/cut.py
@@ -71,8 +71,9 @@
     more = json.loads(parts.read_text()) if parts is not None else {}
     seen: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as directory:
-        rig = FleetRig(Path(directory), GATEWAYS, halls=2, hosts=9, rate=3 * RATE, watch=0.3,
-                       **{"door": DOOR, **more})  # fmt: skip
+        rig = FleetRig(
+            Path(directory), GATEWAYS, halls=2, hosts=9, rate=3 * RATE, watch=0.3, **{"door": DOOR, **more}
+        )
         rig.run(lambda rig: script(rig, seconds, seen))
         times, cut, heal = let_in(rig), seen["cut"], seen["heal"]
         broken = rig.over_budget()
@@ -100,8 +101,16 @@
         print(f"BROKEN: {b.promise}: {b.what}")
     print(json.dumps(figures))
     phase = "equal-split-regions" if "regions" in more else "equal-split"
-    point = Point(role="owner", mechanism="budgets", phase=phase, size=GATEWAYS,
-                  size_unit="gateways", figures=figures, load1=load_now(), seconds=seconds)  # fmt: skip
+    point = Point(
+        role="owner",
+        mechanism="budgets",
+        phase=phase,
+        size=GATEWAYS,
+        size_unit="gateways",
+        figures=figures,
+        load1=load_now(),
+        seconds=seconds,
+    )
     words = " ".join([name, f"{seconds:g}", *([str(parts)] if parts is not None else [])])
     write_kept(KEPT / f"{name}.json", kept_now(f"python -m benchmarks.cut {words}", [point]))
 
--- a/benchmarks/fleet_many.py
+++ b/benchmarks/fleet_many.py
@@ -75,11 +75,12 @@
     size, over = ways[way]
     mix = [{"package": "recorded", "share": 2.0, "watch": 4.0}, {"package": "live", "watch": 4.0}]
     raw = {
-        "name": "restarts", "length": length,
+        "name": "restarts",
+        "length": length,
         "arrivals": {"rate": 1.4 * hosts, "swing": 0.0, "returns_at_most": 20, "mix": mix},
         "faults": [{"kind": "gateways_killed", "at": 10.0, "len": over, "size": size, "part": 1.0}],
         "shape": {"gateways": gateways, "hosts": hosts, "rack": 6, "zones": 3, "titles": 60},
-    }  # fmt: skip
+    }
     day = msgspec.json.decode(msgspec.json.encode(raw), type=Day)
     site = site_of(day, 1, PORTS)
     told = played(day, site, steps_of(day, site, 1), 1, taped=False).service.told()
@@ -92,8 +93,12 @@
     before = service(4, 10)
     lost = sum(max(0.0, before * a - g) for s, (a, g) in cells.items() if 10 <= s < int(length) - 2)
     asked_a_second = sum(a for s, (a, _) in cells.items() if 10 <= s < int(length) - 2) / (length - 12)
-    return {"way": way, "service_before": round(before, 3), "worst_10s": told["worst_10s"],
-            "seconds_of_service_lost": round(lost / max(1e-9, before * asked_a_second), 2)}  # fmt: skip
+    return {
+        "way": way,
+        "service_before": round(before, 3),
+        "worst_10s": told["worst_10s"],
+        "seconds_of_service_lost": round(lost / max(1e-9, before * asked_a_second), 2),
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -128,9 +128,13 @@
 def main(seconds: float) -> dict[str, Any]:
     fed = Fed(random.Random(1))
     kinds: dict[str, Callable[[], None]] = {
-        "datagram": fed.datagram, "admin": fed.admin, "journal": fed.plan, "http": fed.http,
-        "certificate": fed.certificate, "duties": fed.duty,
-    }  # fmt: skip
+        "datagram": fed.datagram,
+        "admin": fed.admin,
+        "journal": fed.plan,
+        "http": fed.http,
+        "certificate": fed.certificate,
+        "duties": fed.duty,
+    }
     counts, began, first = dict.fromkeys(kinds, 0), time.monotonic(), 0.0
     while time.monotonic() - began < seconds:
         for name, call in kinds.items():
--- a/ledgehitch/brain.py
+++ b/ledgehitch/brain.py
@@ -104,8 +104,9 @@
 
 
 class MediaHost:
-    def __init__(self, number: int, row: Row, link_kb: float, most_sent: int, uplink: Use,
-                 rack: list["MediaHost"]) -> None:  # fmt: skip
+    def __init__(
+        self, number: int, row: Row, link_kb: float, most_sent: int, uplink: Use, rack: list["MediaHost"]
+    ) -> None:
         self.number = number  # in the order in which hosts were first named
         self.row, self.uplink, self.rack = row, uplink, rack  # the uplink and the hosts it serves, itself too
         self.mark = zlib.crc32(row.host.encode()) & 0xFFFF  # the same at every gateway
@@ -142,8 +143,9 @@
 
 
 class Viewing:
-    def __init__(self, vw: int, package: Package, title: str, cells: tuple[int, int], top: int,
-                 tables: Tables) -> None:  # fmt: skip
+    def __init__(
+        self, vw: int, package: Package, title: str, cells: tuple[int, int], top: int, tables: Tables
+    ) -> None:
         self.vw, self.package, self.title, self.cells, self.top = vw, package, title, cells, top
         self.rates, self.worths, self.marks = tables.rates, tables.worths, tables.marks
         self.patience = self.asked_at = 0.0
@@ -166,8 +168,9 @@
 
 
 class Gateway:
-    def __init__(self, seed: int, now: float, ladder: Ladder, packages: Sequence[Package], fleet: Fleet,
-                 terms: Terms) -> None:  # fmt: skip
+    def __init__(
+        self, seed: int, now: float, ladder: Ladder, packages: Sequence[Package], fleet: Fleet, terms: Terms
+    ) -> None:
         self.chance = random.Random(seed)
         self.started = now
         self.doubts_until = now + min(terms.warm_up, LIST_LATE)
@@ -250,15 +253,25 @@
             host.rack.remove(host)
             del self.hosts[host.row.host]
 
-    def asked(self, now: float, vw: int, package: str, title: str, first: int, spread: int, top: int,
-              patience: float) -> None:  # fmt: skip
+    def asked(
+        self,
+        now: float,
+        vw: int,
+        package: str,
+        title: str,
+        first: int,
+        spread: int,
+        top: int,
+        patience: float,
+    ) -> None:
         v = self.waiting[vw] = self._viewing(vw, package, title, (first, spread), top)
         v.patience, v.asked_at = patience, min(now, patience - v.package.patience)
         if self.terms.extra_free is not None:
             self.asked_times.append(now)
 
-    def handed_over(self, now: float, vw: int, package: str, title: str, first: int, spread: int, top: int,
-                    host: str) -> None:  # fmt: skip
+    def handed_over(
+        self, now: float, vw: int, package: str, title: str, first: int, spread: int, top: int, host: str
+    ) -> None:
         v = self._viewing(vw, package, title, (first, spread), top)
         v.host, v.tune_ins, v.playing = self.hosts.get(host), 1, True
         if v.host:
@@ -307,8 +320,17 @@
                 at = v.news_at = now  # what comes with a set-up is fresh
             self._read(now, at, h, kind == 3, value)
 
-    def ended(self, now: float, vw: int, closed: bool, code: int, host: str, latency: float, tune_in: int,
-              loads: Sequence[float] = ()) -> None:  # fmt: skip
+    def ended(
+        self,
+        now: float,
+        vw: int,
+        closed: bool,
+        code: int,
+        host: str,
+        latency: float,
+        tune_in: int,
+        loads: Sequence[float] = (),
+    ) -> None:
         self.inputs += 1
         h = self.hosts.get(host)
         self._reported(now, h, loads)
@@ -603,9 +625,11 @@
             (first, spread), places = cells, self.fleet.cells
             # A cell beyond the places holds nothing: no title's cells reach it.
             held = self.holders[cells] = [
-                h for h in self.hosts.values() if h.listed and (
-                    places <= 0 or 0 <= h.row.cell < places and (h.row.cell - first) % places < spread)
-            ]  # fmt: skip
+                h
+                for h in self.hosts.values()
+                if h.listed
+                and (places <= 0 or 0 <= h.row.cell < places and (h.row.cell - first) % places < spread)
+            ]
         return held
 
     def _within_key(self, v: Viewing, h: MediaHost) -> bool:
--- a/ledgehitch/budgets/borrower.py
+++ b/ledgehitch/budgets/borrower.py
@@ -17,8 +17,9 @@
 
 
 class Borrower:
-    def __init__(self, budgets: Sequence[Budget], own: Sequence[int], life: int, digests: Sequence[bytes],
-                 loan: float) -> None:  # fmt: skip
+    def __init__(
+        self, budgets: Sequence[Budget], own: Sequence[int], life: int, digests: Sequence[bytes], loan: float
+    ) -> None:
         """`own`: parts of each budget that need nobody. `life`: a number of this life, drawn anew. `digests`:
         of its version of the site, and of the one before while a change is not settled: a lender that goes by
         that one counts it, too. `loan`: seconds at most."""
@@ -56,8 +57,9 @@
         """What to say to the lender of this term, where it is time to. `used`, `wanted`: parts of the whole
         by budget; what is missing counts as none."""
         mine = tuple(min(WHOLE, max(0, wanted.get(b.name, 0))) for b in self.budgets)
-        parts = [own + (loan if now < self.until else 0)
-                 for own, loan in zip(self.own, self.loans, strict=True)]  # fmt: skip
+        parts = [
+            own + (loan if now < self.until else 0) for own, loan in zip(self.own, self.loans, strict=True)
+        ]
         more = [w > JUMPED * max(part, 1) for w, part in zip(mine, parts, strict=True)]
         if any(m and w > JUMPED * before for m, w, before in zip(more, mine, self.wanted, strict=True)):
             self._soon = AT_ONCE
@@ -85,8 +87,9 @@
         if len(self._asked) > MOST_ASKED:
             self._asked.pop(next(iter(self._asked)))
         loans = self.loans if lent else (0,) * len(self.budgets)
-        return Words("want", digest, term, self.life, self._sequence, self.number, 0.0, loans,
-                     tuple(held), mine)  # fmt: skip
+        return Words(
+            "want", digest, term, self.life, self._sequence, self.number, 0.0, loans, tuple(held), mine
+        )
 
     def lent(self, now: float, words: Words) -> bool:
         """An answer of a lender; whether it is in force from now on."""
--- a/ledgehitch/budgets/ledger.py
+++ b/ledgehitch/budgets/ledger.py
@@ -46,8 +46,16 @@
         self._ends: list[tuple[float, int]] = []
         self._longest = max((b.lag for b in self.budgets), default=0.0)
 
-    def said(self, now: float, member: int, life: int, sequence: int, number: int, held: tuple[int, ...],
-             binds: float) -> bool:  # fmt: skip
+    def said(
+        self,
+        now: float,
+        member: int,
+        life: int,
+        sequence: int,
+        number: int,
+        held: tuple[int, ...],
+        binds: float,
+    ) -> bool:
         """A borrower's word: it goes back to none of its loans below `number`, and `held` is taken in any
         case, up to `binds`. Whether it counts: one that is doubled or was overtaken does not."""
         lives = self.takers.setdefault(member, {})
@@ -99,8 +107,12 @@
                 del lives[life]  # nothing of it can be in force
         # Guards against what a killed life left under way being lent again to its next one: that adds up. A
         # rate's loan ends with its process.
-        parts = [sum(each) if budget.lag else max(each, default=0) for budget, each in
-                 zip(self.budgets, zip(*(one.taken for one in lives.values()), strict=True), strict=False)]
+        parts = [
+            sum(each) if budget.lag else max(each, default=0)
+            for budget, each in zip(
+                self.budgets, zip(*(one.taken for one in lives.values()), strict=True), strict=False
+            )
+        ]
         parts = parts or [0] * len(self.budgets)
         before = self.taken.get(member, [0] * len(self.budgets))
         self.sums = [s - b + p for s, b, p in zip(self.sums, before, parts, strict=True)]
@@ -124,8 +136,9 @@
     return out
 
 
-def divided(pool: int, own: Mapping[int, int], wanted: Mapping[int, int], grain: int = 1,
-            first: Sequence[int] = ()) -> dict[int, int]:  # fmt: skip
+def divided(
+    pool: int, own: Mapping[int, int], wanted: Mapping[int, int], grain: int = 1, first: Sequence[int] = ()
+) -> dict[int, int]:
     """Loans by what is wanted, own part included. What nobody needs is lent in equal parts, so that a need
     that jumps has room at once. Of what is counted they are whole things; `first`: who is to have one where
     not all can."""
--- a/ledgehitch/budgets/lender.py
+++ b/ledgehitch/budgets/lender.py
@@ -20,10 +20,19 @@
 
 
 class Lender:
-    def __init__(self, now: float, term: int, budgets: Sequence[Budget],
-                 own: Mapping[int, Sequence[int]], pool: Sequence[int], members: Iterable[int],
-                 digests: Sequence[bytes], loan: float, former: float = 0.0, bound: float = RATES
-                 ) -> None:  # fmt: skip
+    def __init__(
+        self,
+        now: float,
+        term: int,
+        budgets: Sequence[Budget],
+        own: Mapping[int, Sequence[int]],
+        pool: Sequence[int],
+        members: Iterable[int],
+        digests: Sequence[bytes],
+        loan: float,
+        former: float = 0.0,
+        bound: float = RATES,
+    ) -> None:
         """`now`: when the duty was won. `own`: parts of each budget that a gateway has without a loan, by its
         number; `pool`: what of each may be lent, to `members`. `digests`: of the versions of the site that
         borrowers may go by. `loan`: seconds; `former`: of a former lender's loans, where these were longer.
@@ -43,8 +52,14 @@
         self._number = 0
         self._divided_at = -1e18
 
-    def of(self, budgets: Sequence[Budget], own: Mapping[int, Sequence[int]], pool: Sequence[int],
-           members: Iterable[int], digests: Sequence[bytes]) -> None:  # fmt: skip
+    def of(
+        self,
+        budgets: Sequence[Budget],
+        own: Mapping[int, Sequence[int]],
+        pool: Sequence[int],
+        members: Iterable[int],
+        digests: Sequence[bytes],
+    ) -> None:
         """The same budgets of other wholes, or a change of the list that has settled. What was lent is known,
         and numbers go on: guards against a book that begins anew within a term, whose loans nobody takes."""
         self.budgets = self.ledger.budgets = tuple(budgets)
@@ -80,8 +95,9 @@
         loan = Loan(self._number, tuple(loans), now + self.counted)
         if not self.ledger.lent(now, member, words.life, loan):
             return self._none("too many loans that may be in force")
-        return Words("lent", words.digest, self.term, words.life, words.sequence, self._number, self.loan,
-                     loan.parts)  # fmt: skip
+        return Words(
+            "lent", words.digest, self.term, words.life, words.sequence, self._number, self.loan, loan.parts
+        )
 
     def _divide(self, now: float) -> None:
         self._divided_at = now
@@ -111,8 +127,15 @@
             self.ledger.free(now, -1, 0, i)
             lent = {m: t[i] for m, t in sorted(self.ledger.taken.items()) if t[i]}
             wanted = {m: w[i] for m, (_, w) in sorted(self.wanted.items())}
-            out.append({"budget": budget.name, "pool": self.ledger.pool[i], "lent": lent, "wanted": wanted,
-                        "waits": round(max(0.0, self.waits[i] - now), 3)})  # fmt: skip
+            out.append(
+                {
+                    "budget": budget.name,
+                    "pool": self.ledger.pool[i],
+                    "lent": lent,
+                    "wanted": wanted,
+                    "waits": round(max(0.0, self.waits[i] - now), 3),
+                }
+            )
         return out
 
     def _none(self, why: str) -> Words | None:
--- a/ledgehitch/budgets/parts.py
+++ b/ledgehitch/budgets/parts.py
@@ -15,8 +15,9 @@
 class OwnPart:
     """The parts of one gateway that need nobody. Times are of the clock that leases go by, in seconds."""
 
-    def __init__(self, now: float, lists: Lists, me: str, budgets: Sequence[Budget], share: int = WHOLE
-                 ) -> None:  # fmt: skip
+    def __init__(
+        self, now: float, lists: Lists, me: str, budgets: Sequence[Budget], share: int = WHOLE
+    ) -> None:
         self.lists, self.me = lists, me
         self._listed_at, self._began = now, now
         self._joined_at: float | None = None
@@ -30,16 +31,19 @@
 
     def listed(self, now: float, lists: Lists) -> None:
         """A change of the list that has settled, or has begun to be one."""
-        self._before = {b.name: self._least(now, i, self._parts[False][i])
-                        for i, b in enumerate(self.budgets)}  # fmt: skip
+        self._before = {
+            b.name: self._least(now, i, self._parts[False][i]) for i, b in enumerate(self.budgets)
+        }
         self.lists, self._listed_at = lists, now
         self._reckoned()
 
     def _reckoned(self) -> None:
         """Once for each change, as it is asked before each offer."""
         none = (0,) * len(self.budgets)
-        self._parts = {surely: smallest_own(self.budgets, self.lists, surely, self.share).get(self.me, none)
-                       for surely in (False, True)}  # fmt: skip
+        self._parts = {
+            surely: smallest_own(self.budgets, self.lists, surely, self.share).get(self.me, none)
+            for surely in (False, True)
+        }
 
     def at(self, now: float, joined: bool, had: bool) -> tuple[int, ...]:
         """Parts of the whole of each budget. `joined`: whether it counts among the others; `had`: whether it,
@@ -73,14 +77,18 @@
         return min(part, self._before.get(budget.name, part)) if changing else part
 
 
-def lent_by(budgets: Sequence[Budget], lists: Lists, gone: Set[str], numbers: Mapping[str, int],
-            share: int = WHOLE) -> tuple[dict[int, tuple[int, ...]], tuple[int, ...], set[int]]:  # fmt: skip
+def lent_by(
+    budgets: Sequence[Budget], lists: Lists, gone: Set[str], numbers: Mapping[str, int], share: int = WHOLE
+) -> tuple[dict[int, tuple[int, ...]], tuple[int, ...], set[int]]:
     """Own parts of each gateway by its number in `numbers`, what may be lent of each budget, and which
     gateways count; `gone`: declared gone for good. While a change of the list is not settled own parts are
     the smaller ones of both versions, the larger sum of them is not lent, and the gateways of both count: its
     majority is one of both, so that nobody else lends by either. `share`: parts of the whole that this list's
     scope has."""
     members = {numbers.get(name, NOBODYS) for name in {*lists.current, *lists.former} - gone}
-    own = {numbers[name]: parts for name, parts in smallest_own(budgets, lists, share=share).items()
-           if name in numbers}  # fmt: skip
+    own = {
+        numbers[name]: parts
+        for name, parts in smallest_own(budgets, lists, share=share).items()
+        if name in numbers
+    }
     return own, lent_beside(budgets, lists, share), members
--- a/ledgehitch/budgets/turns.py
+++ b/ledgehitch/budgets/turns.py
@@ -16,8 +16,9 @@
         self._began: dict[int, float] = {}  # when who is to have one was first lent it
         self._waits: dict[int, float] = {}  # since when who has none wants one
 
-    def order(self, now: float, wanted: Mapping[int, int], own: Mapping[int, int], loans: Mapping[int, int]
-              ) -> list[int]:  # fmt: skip
+    def order(
+        self, now: float, wanted: Mapping[int, int], own: Mapping[int, int], loans: Mapping[int, int]
+    ) -> list[int]:
         """Who is to have one, first to last. `loans`: as they were divided before."""
         most = max(wanted, default=0) + 1
 
@@ -33,9 +34,13 @@
         """What is lent is in its hands from about now on."""
         self._began.setdefault(member, now)
 
-    def divided(self, now: float, wanted: Mapping[int, int], own: Mapping[int, int], loans: Mapping[int, int]
-                ) -> None:  # fmt: skip
+    def divided(
+        self, now: float, wanted: Mapping[int, int], own: Mapping[int, int], loans: Mapping[int, int]
+    ) -> None:
         """It was divided anew: who is to have one, and who waits."""
         self._began = {m: at for m, at in self._began.items() if loans.get(m, 0) > 0}
-        self._waits = {m: self._waits.get(m, now) for m, want in wanted.items()
-                       if want > 0 and not own.get(m, 0) and not loans.get(m, 0)}  # fmt: skip
+        self._waits = {
+            m: self._waits.get(m, now)
+            for m, want in wanted.items()
+            if want > 0 and not own.get(m, 0) and not loans.get(m, 0)
+        }
--- a/ledgehitch/budgets/units.py
+++ b/ledgehitch/budgets/units.py
@@ -64,15 +64,18 @@
     return [*out, (lists.former_own_part, lists.former)] if lists.former else out
 
 
-def smallest_own(budgets: Sequence[Budget], lists: Lists, surely: bool = False, share: int = WHOLE
-                 ) -> Mapping[str, tuple[int, ...]]:  # fmt: skip
+def smallest_own(
+    budgets: Sequence[Budget], lists: Lists, surely: bool = False, share: int = WHOLE
+) -> Mapping[str, tuple[int, ...]]:
     """Own parts of each gateway, of each budget the smaller of all versions: none of one that a version does
     not state, as others may have all by that one."""
-    by_budget = [[own_parts(b, part, names, share) for part, names in versions(lists, surely)]
-                 for b in budgets]  # fmt: skip
+    by_budget = [
+        [own_parts(b, part, names, share) for part, names in versions(lists, surely)] for b in budgets
+    ]
     names = {*lists.current, *lists.former}
-    return {name: tuple(min(own.get(name, 0) for own in each) for each in by_budget)
-            for name in sorted(names)}  # fmt: skip
+    return {
+        name: tuple(min(own.get(name, 0) for own in each) for each in by_budget) for name in sorted(names)
+    }
 
 
 def lent_beside(budgets: Sequence[Budget], lists: Lists, share: int = WHOLE) -> tuple[int, ...]:
--- a/ledgehitch/budgets/words.py
+++ b/ledgehitch/budgets/words.py
@@ -39,9 +39,16 @@
 
 
 def written(words: Words) -> bytes:
-    head = HEAD.pack(FIRST + (words.kind == "lent"), words.digest, words.term, words.life,
-                     words.sequence & 0xFFFFFFFF, words.number & 0xFFFFFFFF, int(words.seconds * 1000),
-                     len(words.loans))  # fmt: skip
+    head = HEAD.pack(
+        FIRST + (words.kind == "lent"),
+        words.digest,
+        words.term,
+        words.life,
+        words.sequence & 0xFFFFFFFF,
+        words.number & 0xFFFFFFFF,
+        int(words.seconds * 1000),
+        len(words.loans),
+    )
     if words.kind == "lent":
         return head + b"".join(LENT.pack(x) for x in words.loans)
     columns = words.loans, words.held, words.wanted
--- a/ledgehitch/cli/config.py
+++ b/ledgehitch/cli/config.py
@@ -103,8 +103,10 @@
     """What changes in meaning from BEFORE to AFTER, when it takes effect and what it may break."""
     made = changes(_good(before).data, _good(after).data)
     if as_json:
-        told = [{"path": c.path, "before": c.before, "after": c.after, "effect": c.effect, "risk": c.risk}
-                for c in made]  # fmt: skip
+        told = [
+            {"path": c.path, "before": c.before, "after": c.after, "effect": c.effect, "risk": c.risk}
+            for c in made
+        ]
         click.echo(json.dumps(told))
     elif not made:
         click.echo("the same in meaning")
--- a/ledgehitch/cli/daemon.py
+++ b/ledgehitch/cli/daemon.py
@@ -18,8 +18,12 @@
 @click.option("--site", "site_file", type=click.Path(path_type=Path), required=True)
 @click.option("--gateway", "name", default=None, help="Which of the site's gateways; the first if left out.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--state", type=click.Path(path_type=Path), required=True, help="Its directory: lock, admin "
-              "socket, keys and what the next life begins with.")  # fmt: skip
+@click.option(
+    "--state",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="Its directory: lock, admin socket, keys and what the next life begins with.",
+)
 @click.option("--record", type=click.Path(path_type=Path), default=None, help="Writes a flight record there.")
 @click.option(
     "--keys",
--- a/ledgehitch/cli/days.py
+++ b/ledgehitch/cli/days.py
@@ -19,8 +19,13 @@
 @click.command("rehearse")
 @click.argument("day_file", metavar="DAY", type=click.Path(path_type=Path))
 @click.option("--seed", type=int, default=None, help="The day's own if left out.")
-@click.option("--tape", "directory", type=click.Path(path_type=Path), default=None,
-              help="Directory for tape, logs, site and records; a temporary one if left out.")  # fmt: skip
+@click.option(
+    "--tape",
+    "directory",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="Directory for tape, logs, site and records; a temporary one if left out.",
+)
 @click.option("--record", is_flag=True, help="Gateways write flight records.")
 @click.option("--json", "as_json", is_flag=True)
 def rehearse_command(
@@ -59,8 +64,13 @@
     out.print(table)
     faults = Table("at, s", "fault", "met", "service 5 s before", "5 s from it on", box=None)
     for f in result.faults:
-        faults.add_row(str(f["at"]), f["kind"], ", ".join(f["met"])[:40], str(f["service_before"]),
-                       str(f["service_after"]))  # fmt: skip
+        faults.add_row(
+            str(f["at"]),
+            f["kind"],
+            ", ".join(f["met"])[:40],
+            str(f["service_before"]),
+            str(f["service_after"]),
+        )
     out.print(faults)
     for breach in result.breaches[:20]:
         out.print(f"[red]{breach.told(result.started_at)}[/red]", soft_wrap=True)
@@ -82,8 +92,10 @@
         raise BadInput(f"{directory}: no tapes with their site.json there")
     breaches, held = judged_tape(tapes, figures_of(read_site(site_file)))
     if as_json:
-        told = [{"rule": b.rule, "what": b.what, "viewing": b.viewing, "times": b.times, "lines": b.lines}
-                for b in breaches]  # fmt: skip
+        told = [
+            {"rule": b.rule, "what": b.what, "viewing": b.viewing, "times": b.times, "lines": b.lines}
+            for b in breaches
+        ]
         click.echo(json.dumps({"kept": not breaches, "breaches": told, "tape": held}, indent=1))
     else:
         for breach in breaches:
@@ -99,15 +111,22 @@
     verdict = replayed(record)
     if not verdict.same_module:
         click.echo("the record was written with another text of the module")
-    click.echo(f"{verdict.entries} entries, {verdict.pulls} pulls, {verdict.decisions} decisions: "
-               + (verdict.difference or "no difference"))  # fmt: skip
+    click.echo(
+        f"{verdict.entries} entries, {verdict.pulls} pulls, {verdict.decisions} decisions: "
+        + (verdict.difference or "no difference")
+    )
     sys.exit(1 if verdict.difference else 0)
 
 
 @click.command("import-day")
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--scale", type=float, default=8.0, show_default=True, help="Hosts, gateways and viewers are "
-              "divided by it.")  # fmt: skip
+@click.option(
+    "--scale",
+    type=float,
+    default=8.0,
+    show_default=True,
+    help="Hosts, gateways and viewers are divided by it.",
+)
 @click.option("--out", type=click.Path(path_type=Path), default=None)
 def import_day(file: Path, scale: float, out: Path | None) -> None:
     """Writes a day script from a bench day as `lbsim draw` prints it."""
--- a/ledgehitch/cli/fleet.py
+++ b/ledgehitch/cli/fleet.py
@@ -81,8 +81,9 @@
         found: list[Found] = loop.run(lambda: self.caller(loop).ask_all(self.targets(only)))
         return found
 
-    def asked(self, method: str, path: str, only: tuple[str, ...] = (), body: bytes = b""
-              ) -> list[tuple[str, int, bytes, str | None]]:  # fmt: skip
+    def asked(
+        self, method: str, path: str, only: tuple[str, ...] = (), body: bytes = b""
+    ) -> list[tuple[str, int, bytes, str | None]]:
         """Each gateway's name, status (0: no answer), body or why there is none, and the owner it names where
         it says that it is not: empty if it knows none."""
         loop, found = Loop(), dict[str, tuple[str, int, bytes, str | None]]()
@@ -104,8 +105,10 @@
         return [found[t.name] for t in self.targets(only)]
 
     def said(self) -> list[Said]:
-        return [read_owners(name, status, body) if status else Said(name, None, body.decode())
-                for name, status, body, _ in self.asked("GET", "/v1/owners")]  # fmt: skip
+        return [
+            read_owners(name, status, body) if status else Said(name, None, body.decode())
+            for name, status, body, _ in self.asked("GET", "/v1/owners")
+        ]
 
     def regions(self) -> dict[str, str]:
         return {g: r.name for r in regions_of(self.site) for g in r.gateways}
@@ -126,8 +129,9 @@
                 if status not in (0, 503) and owner is None:
                     raise BadInput(why)
             if time.monotonic() > until:
-                raise BadInput(f"nobody takes it: {why or 'no gateway says that it owns restarts'}; "
-                               "see `fleet owners`")  # fmt: skip
+                raise BadInput(
+                    f"nobody takes it: {why or 'no gateway says that it owns restarts'}; see `fleet owners`"
+                )
             time.sleep(0.3)
 
     def lock(self) -> Path:
@@ -214,25 +218,55 @@
         "--at-once", type=click.IntRange(1), default=1, show_default=True, help="Gateways under way."
     )
     @click.option("--share", type=click.FloatRange(0, 1), default=0.0, help="Or this part of them, if less.")
-    @click.option("--drain-within", type=click.FloatRange(0), default=30.0, show_default=True,
-                  help="Seconds for what plays to end by itself.")  # fmt: skip
+    @click.option(
+        "--drain-within",
+        type=click.FloatRange(0),
+        default=30.0,
+        show_default=True,
+        help="Seconds for what plays to end by itself.",
+    )
     @click.option("--back-within", type=click.FloatRange(0.1), default=60.0, show_default=True)
     @click.option("--settle", type=click.FloatRange(0), default=1.0, show_default=True)
     @click.option("--failures", type=click.IntRange(1), default=1, show_default=True, help="That stop it.")
-    @click.option("--worse", type=click.FloatRange(0, 1), default=0.05, show_default=True,
-                  help="By which blocked and aborted may rise.")  # fmt: skip
-    @click.option("--slow-ms", type=click.FloatRange(0), default=0.0, help="What joins may take at the 99th "
-                  "percentile, in the gateways' median; 0: anything.")  # fmt: skip
+    @click.option(
+        "--worse",
+        type=click.FloatRange(0, 1),
+        default=0.05,
+        show_default=True,
+        help="By which blocked and aborted may rise.",
+    )
+    @click.option(
+        "--slow-ms",
+        type=click.FloatRange(0),
+        default=0.0,
+        help="What joins may take at the 99th percentile, in the gateways' median; 0: anything.",
+    )
     @click.option("--halls-together", is_flag=True, help="Do not finish a hall before the next begins.")
-    @click.option("--by-fleet", is_flag=True, help="Leave the plan with the fleet, which carries it out "
-                  "though this tool ends.")  # fmt: skip
+    @click.option(
+        "--by-fleet",
+        is_flag=True,
+        help="Leave the plan with the fleet, which carries it out though this tool ends.",
+    )
     @click.option("--plan", "only_plan", is_flag=True, help="Say what would be done, and do nothing.")
     @click.pass_obj
-    def command(work: Fleet, gateways: tuple[str, ...], at_once: int, share: float, drain_within: float,
-                back_within: float, settle: float, failures: int, worse: float, slow_ms: float,
-                halls_together: bool, by_fleet: bool, only_plan: bool) -> None:  # fmt: skip
-        terms = Terms(at_once, share, drain_within, back_within, settle, failures, worse, not halls_together,
-                      slow_ms)  # fmt: skip
+    def command(
+        work: Fleet,
+        gateways: tuple[str, ...],
+        at_once: int,
+        share: float,
+        drain_within: float,
+        back_within: float,
+        settle: float,
+        failures: int,
+        worse: float,
+        slow_ms: float,
+        halls_together: bool,
+        by_fleet: bool,
+        only_plan: bool,
+    ) -> None:
+        terms = Terms(
+            at_once, share, drain_within, back_within, settle, failures, worse, not halls_together, slow_ms
+        )
         digest = ""
         if action in ("reload", "restart"):
             compiled = checked(work.site_file)
@@ -356,8 +390,13 @@
     last = latest(held)
     doing = next((f.doing for f in owned(work.said()) if f.duty == "restarts"), "")
     with_it = [w for w in held if last is not None and w.order() == last.order()]
-    out = {"plan": msgspec.to_builtins(last) if last else None, "doing": doing, "silent": silent,
-           "held_by": len(with_it), "of": len(answers)}  # fmt: skip
+    out = {
+        "plan": msgspec.to_builtins(last) if last else None,
+        "doing": doing,
+        "silent": silent,
+        "held_by": len(with_it),
+        "of": len(answers),
+    }
     if as_json:
         click.echo(json.dumps(out))
     elif last is None:
@@ -469,9 +508,16 @@
 
     async def feed() -> tuple[list[Found], list[dict[str, Any]]]:
         child = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ledgehitch", "fleet", *words, "status", "--json",
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "ledgehitch",
+            "fleet",
+            *words,
+            "status",
+            "--json",
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         out, err = await child.communicate()
         if child.returncode not in (0, 1):
             raise ValueError(err.decode("utf-8", "replace").strip()[-200:])
--- a/ledgehitch/cli/lab.py
+++ b/ledgehitch/cli/lab.py
@@ -15,8 +15,13 @@
 from ledgehitch.lab.facts import code_version, read_plan, runs_of
 from ledgehitch.lab.seek import keep, sought
 
-RESULTS = click.option("--results", type=click.Path(path_type=Path), default=Path("lab.sqlite"),
-                       show_default=True, help="The file of results.")  # fmt: skip
+RESULTS = click.option(
+    "--results",
+    type=click.Path(path_type=Path),
+    default=Path("lab.sqlite"),
+    show_default=True,
+    help="The file of results.",
+)
 
 
 @click.group()
@@ -36,8 +41,9 @@
     work = Lab(store, cores)
     total = sum(work.add(plan, runs) for plan, runs in read)
     out = Console(stderr=True, highlight=False)
-    with Progress(TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn(),
-                  console=out) as bar:  # fmt: skip
+    with Progress(
+        TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn(), console=out
+    ) as bar:
         task = bar.add_task("runs", total=total)
 
         def moved(done: Done) -> None:
@@ -46,8 +52,10 @@
         came = work.carry(moved)
         moved(came)
     store.close()
-    click.echo(f"{came.done} done, {came.others} were done already or are another's, {came.failed} failed, "
-               f"{came.cut} cut off, {came.not_begun} not begun, {came.broken} broke a rule")  # fmt: skip
+    click.echo(
+        f"{came.done} done, {came.others} were done already or are another's, {came.failed} failed, "
+        f"{came.cut} cut off, {came.not_begun} not begun, {came.broken} broke a rule"
+    )
     for why in came.whys[:20]:
         click.echo(f"  {why}")
     sys.exit(1 if came.failed or came.broken else 0)
@@ -59,8 +67,14 @@
 @RESULTS
 @click.option("--plan", default=None, help="Of this plan only.")
 @click.option("--by", type=click.Choice(["setting", "code"]), default="setting", show_default=True)
-@click.option("--measure", "measures", multiple=True, type=click.Choice(sorted(MATTERS)),
-              default=("service", "join_p95", "blocked"), show_default=True)  # fmt: skip
+@click.option(
+    "--measure",
+    "measures",
+    multiple=True,
+    type=click.Choice(sorted(MATTERS)),
+    default=("service", "join_p95", "blocked"),
+    show_default=True,
+)
 @click.option("--json", "as_json", is_flag=True)
 def compare(
     a: str, b: str, results: Path, plan: str | None, by: str, measures: tuple[str, ...], as_json: bool
@@ -120,14 +134,23 @@
 @click.option("--tries", type=click.IntRange(1), default=200, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--rule", type=click.IntRange(1, 6), default=None, help="Looks for this rule's breaking only.")
-@click.option("--without", type=click.IntRange(1, 6), multiple=True,
-              help="Takes this rule's gate out of the module, to see that the search finds it.")  # fmt: skip
+@click.option(
+    "--without",
+    type=click.IntRange(1, 6),
+    multiple=True,
+    help="Takes this rule's gate out of the module, to see that the search finds it.",
+)
 @click.option("--out", type=click.Path(path_type=Path), default=None, help="Keeps the script as a day there.")
 @click.option("--cores", type=click.IntRange(1), default=None)
 def search(
-    day_file: Path, tries: int, seed: int, rule: int | None, without: tuple[int, ...], out: Path | None,
+    day_file: Path,
+    tries: int,
+    seed: int,
+    rule: int | None,
+    without: tuple[int, ...],
+    out: Path | None,
     cores: int | None,
-) -> None:  # fmt: skip
+) -> None:
     """Looks near DAY for the script on which viewers lose most or a rule breaks, and cuts it down.
 
     Exit code 1 where a rule was broken."""
--- a/ledgehitch/cli/main.py
+++ b/ledgehitch/cli/main.py
@@ -61,8 +61,12 @@
     default="info",
     show_default=True,
 )
-@click.option("--log-file", type=click.Path(path_type=Path), default=None, help="Standard error if left "
-              "out; a daemon opens it anew on SIGUSR2.")  # fmt: skip
+@click.option(
+    "--log-file",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="Standard error if left out; a daemon opens it anew on SIGUSR2.",
+)
 @click.pass_context
 def root(ctx: click.Context, style: str, log_level: str, log_file: Path | None) -> None:
     """A session front: admits viewers to media hosts and sets the rate at which they play."""
--- a/ledgehitch/cli/run.py
+++ b/ledgehitch/cli/run.py
@@ -26,8 +26,12 @@
 @click.option("--site", "site_file", type=click.Path(path_type=Path), required=True)
 @click.option("--gateway", "name", default=None, help="Which of the site's gateways; the first if left out.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--state", type=click.Path(path_type=Path), default=None, help="Directory for what the next "
-              "start begins with.")  # fmt: skip
+@click.option(
+    "--state",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="Directory for what the next start begins with.",
+)
 @click.option("--record", type=click.Path(path_type=Path), default=None, help="Writes a flight record there.")
 def serve_command(
     site_file: Path, name: str | None, seed: int, state: Path | None, record: Path | None
@@ -40,8 +44,9 @@
 @click.command("reports")
 @click.option("--site", "site_file", type=click.Path(path_type=Path), required=True)
 @click.option("--gateway", "name", default=None, help="Whose players; the site's first if left out.")
-@click.option("--state", type=click.Path(path_type=Path), required=True, help="The gateway's own: its keys "
-              "lie there.")  # fmt: skip
+@click.option(
+    "--state", type=click.Path(path_type=Path), required=True, help="The gateway's own: its keys lie there."
+)
 def reports_command(site_file: Path, name: str | None, state: Path) -> None:
     """Takes the players' reports of a gateway in a process beside it (`reports_at` of the gateway)."""
     sys.exit(take_reports(site_file, name, state))
--- a/ledgehitch/cli/scale.py
+++ b/ledgehitch/cli/scale.py
@@ -22,15 +22,28 @@
 
 @scale.command()
 @click.argument("plan_file", metavar="PLAN", type=click.Path(path_type=Path))
-@click.option("--members", type=click.IntRange(4), default=None,
-              help="Instead of the plan's own; restarts in proportion.")  # fmt: skip
+@click.option(
+    "--members",
+    type=click.IntRange(4),
+    default=None,
+    help="Instead of the plan's own; restarts in proportion.",
+)
 @click.option("--seed", type=int, default=None, help="The plan's own if left out.")
-@click.option("--out", type=click.Path(path_type=Path), default=None,
-              help="Keeps the points there, as JSON; the page looks in docs/capacity/kept.")  # fmt: skip
-@click.option("--directory", type=click.Path(path_type=Path), default=None,
-              help="For tapes, logs and sites; a temporary one if left out.")  # fmt: skip
-def run(plan_file: Path, members: int | None, seed: int | None, out: Path | None, directory: Path | None
-        ) -> None:  # fmt: skip
+@click.option(
+    "--out",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="Keeps the points there, as JSON; the page looks in docs/capacity/kept.",
+)
+@click.option(
+    "--directory",
+    type=click.Path(path_type=Path),
+    default=None,
+    help="For tapes, logs and sites; a temporary one if left out.",
+)
+def run(
+    plan_file: Path, members: int | None, seed: int | None, out: Path | None, directory: Path | None
+) -> None:
     """Plays PLAN. Exit code 0: parts stayed within the whole and no task failed, 1: not so, 2: bad input."""
     from ledgehitch.scale.plan import check, read_plan
     from ledgehitch.scale.play import played
@@ -41,8 +54,11 @@
     if directory is not None and directory.exists() and any(directory.iterdir()):
         raise BadInput(f"{directory}: is not empty, and a tape is never written over")
     directory = directory or Path(tempfile.mkdtemp(prefix="ledgehitch-scale-"))
-    words = [str(plan_file), *(["--members", str(members)] if members else []),
-             *(["--seed", str(seed)] if seed is not None else [])]  # fmt: skip
+    words = [
+        str(plan_file),
+        *(["--members", str(members)] if members else []),
+        *(["--seed", str(seed)] if seed is not None else []),
+    ]
     came = played(plan, directory, words)
     if out is not None:
         write_kept(out, came.kept)
@@ -96,13 +112,15 @@
 @_inside
 @click.option("--state", type=click.Path(path_type=Path), required=True)
 @click.option("--share", type=float, default=0.0)
-def hollow_command(site_file: Path, names_file: Path, control: Path, tape: Path, seed: int, state: Path,
-                   share: float) -> None:  # fmt: skip
+def hollow_command(
+    site_file: Path, names_file: Path, control: Path, tape: Path, seed: int, state: Path, share: float
+) -> None:
     """A process of hollow gateways."""
     from ledgehitch.scale.hollow import run_hollow
 
-    sys.exit(run_hollow(read_site(site_file), names_file.read_text().split(), state, control, tape, seed,
-                        share))  # fmt: skip
+    sys.exit(
+        run_hollow(read_site(site_file), names_file.read_text().split(), state, control, tape, seed, share)
+    )
 
 
 @scale.command("relay", hidden=True)
--- a/ledgehitch/config/change.py
+++ b/ledgehitch/config/change.py
@@ -210,8 +210,10 @@
     def handed(self, version: Version, mistakes: list[str], held: int = 0) -> None:
         """A version, with what the checker says of it; `held`: viewings of this gateway now."""
         if version.serial <= self.told.serial:
-            self._refuse(version.digest, f"it is older than what was told already ({version.serial} <= "
-                         f"{self.told.serial})")  # fmt: skip
+            self._refuse(
+                version.digest,
+                f"it is older than what was told already ({version.serial} <= {self.told.serial})",
+            )
         elif mistakes:
             self._refuse(version.digest, "; ".join(mistakes[:3]))
         elif held and self.gateway and self.gateway not in _gateways(version.data):
--- a/ledgehitch/config/evaluate.py
+++ b/ledgehitch/config/evaluate.py
@@ -315,8 +315,9 @@
         definition = any(part.startswith("#") for part in node.path)
         group = object() if definition else one.group
         through = ".".join(node.path) if definition else one.through
-        queue += [Said(s.node, s.scope, group if definition else s.group, through or s.through)
-                  for s in target.said]  # fmt: skip
+        queue += [
+            Said(s.node, s.scope, group if definition else s.group, through or s.through) for s in target.said
+        ]
 
     def _variable(self, node: Ref, scope: Scope | None) -> str | None:
         while scope is not None:
@@ -516,9 +517,11 @@
         """All vertices that have a place in the result."""
         self.work_out(v)
         yield v
-        children = v.items if v.items is not None else [
-            c for n, c in v.fields.items() if not n.startswith("#") and not c.optional
-        ]  # fmt: skip
+        children = (
+            v.items
+            if v.items is not None
+            else [c for n, c in v.fields.items() if not n.startswith("#") and not c.optional]
+        )
         for child in children:
             yield from self.walk(child)
 
--- a/ledgehitch/config/explain.py
+++ b/ledgehitch/config/explain.py
@@ -48,8 +48,12 @@
 
 def reference() -> str:
     """The page of every field with kind, unit and default, made from the schema."""
-    lines = ["# Reference of the configuration language's fields", "",
-             "Made by `ledgehitch config reference` from the schema; not written by hand.", ""]  # fmt: skip
+    lines = [
+        "# Reference of the configuration language's fields",
+        "",
+        "Made by `ledgehitch config reference` from the schema; not written by hand.",
+        "",
+    ]
     e = Evaluation()
     top = e.root([schema()])
     e.work_out(top)
--- a/ledgehitch/config/load.py
+++ b/ledgehitch/config/load.py
@@ -100,9 +100,11 @@
         if os.path.isabs(include.files) or not include.files:
             self.wrong(include.at, "an include names files relative to its own file")
             return
-        found = sorted(path.parent.glob(include.files)) if any(c in include.files for c in "*?[") else [
-            path.parent / include.files
-        ]  # fmt: skip
+        found = (
+            sorted(path.parent.glob(include.files))
+            if any(c in include.files for c in "*?[")
+            else [path.parent / include.files]
+        )
         if not found:
             self.wrong(include.at, f"no file is called {include.files!r}")
         for one in found:
@@ -122,8 +124,11 @@
                 after = os.stat(path)
                 # Guards against half of an old and half of a new file, swapped while it was read.
                 if (before.st_ino, before.st_mtime_ns, before.st_size, len(data)) == (
-                    after.st_ino, after.st_mtime_ns, after.st_size, after.st_size
-                ):  # fmt: skip
+                    after.st_ino,
+                    after.st_mtime_ns,
+                    after.st_size,
+                    after.st_size,
+                ):
                     break
             else:
                 self.wrong(at, f"{name} changes while it is read")
--- a/ledgehitch/config/site.py
+++ b/ledgehitch/config/site.py
@@ -273,17 +273,36 @@
     packages = tuple(Package(**msgspec.structs.asdict(p)) for p in site.packages)
     f, t = site.fleet, site.terms
     fleet = Fleet(
-        cells=f.cells, racks=f.racks, link_unit_kb=f.link_unit_kb, uplink_kb=f.uplink_kb, slots=dict(f.slots),
-        full_from=f.full_from, told_late=f.told_late, told_every=f.told_every,
-        load_fields=tuple(f.load_fields), reports="piggyback",
-    )  # fmt: skip
+        cells=f.cells,
+        racks=f.racks,
+        link_unit_kb=f.link_unit_kb,
+        uplink_kb=f.uplink_kb,
+        slots=dict(f.slots),
+        full_from=f.full_from,
+        told_late=f.told_late,
+        told_every=f.told_every,
+        load_fields=tuple(f.load_fields),
+        reports="piggyback",
+    )
     at = names.index(gateway)
     terms = Terms(
-        zone=site.gateways[at].zone, ordinal=at, gateways=len(names), tune_ins=t.tune_ins,
-        answer_slack=t.answer_slack, drain_grace=t.drain_grace, cold_share=t.cold_share, warm_up=t.warm_up,
-        fall_multiple=t.fall_multiple, fall_after=t.fall_after, extra_free=t.extra_free,
-        extra_ratio=t.extra_ratio, extra_window=t.extra_window, may_probe=t.may_probe,
-        may_tell=t.may_tell and len(names) > 1, may_advise=t.may_advise, longest_advice=t.longest_advice,
+        zone=site.gateways[at].zone,
+        ordinal=at,
+        gateways=len(names),
+        tune_ins=t.tune_ins,
+        answer_slack=t.answer_slack,
+        drain_grace=t.drain_grace,
+        cold_share=t.cold_share,
+        warm_up=t.warm_up,
+        fall_multiple=t.fall_multiple,
+        fall_after=t.fall_after,
+        extra_free=t.extra_free,
+        extra_ratio=t.extra_ratio,
+        extra_window=t.extra_window,
+        may_probe=t.may_probe,
+        may_tell=t.may_tell and len(names) > 1,
+        may_advise=t.may_advise,
+        longest_advice=t.longest_advice,
         cross_price=t.cross_price,
-    )  # fmt: skip
+    )
     return ladder, packages, fleet, terms
--- a/ledgehitch/config/values.py
+++ b/ledgehitch/config/values.py
@@ -193,8 +193,15 @@
         raise Clash(f"{x} and {y} have nothing in common")
     low, low_open = _tighter((x.low, x.low_open), (y.low, y.low_open), 1)
     high, high_open = _tighter((x.high, x.high_open), (y.high, y.high_open), -1)
-    met = Alt(kind, low=low, low_open=low_open, high=high, high_open=high_open, whole=x.whole or y.whole,
-              never=x.never | y.never)  # fmt: skip
+    met = Alt(
+        kind,
+        low=low,
+        low_open=low_open,
+        high=high,
+        high_open=high_open,
+        whole=x.whole or y.whole,
+        never=x.never | y.never,
+    )
     if (
         met.low is not None
         and met.high is not None
@@ -206,8 +213,9 @@
     return met
 
 
-def _tighter(a: tuple[Fraction | None, bool], b: tuple[Fraction | None, bool], sign: int
-             ) -> tuple[Fraction | None, bool]:  # fmt: skip
+def _tighter(
+    a: tuple[Fraction | None, bool], b: tuple[Fraction | None, bool], sign: int
+) -> tuple[Fraction | None, bool]:
     if a[0] is None or b[0] is None:
         return b if a[0] is None else a
     if a[0] == b[0]:
--- a/ledgehitch/daemon/admin.py
+++ b/ledgehitch/daemon/admin.py
@@ -197,14 +197,26 @@
         counts = {f: getattr(c.counts, f) for f in Counts.__struct_fields__}
         versions = r.versions
         return State(
-            name=r.name, boot=r.boot, version=__version__, admin=VERSION, pid=os.getpid(),
-            phase=self.life.phase, why=self.life.why, for_s=round(now - self.life.since, 3),
-            up_s=round(now - self.born, 3), started_by=self.started_by, viewings=len(c.viewings),
-            counts=Counts(**counts), joins_ms=c.joins.ms(now),
-            config=versions.reloads.state() if versions is not None else {}, hosts=self.hosts(),
-            members=self.members(), door=self._door(),
-            zone=next(g.zone for g in r.site.gateways if g.name == r.name), carried=self.carried,
-        )  # fmt: skip
+            name=r.name,
+            boot=r.boot,
+            version=__version__,
+            admin=VERSION,
+            pid=os.getpid(),
+            phase=self.life.phase,
+            why=self.life.why,
+            for_s=round(now - self.life.since, 3),
+            up_s=round(now - self.born, 3),
+            started_by=self.started_by,
+            viewings=len(c.viewings),
+            counts=Counts(**counts),
+            joins_ms=c.joins.ms(now),
+            config=versions.reloads.state() if versions is not None else {},
+            hosts=self.hosts(),
+            members=self.members(),
+            door=self._door(),
+            zone=next(g.zone for g in r.site.gateways if g.name == r.name),
+            carried=self.carried,
+        )
 
     def hosts(self) -> dict[str, HostSeen]:
         c = self.running.carrier
@@ -216,9 +228,18 @@
         out = []
         for vw, v in list(self.running.carrier.viewings.items())[: min(int(most), MOST)]:
             entry = self.running.carrier.desk.entries.get(vw)
-            out.append({"vw": vw, "viewing": entry.resource if entry is not None else "", "title": v.title,
-                        "package": v.package.name, "host": v.host, "rung": v.in_force,
-                        "plays": bool(v.session), "tune_ins": v.tune_ins})  # fmt: skip
+            out.append(
+                {
+                    "vw": vw,
+                    "viewing": entry.resource if entry is not None else "",
+                    "title": v.title,
+                    "package": v.package.name,
+                    "host": v.host,
+                    "rung": v.in_force,
+                    "plays": bool(v.session),
+                    "tune_ins": v.tune_ins,
+                }
+            )
         return out
 
     def why(self, which: str) -> dict[str, Any]:
--- a/ledgehitch/daemon/budgeting.py
+++ b/ledgehitch/daemon/budgeting.py
@@ -38,8 +38,9 @@
 class Budgeting:
     borrower: Borrower
 
-    def __init__(self, loop: Loop, site: Site, owning: Owning, membership: Membership, doorman: Doorman,
-                 seed: int) -> None:  # fmt: skip
+    def __init__(
+        self, loop: Loop, site: Site, owning: Owning, membership: Membership, doorman: Doorman, seed: int
+    ) -> None:
         self.loop, self.owning, self.membership, self.doorman = loop, owning, membership, doorman
         self.names, self.chance = tuple(membership.names), random.Random(seed)
         self.patience = max(p.patience for p in site.packages)
@@ -125,17 +126,27 @@
     def _once(self) -> None:
         now, b, owners = self.owning.now(), self.borrower, self.owning.of(BUDGETS).owners
         owner, term = owners.owner_of(now, BUDGETS)
-        why = (NO_SHARE if owner == NOBODY and not self.share else
-               "nobody is known to lend" if owner == NOBODY else
-               "it does not count among the others yet" if not owners.joined(now) else "")  # fmt: skip
+        why = (
+            NO_SHARE
+            if owner == NOBODY and not self.share
+            else "nobody is known to lend"
+            if owner == NOBODY
+            else "it does not count among the others yet"
+            if not owners.joined(now)
+            else ""
+        )
         if why != self.trouble:
             self.trouble = why
             log.warning("own parts alone", why=why) if why else log.info("loans again", term=term)
         if why or not b.budgets:
             return
         used, wanted = self.doorman.needs(time.monotonic())
-        words = b.asks(now, term, {x.name: parts_used(x, used.get(x.name, 0.0)) for x in b.budgets},
-                       {x.name: parts_wanted(x, wanted.get(x.name, 0.0)) for x in b.budgets})  # fmt: skip
+        words = b.asks(
+            now,
+            term,
+            {x.name: parts_used(x, used.get(x.name, 0.0)) for x in b.budgets},
+            {x.name: parts_wanted(x, wanted.get(x.name, 0.0)) for x in b.budgets},
+        )
         if words is None:
             return
         self.doorman.needs_told()
@@ -181,13 +192,15 @@
 
     def _lends(self, term: int) -> Lender:
         former = loan_of(self.lists.any_lease())
-        return Lender(self.owning.now(), term, self.budgets, *self._lent_by(), self._digests(), self.loan,
-                      former)  # fmt: skip
+        return Lender(
+            self.owning.now(), term, self.budgets, *self._lent_by(), self._digests(), self.loan, former
+        )
 
     def _lent_by(self) -> tuple[dict[int, tuple[int, ...]], tuple[int, ...], set[int]]:
         numbers = {name: n for n, name in enumerate(self.names)}
-        return lent_by(self.budgets, self.lists, self.owning.of(BUDGETS).owners.memory.gone, numbers,
-                       self.to_lend)  # fmt: skip
+        return lent_by(
+            self.budgets, self.lists, self.owning.of(BUDGETS).owners.memory.gone, numbers, self.to_lend
+        )
 
     def doing(self) -> str:
         if self.lender is None:
@@ -207,14 +220,28 @@
         lends = self.lender is not None and self.owning.owns(BUDGETS) == self.lender.term
         used = self.doorman.uses()
         held = b.holds(now)
-        mine = {x.name: {"own": b.own[i], "loan": b.loans[i] if held else 0, "wanted": b.wanted[i],
-                         "used": parts_used(x, used.get(x.name, 0.0)), "unit": x.unit}
-                for i, x in enumerate(b.budgets)}  # fmt: skip
+        mine = {
+            x.name: {
+                "own": b.own[i],
+                "loan": b.loans[i] if held else 0,
+                "wanted": b.wanted[i],
+                "used": parts_used(x, used.get(x.name, 0.0)),
+                "unit": x.unit,
+            }
+            for i, x in enumerate(b.budgets)
+        }
         return {
-            "whole": WHOLE, "budgets": mine, "loan_left": round(max(0.0, b.until - now), 3) if held else 0.0,
-            "term": b.term, "digests": [d.hex() for d in b.digests], "alone": self.trouble,
-            "refused": dict(b.counts), "bad_words": dict(self.bad),
+            "whole": WHOLE,
+            "budgets": mine,
+            "loan_left": round(max(0.0, b.until - now), 3) if held else 0.0,
+            "term": b.term,
+            "digests": [d.hex() for d in b.digests],
+            "alone": self.trouble,
+            "refused": dict(b.counts),
+            "bad_words": dict(self.bad),
             "lends": self.lender.told(now) if lends and self.lender is not None else None,
             "lender_refused": dict(self.lender.counts) if lends and self.lender is not None else {},
-            "names": list(self.names), "region": self.owning.of(BUDGETS).region, "share": self.share,
-        }  # fmt: skip
+            "names": list(self.names),
+            "region": self.owning.of(BUDGETS).region,
+            "share": self.share,
+        }
--- a/ledgehitch/daemon/membership.py
+++ b/ledgehitch/daemon/membership.py
@@ -23,8 +23,9 @@
 
 
 class Membership:
-    def __init__(self, loop: Loop, site: Site, name: str, ring: Sequence[bytes], directory: Path, seed: int
-                 ) -> None:  # fmt: skip
+    def __init__(
+        self, loop: Loop, site: Site, name: str, ring: Sequence[bytes], directory: Path, seed: int
+    ) -> None:
         self.loop, self.site = loop, site
         self.names = [g.name for g in site.gateways]
         me = self.names.index(name)
@@ -38,8 +39,11 @@
         self.members = Members(now, me, len(self.names), self.life, random.Random(seed))
         here = site.gateways[me]
         self.socket = Datagrams(loop, endpoint(here.members_at))
-        self.at = {i: endpoint(g.members_via or g.members_at) for i, g in enumerate(site.gateways)
-                   if i != me and (g.members_via or g.members_at)}  # fmt: skip
+        self.at = {
+            i: endpoint(g.members_via or g.members_at)
+            for i, g in enumerate(site.gateways)
+            if i != me and (g.members_via or g.members_at)
+        }
         self.bad: dict[str, int] = {}
         self.more: Callable[[int, bytes], None] | None = None  # words that are not membership's own
         self._timer: Timer | None = None
--- a/ledgehitch/daemon/owning.py
+++ b/ledgehitch/daemon/owning.py
@@ -133,8 +133,9 @@
     """All scopes of this gateway, with one clock: the duties of all, and where the site has regions those of
     its own, by the votes of the region's gateways alone."""
 
-    def __init__(self, loop: Loop, site: Site, name: str, membership: Membership, directory: Path, seed: int
-                 ) -> None:  # fmt: skip
+    def __init__(
+        self, loop: Loop, site: Site, name: str, membership: Membership, directory: Path, seed: int
+    ) -> None:
         self.loop, self.name, self.membership = loop, name, membership
         self.clock = Clock(self._boottime(), time.monotonic())
         regions, self.region = regions_of(site), region_of(site, name)
@@ -157,8 +158,9 @@
             inside = next(r.gateways for r in regions if r.name == self.region)
             file = File(directory / f"{name}.owners-region", private=True, synced=True)
             held = self._held(file, self.region)
-            self.scopes.append(self._scope(site, self.region, inside, mine, file, held, regions,
-                                           random.Random(seed + 1)))  # fmt: skip
+            self.scopes.append(
+                self._scope(site, self.region, inside, mine, file, held, regions, random.Random(seed + 1))
+            )
         self._by_number = [self.of(duty) for duty in DUTIES]
         self.work: dict[str, Work] = {}
         self.at_work: dict[str, Task] = {}
@@ -169,17 +171,43 @@
         membership.more = self._heard
         self.pull()
 
-    def _scope(self, site: Site, region: str, names: tuple[str, ...], duties: tuple[str, ...], file: File,
-               held: Any, regions: Sequence[Region], chance: random.Random) -> Scope:  # fmt: skip
+    def _scope(
+        self,
+        site: Site,
+        region: str,
+        names: tuple[str, ...],
+        duties: tuple[str, ...],
+        file: File,
+        held: Any,
+        regions: Sequence[Region],
+        chance: random.Random,
+    ) -> Scope:
         now, numbered = self._boottime(), tuple(self.membership.names)
         gone = frozenset(set(numbered) - set(stated(site)))
-        memory = Memory(now, self.name, names, duties, site.owners.lease, held, secrets.randbits(32),
-                        own_part=site.budgets.own_part, gone=gone, regions=digest_of(regions),
-                        scope=region)  # fmt: skip
+        memory = Memory(
+            now,
+            self.name,
+            names,
+            duties,
+            site.owners.lease,
+            held,
+            secrets.randbits(32),
+            own_part=site.budgets.own_part,
+            gone=gone,
+            regions=digest_of(regions),
+            scope=region,
+        )
         some = set(memory.lists.current) | set(memory.lists.former)
         members = [n for n, one in enumerate(numbered) if not region or one in some]
-        owners = Owners(now, numbered.index(self.name), numbered, memory, chance, members,
-                        [DUTIES.index(duty) for duty in duties])  # fmt: skip
+        owners = Owners(
+            now,
+            numbered.index(self.name),
+            numbered,
+            memory,
+            chance,
+            members,
+            [DUTIES.index(duty) for duty in duties],
+        )
         return Scope(self, region, file, owners)
 
     @property
@@ -329,10 +357,18 @@
             out["region"] = inside | {"name": scope.region, "disk": scope.disk}
         shares = self.owners.memory.shares
         if shares is not None:
-            out["share"] = {"in_force": shares.in_force(), "stated": shares.stated(), "whole": WHOLE,
-                            "go_by_it": sorted(self.owners.memory.on_new)}  # fmt: skip
+            out["share"] = {
+                "in_force": shares.in_force(),
+                "stated": shares.stated(),
+                "whole": WHOLE,
+                "go_by_it": sorted(self.owners.memory.on_new),
+            }
         for duty, told in out["duties"].items():
             told["doing"] = self.work[duty].doing() if told["mine"] and duty in self.work else ""
         frames = dict(self.membership.frames.refused)
-        return out | {"disk": self.disk, "bad_words": dict(self.bad), "lease": self.owners.lease,
-                      "frames_refused": frames}  # fmt: skip
+        return out | {
+            "disk": self.disk,
+            "bad_words": dict(self.bad),
+            "lease": self.owners.lease,
+            "frames_refused": frames,
+        }
--- a/ledgehitch/daemon/run.py
+++ b/ledgehitch/daemon/run.py
@@ -51,10 +51,20 @@
 class Daemon:
     """`run` within a task; gives the exit code, and whether the process is to run anew."""
 
-    def __init__(self, loop: Loop, site: Site, name: str, seed: int, place: Place, record: Path | None,
-                 source: tuple[Path, Compiled, Path | None], logfile: LogFile,
-                 environment: dict[str, str], keys: Keys | None = None,
-                 restarts: "Callable[[Daemon], Work] | None" = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        site: Site,
+        name: str,
+        seed: int,
+        place: Place,
+        record: Path | None,
+        source: tuple[Path, Compiled, Path | None],
+        logfile: LogFile,
+        environment: dict[str, str],
+        keys: Keys | None = None,
+        restarts: "Callable[[Daemon], Work] | None" = None,
+    ) -> None:
         """`restarts`: what does the work of the duty of that name, from a floor above."""
         self.keys = keys
         self.loop, self.site, self.name, self.place, self.logfile = loop, site, name, place, logfile
@@ -90,8 +100,14 @@
         self.life.serves(time.monotonic())
         self.stir()
         say_ready(str(self.running.server.at))
-        log.info("serves", gateway=self.name, at=str(self.running.server.at), boot=self.running.boot,
-                 pid=os.getpid(), started_by=self.admin.started_by)  # fmt: skip
+        log.info(
+            "serves",
+            gateway=self.name,
+            at=str(self.running.server.at),
+            boot=self.running.boot,
+            pid=os.getpid(),
+            started_by=self.admin.started_by,
+        )
         self.over.wait()
         exit_as = self.over.value
         assert isinstance(exit_as, Exit)
@@ -253,9 +269,17 @@
     file.write(text + "\n")
 
 
-def run_daemon(site: Site, name: str, seed: int, state_dir: Path, record: Path | None,
-               source: tuple[Path, Compiled, Path | None], logfile: LogFile, keys: Keys | None = None,
-               restarts: Callable[[Daemon], Work] | None = None) -> int:  # fmt: skip
+def run_daemon(
+    site: Site,
+    name: str,
+    seed: int,
+    state_dir: Path,
+    record: Path | None,
+    source: tuple[Path, Compiled, Path | None],
+    logfile: LogFile,
+    keys: Keys | None = None,
+    restarts: Callable[[Daemon], Work] | None = None,
+) -> int:
     """Runs until the life is over. A restart does not come back: the process runs anew in its place."""
     place = Place(state_dir, name)
     gc.collect()
@@ -266,8 +290,9 @@
 
     def main() -> Exit:
         nonlocal ticket
-        daemon = Daemon(loop, site, name, seed, place, record, source, logfile, dict(os.environ), keys,
-                        restarts)  # fmt: skip
+        daemon = Daemon(
+            loop, site, name, seed, place, record, source, logfile, dict(os.environ), keys, restarts
+        )
         exit_as = daemon.run()
         ticket = daemon.life.why
         return exit_as
--- a/ledgehitch/door/baselines.py
+++ b/ledgehitch/door/baselines.py
@@ -16,9 +16,15 @@
         self._due: deque[Decision] = deque()
 
     def asked(
-        self, now: float, conn: int, name: bytes, package: str, patience: float, ticket: str = "",
+        self,
+        now: float,
+        conn: int,
+        name: bytes,
+        package: str,
+        patience: float,
+        ticket: str = "",
         ahead: float = 0.0,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._due.append(Let(conn))
 
     def gone(self, now: float, conn: int) -> None:
@@ -48,9 +54,15 @@
         self.left: set[int] = set()
 
     def asked(
-        self, now: float, conn: int, name: bytes, package: str, patience: float, ticket: str = "",
+        self,
+        now: float,
+        conn: int,
+        name: bytes,
+        package: str,
+        patience: float,
+        ticket: str = "",
         ahead: float = 0.0,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.line.append((conn, patience))
 
     def gone(self, now: float, conn: int) -> None:
@@ -85,9 +97,15 @@
         self.buckets: dict[bytes, tuple[float, float]] = {}
 
     def asked(
-        self, now: float, conn: int, name: bytes, package: str, patience: float, ticket: str = "",
+        self,
+        now: float,
+        conn: int,
+        name: bytes,
+        package: str,
+        patience: float,
+        ticket: str = "",
         ahead: float = 0.0,
-    ) -> None:  # fmt: skip
+    ) -> None:
         left, at = self.buckets.get(name, (BURST, now))
         left = min(BURST, left + (now - at) * RATE)
         if left >= 1.0:
--- a/ledgehitch/door/decide.py
+++ b/ledgehitch/door/decide.py
@@ -100,8 +100,14 @@
         self._asked = {p: self._asked.get(p, Asked()) for p in package_rates}
         self.set_ups = set_ups
 
-    def shared(self, now: float, own: float, lent: Mapping[str, float], until: float,
-               by_budget: Mapping[str, float] | None = None) -> None:  # fmt: skip
+    def shared(
+        self,
+        now: float,
+        own: float,
+        lent: Mapping[str, float],
+        until: float,
+        by_budget: Mapping[str, float] | None = None,
+    ) -> None:
         """This gateway's part of the fleet's limits: what it has of its own, what is lent up to `until`.
         `by_budget`: its own part of limits of which that is another."""
         self.by_package.gather(now, self.part)
@@ -122,9 +128,15 @@
     # ---- what happens --------------------------------------------------------------------------------------
 
     def asked(
-        self, now: float, conn: int, name: bytes, package: str, patience: float, ticket: str = "",
+        self,
+        now: float,
+        conn: int,
+        name: bytes,
+        package: str,
+        patience: float,
+        ticket: str = "",
         ahead: float = 0.0,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """A client asks for a viewing that must be answered by `patience`. `ahead`: what the wall clock, by
         which tickets go, is ahead of `now`; nothing else goes by it, so it may step."""
         self.heavy.asked(now, name)
@@ -260,18 +272,28 @@
     def state(self, now: float) -> dict[str, Any]:
         return {
             "limit": round(self.limit.limit, 1),
-            "share": {b: round(self.part.share(now, b), 4) for b in
-                      [*map(budget_of, self.by_package.a_second), *([SET_UPS] if self.set_ups else [])]},
-            "out": len(self.out), "waiting": len(self.queue),
-            "level": self.level, "let_in_a_second": round(self.pace.at(now), 1), **self.counts,
+            "share": {
+                b: round(self.part.share(now, b), 4)
+                for b in [*map(budget_of, self.by_package.a_second), *([SET_UPS] if self.set_ups else [])]
+            },
+            "out": len(self.out),
+            "waiting": len(self.queue),
+            "level": self.level,
+            "let_in_a_second": round(self.pace.at(now), 1),
+            **self.counts,
             "tickets_refused": dict(self.tickets.refused),
-            "heaviest": self.heavy.heaviest(5), "heaviest_error": round(self.heavy.error(), 1),
-        }  # fmt: skip
+            "heaviest": self.heavy.heaviest(5),
+            "heaviest_error": round(self.heavy.error(), 1),
+        }
 
     def frozen(self) -> dict[str, Any]:
         """What the next life takes up: who is heavy, what was used, how much was let in at once."""
-        return {"heavy": self.heavy.frozen(), "tickets": self.tickets.frozen(), "limit": self.limit.limit,
-                "level": self.level}  # fmt: skip
+        return {
+            "heavy": self.heavy.frozen(),
+            "tickets": self.tickets.frozen(),
+            "limit": self.limit.limit,
+            "level": self.level,
+        }
 
     def thawed(self, now: float, held: Mapping[str, Any]) -> None:
         """Goes on from what was kept. The limit begins at half of it: a wave may come with the start."""
--- a/ledgehitch/door/part.py
+++ b/ledgehitch/door/part.py
@@ -32,8 +32,13 @@
         self.until = -1e18  # end of what is lent
         self._things: dict[tuple[str, int, bool], int] = {}  # as they were asked for, until it is told anew
 
-    def told(self, own: float, lent: Mapping[str, float], until: float,
-             by_budget: Mapping[str, float] | None = None) -> None:  # fmt: skip
+    def told(
+        self,
+        own: float,
+        lent: Mapping[str, float],
+        until: float,
+        by_budget: Mapping[str, float] | None = None,
+    ) -> None:
         self.own, self.lent, self.until, self.by_budget = own, dict(lent), until, dict(by_budget or {})
         self._things = {}
 
--- a/ledgehitch/door/rates.py
+++ b/ledgehitch/door/rates.py
@@ -41,9 +41,7 @@
         if self.a_second <= 0:
             return 0.0
         each = 1.0 / self.a_second
-        places = [
-            row * COLUMNS + (name[2 * row] << 8 | name[2 * row + 1]) % COLUMNS for row in range(ROWS)
-        ]
+        places = [row * COLUMNS + (name[2 * row] << 8 | name[2 * row + 1]) % COLUMNS for row in range(ROWS)]
         paid = min(self._paid_at[p] for p in places)
         wait = paid - now - (self.burst - 1.0) * each
         if wait > 0:
--- a/ledgehitch/fleet/carry.py
+++ b/ledgehitch/fleet/carry.py
@@ -109,8 +109,14 @@
 class Work:
     """One plan at work. `tell` gets each line of the journal, for people."""
 
-    def __init__(self, loop: Loop, caller: Caller, journal: Lines, rolling: Rolling,
-                 tell: Callable[[dict[str, Any]], None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        caller: Caller,
+        journal: Lines,
+        rolling: Rolling,
+        tell: Callable[[dict[str, Any]], None],
+    ) -> None:
         self.loop, self.caller, self.journal, self.rolling, self.tell = loop, caller, journal, rolling, tell
         self.targets = {t.name: t for t in rolling.plan.targets}
         self.news = Event(loop)
--- a/ledgehitch/fleet/journal.py
+++ b/ledgehitch/fleet/journal.py
@@ -52,8 +52,9 @@
             os.fsync(self._fd)
         except OSError as problem:
             os.ftruncate(self._fd, self._size)
-            raise BadInput(f"{self.path}: the journal cannot be written, nothing more is done: "
-                           f"{problem.strerror}") from None  # fmt: skip
+            raise BadInput(
+                f"{self.path}: the journal cannot be written, nothing more is done: {problem.strerror}"
+            ) from None
         self._sum, self._size = new, self._size + len(data)
         self.lines.append(dict(line))
 
--- a/ledgehitch/fleet/onduty.py
+++ b/ledgehitch/fleet/onduty.py
@@ -163,8 +163,11 @@
                 log.debug("not left", gateway=target.name, why=str(why))
 
         while True:
-            tasks = [self.loop.spawn(self._unless_over, one, t, name=f"leave {t.name}")
-                     for t in self.targets if t.name not in left]  # fmt: skip
+            tasks = [
+                self.loop.spawn(self._unless_over, one, t, name=f"leave {t.name}")
+                for t in self.targets
+                if t.name not in left
+            ]
             for task in tasks:
                 task.wait()
             if len(left) >= majority(len(self.targets)):
@@ -231,8 +234,11 @@
         except NotOwner:
             raise Refused(409, "this gateway owns restarts no longer", [("Owner", "")]) from None
         except TimedOut:
-            raise Refused(503, "no majority has taken it yet, it may still come into force: see the status",
-                          [("Retry-After", "1")]) from None  # fmt: skip
+            raise Refused(
+                503,
+                "no majority has taken it yet, it may still come into force: see the status",
+                [("Retry-After", "1")],
+            ) from None
         self.news.set()
         assert self.words is not None
         return {"word": self.words.word, "id": id_of(self.words)}
--- a/ledgehitch/fleet/owned.py
+++ b/ledgehitch/fleet/owned.py
@@ -64,8 +64,12 @@
     heard = [s for s in said if s.state is not None]
     scopes = sorted({(d, str(told.get("region", ""))) for s in heard for d, told in _duties(s).items()})
     regional = {d for d, region in scopes if region}
-    scopes += [(d, region) for d in sorted(regional) for region in sorted(set((regions or {}).values()))
-               if (d, region) not in scopes]  # fmt: skip
+    scopes += [
+        (d, region)
+        for d in sorted(regional)
+        for region in sorted(set((regions or {}).values()))
+        if (d, region) not in scopes
+    ]
     out = []
     for duty, region in sorted(scopes):
         # A gateway that still goes by a site without regions is asked for none.
@@ -122,14 +126,18 @@
         share = s.state.get("share") or {}
         if share and share.get("in_force", 0) < share.get("stated", 0):
             part, all = share["in_force"] / share["whole"], share["stated"] / share["whole"]
-            out.append(f"{s.name}: its region uses {part:.3f} of the whole, {all:.3f} is stated: others may "
-                       "still use the rest by a former version of the site")  # fmt: skip
+            out.append(
+                f"{s.name}: its region uses {part:.3f} of the whole, {all:.3f} is stated: others may "
+                "still use the rest by a former version of the site"
+            )
         if s.state.get("settled") is False:
             out.append(f"{s.name}: the list of gateways changes, a majority of both is needed")
         stale = s.state.get("frames_refused", {}).get("stale", 0)
         if stale:
-            out.append(f"{s.name}: frames of others are refused as stale, {stale} times: wall clocks are "
-                       "apart by more than 5 s, who is not heard has no vote")  # fmt: skip
+            out.append(
+                f"{s.name}: frames of others are refused as stale, {stale} times: wall clocks are "
+                "apart by more than 5 s, who is not heard has no vote"
+            )
         if s.state.get("clock") is False:
             out.append(f"{s.name}: its clock stood still or jumped back")
     return out
--- a/ledgehitch/fleet/plan.py
+++ b/ledgehitch/fleet/plan.py
@@ -132,8 +132,9 @@
 class Rolling:
     ASKED_EVERY = 0.25  # seconds between two questions to one gateway that is under way
 
-    def __init__(self, now: float, plan: Plan, lines: Sequence[Mapping[str, Any]] = (),
-                 learnt: bool = False) -> None:  # fmt: skip
+    def __init__(
+        self, now: float, plan: Plan, lines: Sequence[Mapping[str, Any]] = (), learnt: bool = False
+    ) -> None:
         """`lines`: of the journal, where the plan is taken up again. `learnt`: there is none, what was done
         is learned from the gateways: until one has answered it counts as under way."""
         self.plan = plan
--- a/ledgehitch/fleet/shared.py
+++ b/ledgehitch/fleet/shared.py
@@ -79,8 +79,10 @@
     books = [(n, x, t.whole) for n, t in told.items() for x in t.lends or () if x.budget == budget]
     wrong = []
     if own + lent > 1 + ENOUGH:
-        wrong.append(f"gateways say {own + lent:.4f} of the whole together; a loan that moved while they "
-                     "were asked counts twice: ask again")  # fmt: skip
+        wrong.append(
+            f"gateways say {own + lent:.4f} of the whole together; a loan that moved while they "
+            "were asked counts twice: ask again"
+        )
     for name, book, whole in books:
         if sum(book.lent.values()) > book.pool or book.pool > whole:
             wrong.append(f"{name} has lent {sum(book.lent.values()) / whole:.4f} of {book.pool / whole:.4f}")
@@ -91,25 +93,41 @@
         wrong.append(f"{', '.join(n for n, _, _ in books)} say that they lend: see `fleet owners`")
     for region, (share, mine, loans, _) in regions.items():
         if mine + loans > share + ENOUGH:
-            wrong.append(f"gateways of {region} say {mine + loans:.4f} of the whole together, its share is "
-                         f"{share:.4f}; what moved meanwhile counts twice: ask again")  # fmt: skip
+            wrong.append(
+                f"gateways of {region} say {mine + loans:.4f} of the whole together, its share is "
+                f"{share:.4f}; what moved meanwhile counts twice: ask again"
+            )
     if sum(share for share, _, _, _ in regions.values()) > 1 + ENOUGH:
         wrong.append("regions say that they use more than the whole together")
     units = sorted({m.unit for m, _ in some.values()})
     left = [(book.pool - sum(book.lent.values())) / whole for _, book, whole in books]
     free = sum(left) if len(left) == max(1, len(regions)) else None
-    return Divided(budget, ", ".join(units), own, lent, sum(m.used / w for m, w in some.values()),
-                   sum(w for _, _, w in by.values()), unmet, free,
-                   max((x.waits for _, x, _ in books), default=0.0), by, "; ".join(wrong),
-                   regions)  # fmt: skip
+    return Divided(
+        budget,
+        ", ".join(units),
+        own,
+        lent,
+        sum(m.used / w for m, w in some.values()),
+        sum(w for _, _, w in by.values()),
+        unmet,
+        free,
+        max((x.waits for _, x, _ in books), default=0.0),
+        by,
+        "; ".join(wrong),
+        regions,
+    )
 
 
 def _of_region(budget: str, region: str, told: Mapping[str, Told]) -> tuple[float, float, float, float]:
     some = [t for t in told.values() if t.region == region]
     mine = [(t.budgets[budget], t.whole) for t in some if budget in t.budgets]
     share = max((t.whole if t.share is None else t.share) / t.whole for t in some)
-    return (share, sum(m.own / w for m, w in mine), sum(m.loan / w for m, w in mine),
-            sum(m.used / w for m, w in mine))  # fmt: skip
+    return (
+        share,
+        sum(m.own / w for m, w in mine),
+        sum(m.loan / w for m, w in mine),
+        sum(m.used / w for m, w in mine),
+    )
 
 
 def remarks(told: Mapping[str, Told], silent: Sequence[tuple[str, str]]) -> list[str]:
--- a/ledgehitch/fleet/show.py
+++ b/ledgehitch/fleet/show.py
@@ -30,8 +30,10 @@
 def hosts_of(state: State) -> list[str]:
     """Media hosts as one gateway sees them, the fullest first."""
     order = sorted(state.hosts, key=lambda h: (-state.hosts[h].viewings, h))
-    words = [f"{h:12} {state.hosts[h].viewings:5}{'' if state.hosts[h].in_service else '  not in service'}"
-             for h in order[:MOST_HOSTS]]  # fmt: skip
+    words = [
+        f"{h:12} {state.hosts[h].viewings:5}{'' if state.hosts[h].in_service else '  not in service'}"
+        for h in order[:MOST_HOSTS]
+    ]
     return words + ([f"and {len(order) - MOST_HOSTS} more"] if len(order) > MOST_HOSTS else [])
 
 
--- a/ledgehitch/gateway/carry.py
+++ b/ledgehitch/gateway/carry.py
@@ -81,10 +81,21 @@
 
 
 class Carrier:
-    def __init__(self, loop: Loop, mind: Mind, desk: Desk, gate: Gate, watch: Watch, name: str, boot: str,
-                 chance: random.Random, peers: Peers | None = None, peer_socket: Datagrams | None = None,
-                 peer_at: dict[int, Endpoint] | None = None, load_fields: tuple[str, ...] = (),
-                 ) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        mind: Mind,
+        desk: Desk,
+        gate: Gate,
+        watch: Watch,
+        name: str,
+        boot: str,
+        chance: random.Random,
+        peers: Peers | None = None,
+        peer_socket: Datagrams | None = None,
+        peer_at: dict[int, Endpoint] | None = None,
+        load_fields: tuple[str, ...] = (),
+    ) -> None:
         self.loop, self.mind, self.desk, self.gate, self.watch = loop, mind, desk, gate, watch
         self.name, self.boot, self.chance = name, boot, chance
         self.client = Client(loop)
@@ -158,8 +169,19 @@
 
     # ---- viewings ------------------------------------------------------------------------------------------
 
-    def ask(self, conn: int, key: bytes, vw: int, viewing: Viewing, cells: tuple[int, int], top: int,
-            patience: float, ufrag: str, ticket: str = "", address: str = "") -> Event:  # fmt: skip
+    def ask(
+        self,
+        conn: int,
+        key: bytes,
+        vw: int,
+        viewing: Viewing,
+        cells: tuple[int, int],
+        top: int,
+        patience: float,
+        ufrag: str,
+        ticket: str = "",
+        address: str = "",
+    ) -> Event:
         """A viewer's offer, on connection `conn`: the event is set with the viewing's number when settled.
         `ticket` and `address` are for the door."""
         now = time.monotonic()
@@ -195,8 +217,9 @@
                 self._admit(now, vw, *offer)
             else:
                 self.counts.turned_away += 1
-                self.desk.settled(now, vw, "blocked", advice=decision.advice, why=decision.why,
-                                  ticket=decision.ticket)  # fmt: skip
+                self.desk.settled(
+                    now, vw, "blocked", advice=decision.advice, why=decision.why, ticket=decision.ticket
+                )
                 self.viewings.pop(vw, None)
 
     def _settled(self, now: float, vw: int, kind: Kind, answer: str = "", advice: float = 0.0) -> None:
@@ -335,8 +358,9 @@
             self.counts.outcomes[code.name] = self.counts.outcomes.get(code.name, 0) + 1
             self.stir()
 
-    def _asked_there(self, v: Viewing, at: str, key: str, within: float
-                     ) -> tuple[Outcome, dict[str, float], Response | None]:  # fmt: skip
+    def _asked_there(
+        self, v: Viewing, at: str, key: str, within: float
+    ) -> tuple[Outcome, dict[str, float], Response | None]:
         target = f"/{v.method}/{v.package.name}/{v.title}?rung={v.rung}"
         headers = [
             ("Content-Type", "application/sdp"),
@@ -369,8 +393,17 @@
             return Outcome.ERROR, loads, response
         return Outcome.OK, loads, response
 
-    def _opened(self, now: float, vw: int, v: Viewing, host: str, number: int, at: str, response: Response,
-                latency: float) -> None:  # fmt: skip
+    def _opened(
+        self,
+        now: float,
+        vw: int,
+        v: Viewing,
+        host: str,
+        number: int,
+        at: str,
+        response: Response,
+        latency: float,
+    ) -> None:
         v.at, v.in_force = at, v.rung
         v.session = response.header("location") or ""
         v.layer = link_to(response.header("link"), LAYER)
@@ -381,8 +414,16 @@
         self.mind.opened(now, vw, host, number, latency)
         self._settled(now, vw, "plays", response.body.decode("utf-8", "replace"))
 
-    def _failed(self, now: float, vw: int, host: str, number: int, code: Outcome, latency: float,
-                loads: dict[str, float]) -> None:  # fmt: skip
+    def _failed(
+        self,
+        now: float,
+        vw: int,
+        host: str,
+        number: int,
+        code: Outcome,
+        latency: float,
+        loads: dict[str, float],
+    ) -> None:
         values = [loads.get(name, -1.0) for name in self.load_fields]
         self.mind.ended(now, vw, False, code, host, latency, number, values)
 
--- a/ledgehitch/gateway/doorman.py
+++ b/ledgehitch/gateway/doorman.py
@@ -23,9 +23,15 @@
     """The door, or a baseline in its place."""
 
     def asked(
-        self, now: float, conn: int, name: bytes, package: str, patience: float, ticket: str = "",
+        self,
+        now: float,
+        conn: int,
+        name: bytes,
+        package: str,
+        patience: float,
+        ticket: str = "",
         ahead: float = 0.0,
-    ) -> None: ...  # fmt: skip
+    ) -> None: ...
     def gone(self, now: float, conn: int) -> None: ...
     def settled(self, now: float, conn: int, failed: bool) -> None: ...
     def decide(self, now: float) -> Decision | None: ...
@@ -67,14 +73,21 @@
         if time.monotonic() - self._kept_at >= KEPT_EVERY:
             self.write()
 
-    def limited(self, client_rate: float, client_burst: float, package_rates: Mapping[str, float],
-                set_ups: float) -> None:  # fmt: skip
+    def limited(
+        self, client_rate: float, client_burst: float, package_rates: Mapping[str, float], set_ups: float
+    ) -> None:
         """The site's limits, at start and at a reload."""
         if isinstance(self.door, Door):
             self.door.limited(client_rate, client_burst, package_rates, set_ups)
 
-    def shared(self, now: float, own: float, lent: Mapping[str, float], until: float,
-               by_budget: Mapping[str, float] | None = None) -> None:  # fmt: skip
+    def shared(
+        self,
+        now: float,
+        own: float,
+        lent: Mapping[str, float],
+        until: float,
+        by_budget: Mapping[str, float] | None = None,
+    ) -> None:
         """This gateway's part of the fleet's limits, and up to when what is lent of it is in force;
         `by_budget`: its own part of limits of which that is not `own`."""
         if isinstance(self.door, Door):
--- a/ledgehitch/gateway/front.py
+++ b/ledgehitch/gateway/front.py
@@ -41,9 +41,15 @@
 
 
 class Front:
-    def __init__(self, loop: Loop, carrier: Carrier, packages: Mapping[str, Package],
-                 titles: Mapping[str, tuple[int, int]], rates: tuple[float, ...],
-                 state: Callable[[], dict[str, Any]]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        carrier: Carrier,
+        packages: Mapping[str, Package],
+        titles: Mapping[str, tuple[int, int]],
+        rates: tuple[float, ...],
+        state: Callable[[], dict[str, Any]],
+    ) -> None:
         self.loop, self.carrier = loop, carrier
         self.packages, self.titles, self.rates, self.state = packages, titles, rates, state
         self.draining = False
@@ -125,9 +131,17 @@
         viewing = Viewing(token, method, sold, title, request.body, offer, asked_at=request.arrived)
         patience = request.arrived + wait
         event = self.carrier.ask(
-            conn, digest.digest(16), vw, viewing, cells, top, patience, offer.ufrag,
-            request.headers.get("return-ticket", ""), request.peer.rpartition(":")[0],
-        )  # fmt: skip
+            conn,
+            digest.digest(16),
+            vw,
+            viewing,
+            cells,
+            top,
+            patience,
+            offer.ufrag,
+            request.headers.get("return-ticket", ""),
+            request.peer.rpartition(":")[0],
+        )
         request.hung_up(lambda: self.carrier.hung_up(conn))
         try:
             with self.loop.deadline(max(0.0, patience - self.loop.now) + LAST):
@@ -197,8 +211,13 @@
             why = f"not let in: {settled.why}" if settled.why else "no media host has room for this viewing"
             response = problem(503, why, [*fields, *_cors()], BLOCKED, answer="blocked")
         else:
-            response = problem(504, "the viewing could not be set up in time; it may have run", _cors(),
-                               ABORTED, answer="aborted")  # fmt: skip
+            response = problem(
+                504,
+                "the viewing could not be set up in time; it may have run",
+                _cors(),
+                ABORTED,
+                answer="aborted",
+            )
         response.after = lambda whole: self._written(conn, whole)
         return response
 
--- a/ledgehitch/gateway/mind.py
+++ b/ledgehitch/gateway/mind.py
@@ -25,8 +25,17 @@
         self._note("listed", now, how, rows)
         self.brain.listed(now, how, rows)
 
-    def asked(self, now: float, vw: int, package: str, title: str, first: int, spread: int, top: int,
-              patience: float) -> None:  # fmt: skip
+    def asked(
+        self,
+        now: float,
+        vw: int,
+        package: str,
+        title: str,
+        first: int,
+        spread: int,
+        top: int,
+        patience: float,
+    ) -> None:
         self._note("asked", now, vw, package, title, first, spread, top, patience)
         self.brain.asked(now, vw, package, title, first, spread, top, patience)
 
@@ -38,8 +47,17 @@
         self._note("told", now, vw, host, kind, value)
         self.brain.told(now, vw, host, kind, value)
 
-    def ended(self, now: float, vw: int, closed: bool, code: int, host: str, latency: float, tune_in: int,
-              loads: Sequence[float] = ()) -> None:  # fmt: skip
+    def ended(
+        self,
+        now: float,
+        vw: int,
+        closed: bool,
+        code: int,
+        host: str,
+        latency: float,
+        tune_in: int,
+        loads: Sequence[float] = (),
+    ) -> None:
         self._note("ended", now, vw, closed, int(code), host, latency, tune_in, list(loads))
         self.brain.ended(now, vw, closed, code, host, latency, tune_in, loads)
 
--- a/ledgehitch/gateway/reports.py
+++ b/ledgehitch/gateway/reports.py
@@ -69,8 +69,9 @@
         except msgspec.MsgspecError as wrong:
             log.error("the kept keys do not read, tokens of before are refused", why=str(wrong))
 
-    def admitted(self, resource: str, rack: str, title: str, asked_ago: float, join_target: float,
-                 package: str) -> str:  # fmt: skip
+    def admitted(
+        self, resource: str, rack: str, title: str, asked_ago: float, join_target: float, package: str
+    ) -> str:
         """A viewing plays: its players may report from now on. Gives the token that they report with."""
         now = time.time()
         if now - self.passes.keys[-1].since > ROTATED_EVERY:
@@ -101,8 +102,14 @@
 
 
 class Reports:
-    def __init__(self, loop: Loop, name: str, others: dict[str, str], state_dir: Path | None,
-                 check: Callable[[float, str, str], Seen | None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        name: str,
+        others: dict[str, str],
+        state_dir: Path | None,
+        check: Callable[[float, str, str], Seen | None],
+    ) -> None:
         """`others`: where the other gateways' reports are taken, by name. `check` (now, token, viewing)
         raises `BadPass`."""
         self.loop, self.name, self.others, self.check = loop, name, others, check
@@ -277,11 +284,14 @@
             if groups["rack"]:
                 series[str(int(w * WINDOW))] = _shown(groups)
         told = {
-            "gateway": self.name, "verdict": msgspec.to_builtins(verdict), "counts": self.tally.counts,
+            "gateway": self.name,
+            "verdict": msgspec.to_builtins(verdict),
+            "counts": self.tally.counts,
             "standing": msgspec.to_builtins(self.judge.verdict),
-            "groups": _shown(self._groups(last - KEPT, last)), "series": series,
+            "groups": _shown(self._groups(last - KEPT, last)),
+            "series": series,
             "heard_of": sorted(self.tally.others),
-        }  # fmt: skip
+        }
         return Response(200, [("Content-Type", "application/json")], msgspec.json.encode(told))
 
 
--- a/ledgehitch/gateway/serve.py
+++ b/ledgehitch/gateway/serve.py
@@ -68,8 +68,16 @@
 class Running:
     """A gateway that serves. `build` within a task; `stop` ends it."""
 
-    def __init__(self, loop: Loop, site: Site, name: str, seed: int, state_dir: Path | None = None,
-                 record: Path | None = None, limits: Limits | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        site: Site,
+        name: str,
+        seed: int,
+        state_dir: Path | None = None,
+        record: Path | None = None,
+        limits: Limits | None = None,
+    ) -> None:
         self.loop, self.site, self.name = loop, site, name
         self.boot = secrets.token_hex(4)
         me = [g.name for g in site.gateways].index(name) if name in [g.name for g in site.gateways] else -1
@@ -82,13 +90,25 @@
         self.limited: Callable[[Site], None] = lambda site: None  # called where the site's limits are new
         self.recorder = Recorder(record) if record is not None else None
         peer_socket = Datagrams(loop, endpoint(here.peer_at)) if self.peers and here.peer_at else None
-        others = {i: endpoint(g.peer_via or g.peer_at) for i, g in enumerate(site.gateways)
-                  if i != me and (g.peer_via or g.peer_at)}  # fmt: skip
+        others = {
+            i: endpoint(g.peer_via or g.peer_at)
+            for i, g in enumerate(site.gateways)
+            if i != me and (g.peer_via or g.peer_at)
+        }
         self.carrier = Carrier(
-            loop, Mind(brain, self.recorder), Desk(secrets.token_bytes(32)), Gate(terms.drain_grace),
-            Watch(random.Random(seed + 1)), name, self.boot, random.Random(seed + 2), self.peers, peer_socket,
-            others, fleet.load_fields,
-        )  # fmt: skip
+            loop,
+            Mind(brain, self.recorder),
+            Desk(secrets.token_bytes(32)),
+            Gate(terms.drain_grace),
+            Watch(random.Random(seed + 1)),
+            name,
+            self.boot,
+            random.Random(seed + 2),
+            self.peers,
+            peer_socket,
+            others,
+            fleet.load_fields,
+        )
         self.carrier.home = loop.current
         titles = {title: (t.first, t.spread) for title, t in site.titles.items()}
         front = Front(loop, self.carrier, {p.name: p for p in packages}, titles, ladder.kb, self.state)
@@ -98,8 +118,15 @@
             values = {p.name: p.value for p in packages}
             targets = {p.name: p.join_target for p in packages}
             chance = random.Random(secrets.randbits(64))
-            door = Door(time.monotonic(), chance, values, targets, terms.may_advise, terms.longest_advice,
-                        gateways=terms.gateways)  # fmt: skip
+            door = Door(
+                time.monotonic(),
+                chance,
+                values,
+                targets,
+                terms.may_advise,
+                terms.longest_advice,
+                gateways=terms.gateways,
+            )
             kept_door = Keep(state_dir / f"{name}.door", private=True) if state_dir is not None else None
             self.carrier.doorman = Doorman(door, kept_door, site.door.order or ORDER)
             self._limit(site)
--- a/ledgehitch/gateway/versions.py
+++ b/ledgehitch/gateway/versions.py
@@ -140,8 +140,9 @@
     return old
 
 
-def started_with(source: Path, name: str | None, state_dir: Path | None
-                 ) -> tuple[Site, str, tuple[Path, Compiled, Path | None]]:  # fmt: skip
+def started_with(
+    source: Path, name: str | None, state_dir: Path | None
+) -> tuple[Site, str, tuple[Path, Compiled, Path | None]]:
     """The site, the name of its gateway that this is (the first where none is given), and what versions begin
     with."""
     kept = state_dir / f"{name or 'gateway'}.site.json" if state_dir is not None else None
--- a/ledgehitch/hostline/codec.py
+++ b/ledgehitch/hostline/codec.py
@@ -76,8 +76,13 @@
     return verb, tag, fields, cause, blob
 
 
-def written(verb: str, tag: str, fields: Mapping[str, str | int | float], cause: int | None = None,
-            blob: str | None = None) -> bytes:  # fmt: skip
+def written(
+    verb: str,
+    tag: str,
+    fields: Mapping[str, str | int | float],
+    cause: int | None = None,
+    blob: str | None = None,
+) -> bytes:
     """One line, its line feed included."""
     thing: dict[str, object] = {"verb": verb, "tag": tag, "opts": dict(fields)}
     if cause is not None:
--- a/ledgehitch/http/client.py
+++ b/ledgehitch/http/client.py
@@ -34,8 +34,12 @@
     A call that is cut short by its deadline closes its connection: the other side sees it end.
     """
 
-    def __init__(self, loop: Loop, tls: "ssl.SSLContext | None" = None,
-                 judge: Callable[[str, bytes], None] = lambda address, shown: None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        tls: "ssl.SSLContext | None" = None,
+        judge: Callable[[str, bytes], None] = lambda address, shown: None,
+    ) -> None:
         """`tls` is for addresses such as `tls:127.0.0.1:80`; `judge` is shown each one's certificate (DER)
         and raises an error that says why it is not the one that is meant."""
         self.loop, self.tls, self.judge = loop, tls, judge
@@ -43,8 +47,14 @@
         self._endpoints: dict[str, Endpoint] = {}
         self.opened = self.reused = self.dirty = 0
 
-    def request(self, address: str, method: str, target: str, headers: list[tuple[str, str]] | None = None,
-                body: bytes = b"") -> Response:  # fmt: skip
+    def request(
+        self,
+        address: str,
+        method: str,
+        target: str,
+        headers: list[tuple[str, str]] | None = None,
+        body: bytes = b"",
+    ) -> Response:
         """The response, or `ConnectFailed` (never sent), `Interrupted` (may have run), `ValueError`
         (what came back is no HTTP)."""
         stream = self._stream(address)
@@ -73,9 +83,14 @@
                 stream.close()
 
     @contextmanager
-    def stream(self, address: str, target: str, headers: list[tuple[str, str]] | None = None,
-               within: float = 2.0, connect_within: float | None = None,
-               ) -> Iterator[tuple[Response, Iterator[bytes]]]:  # fmt: skip
+    def stream(
+        self,
+        address: str,
+        target: str,
+        headers: list[tuple[str, str]] | None = None,
+        within: float = 2.0,
+        connect_within: float | None = None,
+    ) -> Iterator[tuple[Response, Iterator[bytes]]]:
         """A response whose body comes bit by bit; its head must come within so many seconds, the connection
         too where nothing else is said."""
         with self.loop.deadline(within if connect_within is None else connect_within):
--- a/ledgehitch/http/message.py
+++ b/ledgehitch/http/message.py
@@ -6,15 +6,34 @@
 from urllib.parse import parse_qs, unquote
 
 REASONS = {
-    100: "Continue", 200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 307: "Temporary Redirect",
+    100: "Continue",
+    200: "OK",
+    201: "Created",
+    202: "Accepted",
+    204: "No Content",
+    307: "Temporary Redirect",
     400: "Bad Request",
-    401: "Unauthorized", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 406: "Not Acceptable",
-    408: "Request Timeout", 409: "Conflict", 412: "Precondition Failed", 413: "Content Too Large",
-    415: "Unsupported Media Type", 422: "Unprocessable Content", 428: "Precondition Required",
-    429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
-    501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
+    401: "Unauthorized",
+    403: "Forbidden",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    406: "Not Acceptable",
+    408: "Request Timeout",
+    409: "Conflict",
+    412: "Precondition Failed",
+    413: "Content Too Large",
+    415: "Unsupported Media Type",
+    422: "Unprocessable Content",
+    428: "Precondition Required",
+    429: "Too Many Requests",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
     505: "HTTP Version Not Supported",
-}  # fmt: skip
+}
 PROBLEM = "application/problem+json"
 
 
@@ -36,8 +55,9 @@
         "certificate",
     )
 
-    def __init__(self, method: str, target: str, headers: dict[str, str], body: bytes = b"",
-                 keep: bool = True) -> None:  # fmt: skip
+    def __init__(
+        self, method: str, target: str, headers: dict[str, str], body: bytes = b"", keep: bool = True
+    ) -> None:
         self.method, self.target, self.headers, self.body, self.keep = method, target, headers, body, keep
         path, _, self._query = target.partition("?")
         self.path = unquote(path) if "%" in path else path
@@ -60,8 +80,13 @@
 
     __slots__ = ("status", "headers", "body", "stream", "after")
 
-    def __init__(self, status: int, headers: list[tuple[str, str]] | None = None, body: bytes = b"",
-                 stream: Callable[[Callable[[bytes], None]], None] | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        status: int,
+        headers: list[tuple[str, str]] | None = None,
+        body: bytes = b"",
+        stream: Callable[[Callable[[bytes], None]], None] | None = None,
+    ) -> None:
         self.status, self.headers, self.body, self.stream = status, headers or [], body, stream
         self.after: Callable[[bool], None] | None = None  # told whether the answer was written whole
 
@@ -92,8 +117,13 @@
     """Raised by a handler for a request that gets no answer: its connection is closed."""
 
 
-def problem(status: int, detail: str, headers: list[tuple[str, str]] | None = None, kind: str = "about:blank",
-            **more: Any) -> Response:  # fmt: skip
+def problem(
+    status: int,
+    detail: str,
+    headers: list[tuple[str, str]] | None = None,
+    kind: str = "about:blank",
+    **more: Any,
+) -> Response:
     """A problem document: what went wrong (`detail`), of which `kind`, with further members."""
     body = {"type": kind, "title": REASONS.get(status, "Status"), "status": status, "detail": detail, **more}
     fields = [("Content-Type", PROBLEM), *(headers or [])]
--- a/ledgehitch/http/server.py
+++ b/ledgehitch/http/server.py
@@ -28,9 +28,15 @@
     `served` counts answers by status, `turned_away` connections over the limit.
     """
 
-    def __init__(self, loop: Loop, at: Endpoint, handler: Callable[[Request], Response],
-                 limits: Limits | None = None, report: Callable[[str, BaseException], None] | None = None,
-                 tls: ssl.SSLContext | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        at: Endpoint,
+        handler: Callable[[Request], Response],
+        limits: Limits | None = None,
+        report: Callable[[str, BaseException], None] | None = None,
+        tls: ssl.SSLContext | None = None,
+    ) -> None:
         self.tls = tls
         self.loop, self.handler, self.limits = loop, handler, limits or Limits()
         self.listener = Listener(loop, at)
--- a/ledgehitch/keys/store.py
+++ b/ledgehitch/keys/store.py
@@ -190,7 +190,13 @@
 
 def _usage(signs: bool) -> x509.KeyUsage:
     return x509.KeyUsage(
-        digital_signature=not signs, content_commitment=False, key_encipherment=False,
-        data_encipherment=False, key_agreement=False, key_cert_sign=signs, crl_sign=signs,
-        encipher_only=False, decipher_only=False,
-    )  # fmt: skip
+        digital_signature=not signs,
+        content_commitment=False,
+        key_encipherment=False,
+        data_encipherment=False,
+        key_agreement=False,
+        key_cert_sign=signs,
+        crl_sign=signs,
+        encipher_only=False,
+        decipher_only=False,
+    )
--- a/ledgehitch/lab/compare.py
+++ b/ledgehitch/lab/compare.py
@@ -14,8 +14,15 @@
 
 SURE = 0.95  # of all answers of one comparison together
 POWER = 0.8  # with which the number of further seeds is reckoned
-MATTERS = {"service": 0.01, "worst_10s": 0.02, "join_p50": 0.01, "join_p95": 0.05, "blocked": 0.01,
-           "short": 0.01, "breaches": 0.5}  # fmt: skip
+MATTERS = {
+    "service": 0.01,
+    "worst_10s": 0.02,
+    "join_p50": 0.01,
+    "join_p95": 0.05,
+    "blocked": 0.01,
+    "short": 0.01,
+    "breaches": 0.5,
+}
 HIGH_IS_GOOD = ("service", "worst_10s")
 
 
--- a/ledgehitch/lab/search.py
+++ b/ledgehitch/lab/search.py
@@ -82,9 +82,13 @@
             return None if bounds is None else round(c.uniform(bounds[0], min(bounds[1], bounds[0] + 6)), 3)
 
         return Fault(
-            kind=name, at=self._at(), len=round(c.uniform(0.05, 0.4) * self.day.length, 2),
-            part=round(c.uniform(0.05, 0.8), 3), size=drawn(kind.size), extra=drawn(kind.extra),
-        )  # fmt: skip
+            kind=name,
+            at=self._at(),
+            len=round(c.uniform(0.05, 0.4) * self.day.length, 2),
+            part=round(c.uniform(0.05, 0.8), 3),
+            size=drawn(kind.size),
+            extra=drawn(kind.extra),
+        )
 
 
 def smaller(day: Day, base: Day) -> Iterator[Day]:
--- a/ledgehitch/loop/__init__.py
+++ b/ledgehitch/loop/__init__.py
@@ -15,10 +15,24 @@
     from ledgehitch.loop.tls import AnyStream, TlsStream
 
 __all__ = [
-    "AnyStream", "TlsStream", "forked",
-    "Cancelled", "Channel", "Child", "Closed", "Datagrams", "Endpoint", "Event", "Listener", "Loop", "Stream",
-    "Task", "TimedOut", "connect", "endpoint",
-]  # fmt: skip
+    "AnyStream",
+    "TlsStream",
+    "forked",
+    "Cancelled",
+    "Channel",
+    "Child",
+    "Closed",
+    "Datagrams",
+    "Endpoint",
+    "Event",
+    "Listener",
+    "Loop",
+    "Stream",
+    "Task",
+    "TimedOut",
+    "connect",
+    "endpoint",
+]
 
 
 def __getattr__(name: str) -> Any:
--- a/ledgehitch/loop/children.py
+++ b/ledgehitch/loop/children.py
@@ -11,8 +11,14 @@
 class Child:
     """A process of ours, ended by its number and no other. Its output goes where the caller says."""
 
-    def __init__(self, loop: Loop, command: Sequence[str], name: str, stdout: int | None = None,
-                 stderr: int | None = None) -> None:  # fmt: skip
+    def __init__(
+        self,
+        loop: Loop,
+        command: Sequence[str],
+        name: str,
+        stdout: int | None = None,
+        stderr: int | None = None,
+    ) -> None:
         self.loop, self.name = loop, name
         # A session of its own: Ctrl-C at the terminal comes to us, and we end the children in order.
         self.process = subprocess.Popen(
--- a/ledgehitch/loop/kernel.py
+++ b/ledgehitch/loop/kernel.py
@@ -47,8 +47,23 @@
 class Task:
     """One greenlet with a name, an owner and what it owns. `wait()` gives its result or raises its error."""
 
-    __slots__ = ("loop", "name", "owner", "owned", "let", "parked", "undo", "news", "interrupts", "cancelled",
-                 "done", "result", "error", "ended", "steps")  # fmt: skip
+    __slots__ = (
+        "loop",
+        "name",
+        "owner",
+        "owned",
+        "let",
+        "parked",
+        "undo",
+        "news",
+        "interrupts",
+        "cancelled",
+        "done",
+        "result",
+        "error",
+        "ended",
+        "steps",
+    )
 
     def __init__(self, loop: "Loop", name: str, owner: "Task | None", call: Callable[..., Any]) -> None:
         self.loop, self.name, self.owner = loop, name, owner
@@ -220,8 +235,9 @@
     def on_writable(self, fd: int, call: Callable[[], None] | None) -> None:
         self._watch(fd, self.writers, call, select.POLLOUT)
 
-    def _watch(self, fd: int, who: dict[int, Callable[[], None]], call: Callable[[], None] | None,
-               bit: int) -> None:  # fmt: skip
+    def _watch(
+        self, fd: int, who: dict[int, Callable[[], None]], call: Callable[[], None] | None, bit: int
+    ) -> None:
         if call is None:
             who.pop(fd, None)  # the mask is taken back only if the descriptor turns out to be ready
             return
--- a/ledgehitch/model/media.py
+++ b/ledgehitch/model/media.py
@@ -24,8 +24,17 @@
 class Session:
     __slots__ = ("id", "key", "front", "vw", "kb", "per_kb", "rung", "host")
 
-    def __init__(self, id: str, key: str, front: "Front", vw: int, per_kb: float, rung: int, kb: float,
-                 host: "MediaHost") -> None:  # fmt: skip
+    def __init__(
+        self,
+        id: str,
+        key: str,
+        front: "Front",
+        vw: int,
+        per_kb: float,
+        rung: int,
+        kb: float,
+        host: "MediaHost",
+    ) -> None:
         self.id, self.key, self.front, self.vw, self.host = id, key, front, vw, host
         self.per_kb, self.rung, self.kb = per_kb, rung, kb  # true kB for each kB of the ladder; kB asked now
 
@@ -35,16 +44,33 @@
 
     __slots__ = ("id", "key", "front", "vw", "package", "title", "rung", "answered", "works")
 
-    def __init__(self, id: str, key: str, front: "Front", vw: int, package: str, title: str, rung: int,
-                 answered: Callable[..., None]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        id: str,
+        key: str,
+        front: "Front",
+        vw: int,
+        package: str,
+        title: str,
+        rung: int,
+        answered: Callable[..., None],
+    ) -> None:
         self.id, self.key, self.front, self.vw = id, key, front, vw
         self.package, self.title, self.rung, self.answered = package, title, rung, answered
         self.works = False
 
 
 class MediaHost:
-    def __init__(self, ground: "Ground", name: str, cell: int, kind: str, zone: str, weight: float,
-                 new_places: Callable[[], Places]) -> None:  # fmt: skip
+    def __init__(
+        self,
+        ground: "Ground",
+        name: str,
+        cell: int,
+        kind: str,
+        zone: str,
+        weight: float,
+        new_places: Callable[[], Places],
+    ) -> None:
         self.ground, self.name, self.cell, self.kind = ground, name, cell, kind
         self.zone, self.weight, self.new_places = zone, weight, new_places
         self.chance = random.Random(f"{ground.seed}/{name}")
@@ -94,8 +120,16 @@
 
     # ---- tune-ins ------------------------------------------------------------------------------------------
 
-    def tune_in(self, key: str, front: "Front", vw: int, package: str, title: str, rung: int,
-                answered: Callable[..., None]) -> None:  # fmt: skip
+    def tune_in(
+        self,
+        key: str,
+        front: "Front",
+        vw: int,
+        package: str,
+        title: str,
+        rung: int,
+        answered: Callable[..., None],
+    ) -> None:
         """A gateway's set-up arrives; `answered` (code, loads, session or None) is called back there."""
         g = self.ground
         if not self._up:
@@ -103,8 +137,16 @@
             return
         self._ids += 1
         one = SetUp(f"{self.name}+{self.lives}+{self._ids}", key, front, vw, package, title, rung, answered)
-        g.write("setup", host=self.name, id=one.id, key=key, gateway=front.name, package=package, title=title,
-                rung=rung)  # fmt: skip
+        g.write(
+            "setup",
+            host=self.name,
+            id=one.id,
+            key=key,
+            gateway=front.name,
+            package=package,
+            title=title,
+            rung=rung,
+        )
         self.set_ups[key] = one
         t = self.troubles
         if not self.places.take(g.agenda.now):
@@ -154,8 +196,9 @@
         self.ground.write("setup_out", id=one.id, status=status)
         self._reply(one, code, self.report(), session)
 
-    def _reply(self, one: SetUp, code: Outcome, loads: Loads | None = None, session: Session | None = None
-               ) -> None:  # fmt: skip
+    def _reply(
+        self, one: SetUp, code: Outcome, loads: Loads | None = None, session: Session | None = None
+    ) -> None:
         g = self.ground
         g.agenda.after(g.way(one.front, self), one.front.take, one.answered, code, loads or {}, session)
 
--- a/ledgehitch/model/viewers.py
+++ b/ledgehitch/model/viewers.py
@@ -54,8 +54,20 @@
 
 
 class Viewer:
-    __slots__ = ("crowd", "v", "steps", "waits", "repeat", "front", "resource", "session", "seen",
-                 "ends", "in_time", "told_at")  # fmt: skip
+    __slots__ = (
+        "crowd",
+        "v",
+        "steps",
+        "waits",
+        "repeat",
+        "front",
+        "resource",
+        "session",
+        "seen",
+        "ends",
+        "in_time",
+        "told_at",
+    )
 
     def __init__(self, crowd: Crowd, v: Visit) -> None:
         self.crowd, self.v = crowd, v
@@ -116,15 +128,34 @@
         c, g, v = self.crowd, self.crowd.ground, self.v
         package = c.packages[v.package]
         now = g.agenda.now
-        g.write("ask", conn=conn, who=who, package=v.package, title=v.title, gateway=front.name,
-                patience=package.patience, method=v.method, offer=offer)  # fmt: skip
+        g.write(
+            "ask",
+            conn=conn,
+            who=who,
+            package=v.package,
+            title=v.title,
+            gateway=front.name,
+            patience=package.patience,
+            method=v.method,
+            offer=offer,
+        )
         held = g.site.titles[v.title]
         answered: Callable[..., None] = self._answered if conn == self.waits else self._repeat_answered
         g.agenda.after(
-            g.hop, front.take, front.asked, conn, f"{who}/{offer}".encode(), v.package, v.title,
-            (held.first, held.spread), top, now + package.patience,
-            lambda *told: answered(conn, *told), who, ticket,
-        )  # fmt: skip
+            g.hop,
+            front.take,
+            front.asked,
+            conn,
+            f"{who}/{offer}".encode(),
+            v.package,
+            v.title,
+            (held.first, held.spread),
+            top,
+            now + package.patience,
+            lambda *told: answered(conn, *told),
+            who,
+            ticket,
+        )
 
     def _note_answer(self, conn: int, kind: str, resource: str) -> None:
         g = self.crowd.ground
@@ -134,8 +165,9 @@
         status = {"plays": 201, "blocked": 503, "aborted": 504}[kind]
         g.write("answer", conn=conn, status=status, kind=kind, extra=0, resource=resource)
 
-    def _answered(self, conn: int, kind: str, advice: float, resource: str, session: Session | None,
-                  ticket: str = "") -> None:  # fmt: skip
+    def _answered(
+        self, conn: int, kind: str, advice: float, resource: str, session: Session | None, ticket: str = ""
+    ) -> None:
         if conn != self.waits:
             return
         self.waits = -1
@@ -143,8 +175,9 @@
         self.resource, self.session = resource, session
         self._does(Came(kind, advice, ticket))
 
-    def _repeat_answered(self, conn: int, kind: str, advice: float, resource: str, session: Session | None,
-                         ticket: str = "") -> None:  # fmt: skip
+    def _repeat_answered(
+        self, conn: int, kind: str, advice: float, resource: str, session: Session | None, ticket: str = ""
+    ) -> None:
         if conn == self.repeat:
             self.repeat = -1
             self._note_answer(conn, kind, resource)
--- a/ledgehitch/owners/decide.py
+++ b/ledgehitch/owners/decide.py
@@ -98,9 +98,16 @@
 
 
 class Owners:
-    def __init__(self, now: float, me: int, names: Sequence[str], memory: Memory, chance: random.Random,
-                 members: Sequence[int] | None = None, numbers: Sequence[int] | None = None
-                 ) -> None:  # fmt: skip
+    def __init__(
+        self,
+        now: float,
+        me: int,
+        names: Sequence[str],
+        memory: Memory,
+        chance: random.Random,
+        members: Sequence[int] | None = None,
+        numbers: Sequence[int] | None = None,
+    ) -> None:
         """`names`: of the whole site, whose numbers are its members' on the wire. `members`: those in this
         scope, left out: all. `numbers`: of the duties on the wire, in turn; left out: from 0."""
         self.me, self.names, self.memory, self.chance = me, tuple(names), memory, chance
@@ -115,7 +122,7 @@
         self.duties = {
             d: One(d, number, rank(d, self.names, self.members))
             for number, d in zip(self._numbers, memory.voters, strict=True)
-        }  # fmt: skip
+        }
         self.there: set[int] = set(self.members) - {me}
         self.fit, self.clock_good = True, True
         self.why_not = ""
@@ -549,8 +556,12 @@
             self._greet_at = 1e18
             return
         for to in waiting:
-            self._send(to, self._words("greet", self._numbers[0], memory.nonce, 0)._replace(
-                life=memory.life, intact=memory.intact, terms=memory.terms()))  # fmt: skip
+            self._send(
+                to,
+                self._words("greet", self._numbers[0], memory.nonce, 0)._replace(
+                    life=memory.life, intact=memory.intact, terms=memory.terms()
+                ),
+            )
         self._greet_at = now + self._greet_every
         self._greet_every = min(self.lease / 4, self._greet_every * 1.5)
 
@@ -560,9 +571,12 @@
             known = memory.greeted_by(name, words.life, words.sequence)
             # One that is not sure of its own file says so: only what it took part in since counts.
             sound = memory.intact or (memory.confirmed and not memory.begun)
-            self._send(sender, self._words("greeted", self._numbers[0], words.sequence, 0)._replace(
-                life=memory.life, known_life=known, intact=sound or self._voted(),
-                terms=memory.terms()))  # fmt: skip
+            self._send(
+                sender,
+                self._words("greeted", self._numbers[0], words.sequence, 0)._replace(
+                    life=memory.life, known_life=known, intact=sound or self._voted(), terms=memory.terms()
+                ),
+            )
             return
         if words.sequence != memory.nonce:
             return
@@ -589,8 +603,9 @@
         here, former = self.memory.lists.digests()
         return Words(kind, duty, sequence, term, self.shorts[self.me], here, former)
 
-    def _say(self, to: int, kind: Kind, one: One, sequence: int, term: int, member: int = NOBODY,
-             left: float = 0.0) -> None:  # fmt: skip
+    def _say(
+        self, to: int, kind: Kind, one: One, sequence: int, term: int, member: int = NOBODY, left: float = 0.0
+    ) -> None:
         self._send(to, self._words(kind, one.number, sequence, term)._replace(member=member, left=left))
 
     def _question(self, now: float, one: One, to: int, kind: Kind, term: int) -> None:
@@ -641,21 +656,36 @@
                 member, term, until = self.me, mine, one.lease.until()
             known = member != NOBODY and now < until and member < len(self.names)
             out[name] = {
-                "owner": self.names[member] if known else "", "term": max(term, voter.term, mine),
-                "lease_left": round(until - now, 3) if known else 0.0, "mine": bool(mine),
-                "stands": one.lease is not None and not one.won, "fence": self.memory.fence.known(name),
-                "refused": self.memory.fence.refused.get(name, 0), "refused_by": dict(one.refused),
+                "owner": self.names[member] if known else "",
+                "term": max(term, voter.term, mine),
+                "lease_left": round(until - now, 3) if known else 0.0,
+                "mine": bool(mine),
+                "stands": one.lease is not None and not one.won,
+                "fence": self.memory.fence.known(name),
+                "refused": self.memory.fence.refused.get(name, 0),
+                "refused_by": dict(one.refused),
                 "standstill": "" if known else STANDSTILL.get(name, ""),
-            }  # fmt: skip
+            }
         return out
 
     def state(self, now: float) -> dict[str, Any]:
         memory = self.memory
-        why = "" if memory.votes(now) else (
-            "asks the others which terms they know" if not memory.confirmed else
-            "waits until no promise of a former life can hold")  # fmt: skip
+        why = (
+            ""
+            if memory.votes(now)
+            else (
+                "asks the others which terms they know"
+                if not memory.confirmed
+                else "waits until no promise of a former life can hold"
+            )
+        )
         return {
-            "duties": self.told(now), "votes": not why, "why_not": why or ("" if self.fit else self.why_not),
-            "intact": memory.intact, "begun": memory.begun, "settled": not memory.unsettled(),
-            "clock": self.clock_good, "counts": dict(sorted(self.counts.items())),
-        }  # fmt: skip
+            "duties": self.told(now),
+            "votes": not why,
+            "why_not": why or ("" if self.fit else self.why_not),
+            "intact": memory.intact,
+            "begun": memory.begun,
+            "settled": not memory.unsettled(),
+            "clock": self.clock_good,
+            "counts": dict(sorted(self.counts.items())),
+        }
--- a/ledgehitch/owners/facts.py
+++ b/ledgehitch/owners/facts.py
@@ -35,8 +35,12 @@
     """Four bytes that two versions of a site share where they state the same gateways in the same order,
     leases of the same length, the same own part of the fleet's budgets, and the same regions. An own part of
     1 is what programs had that lent nothing: their digest did not name it."""
-    words = [*names, f"{lease:.3f}", *([f"{own_part:.6f}"] if own_part != 1.0 else []),
-             *([f"regions {regions}"] if regions else [])]  # fmt: skip
+    words = [
+        *names,
+        f"{lease:.3f}",
+        *([f"{own_part:.6f}"] if own_part != 1.0 else []),
+        *([f"regions {regions}"] if regions else []),
+    ]
     return blake3("\n".join(words).encode()).digest(4) if names else NO_LIST
 
 
@@ -86,9 +90,10 @@
         return (self.current, self.former) if self.former else (self.current,)
 
     def digests(self) -> tuple[bytes, bytes]:
-        return (digest_of(self.current, self.lease, self.own_part, self.regions),
-                digest_of(self.former, self.former_lease, self.former_own_part,
-                          self.former_regions))  # fmt: skip
+        return (
+            digest_of(self.current, self.lease, self.own_part, self.regions),
+            digest_of(self.former, self.former_lease, self.former_own_part, self.former_regions),
+        )
 
     def own_share(self, surely: bool = False) -> float:
         """Of each of the fleet's budgets, what a gateway has though it hears nothing: the least of both
--- a/ledgehitch/owners/memory.py
+++ b/ledgehitch/owners/memory.py
@@ -15,9 +15,21 @@
 
 
 class Memory:
-    def __init__(self, now: float, me: str, stated: tuple[str, ...], duties: tuple[str, ...], lease: float,
-                 held: Any, nonce: int, promise: float = 0.0, own_part: float = 0.0,
-                 gone: frozenset[str] = frozenset(), regions: str = "", scope: str = "") -> None:  # fmt: skip
+    def __init__(
+        self,
+        now: float,
+        me: str,
+        stated: tuple[str, ...],
+        duties: tuple[str, ...],
+        lease: float,
+        held: Any,
+        nonce: int,
+        promise: float = 0.0,
+        own_part: float = 0.0,
+        gone: frozenset[str] = frozenset(),
+        regions: str = "",
+        scope: str = "",
+    ) -> None:
         """`held`: what the file gave, None where it is not whole. `nonce`: of this life, drawn anew.
         `promise`: seconds that a vote binds; left out, what the bound on clocks asks for. `own_part`: of the
         fleet's budgets; a change of it goes as a change of the list does. `gone`: who does not run, as an
@@ -70,14 +82,19 @@
         if self._lives_told is None:
             self._lives_told = {n: list(pair) for n, pair in self.lives.items()}
         return more | {
-            "version": VERSION, "life": self.life,
+            "version": VERSION,
+            "life": self.life,
             "votes": {d: [v.term, v.member] for d, v in self.voters.items()} | self.resting,
-            "fence": dict(self.fence.highest), "lives": self._lives_told,
-            "current": list(self.lists.current), "former": list(self.lists.former),
-            "lease": self.lists.lease, "former_lease": self.lists.former_lease,
-            "own_part": self.lists.own_part, "former_own_part": self.lists.former_own_part,
+            "fence": dict(self.fence.highest),
+            "lives": self._lives_told,
+            "current": list(self.lists.current),
+            "former": list(self.lists.former),
+            "lease": self.lists.lease,
+            "former_lease": self.lists.former_lease,
+            "own_part": self.lists.own_part,
+            "former_own_part": self.lists.former_own_part,
             "joined": self.joined,
-        }  # fmt: skip
+        }
 
     def terms(self) -> tuple[int, ...]:
         return tuple(max(v.term, self.fence.known(d)) for d, v in self.voters.items())
@@ -95,8 +112,9 @@
             self.lives[member], self._lives_told = (life, nonce), None
         return known[0]
 
-    def answered(self, now: float, member: str, known_life: int, intact: bool, terms: tuple[int, ...]
-                 ) -> None:  # fmt: skip
+    def answered(
+        self, now: float, member: str, known_life: int, intact: bool, terms: tuple[int, ...]
+    ) -> None:
         """An answer to our greeting. One that knows a life of ours that we do not remember says that our
         file is an old copy: it counts as lost."""
         if known_life >= self.life:
@@ -177,16 +195,25 @@
         return True
 
 
-def _lists(stated: tuple[str, ...], lease: float, own_part: float, regions: str, held: dict[str, Any]
-           ) -> Lists:  # fmt: skip
+def _lists(
+    stated: tuple[str, ...], lease: float, own_part: float, regions: str, held: dict[str, Any]
+) -> Lists:
     """One change of the list at a time: a third version waits behind one that is not settled."""
     new = Lists(stated, (), lease, lease, own_part, own_part, regions, regions)
     if not held.get("current"):
         return new
     # A file of a program that knew no own part: the part that it went by is not known, so it changes.
     own, former_own = held.get("own_part", 1.0), held.get("former_own_part", 1.0)
-    old = Lists(tuple(held["current"]), tuple(held["former"]), held["lease"], held["former_lease"], own,
-                former_own, held.get("regions", ""), held.get("former_regions", ""))  # fmt: skip
+    old = Lists(
+        tuple(held["current"]),
+        tuple(held["former"]),
+        held["lease"],
+        held["former_lease"],
+        own,
+        former_own,
+        held.get("regions", ""),
+        held.get("former_regions", ""),
+    )
     if (old.current, old.lease, old.own_part, old.regions) == (stated, lease, own_part, regions):
         return old
     before = (old.former, old.former_lease, old.former_own_part, old.former_regions)
