--- a/benchmarks/cut.py
+++ b/benchmarks/cut.py
@@ -72,7 +72,7 @@
     seen: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as directory:
         rig = FleetRig(
-            Path(directory), GATEWAYS, halls=2, hosts=9, rate=3 * RATE, watch=0.3, **{"door": DOOR, **more}
+            Path(directory), GATEWAYS, zones=2, hosts=9, rate=3 * RATE, watch=0.3, **{"door": DOOR, **more}
         )
         rig.run(lambda rig: script(rig, seconds, seen))
         times, cut, heal = let_in(rig), seen["cut"], seen["heal"]
--- a/benchmarks/failures.py
+++ b/benchmarks/failures.py
@@ -58,7 +58,7 @@
         rig = FleetRig(
             Path(directory),
             GATEWAYS,
-            halls=2,
+            zones=2,
             hosts=9,
             rate=3 * RATE,
             watch=0.3,
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -13,7 +13,7 @@
 
 def main() -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as place:
-        told = rehearse(read_day(DAY), 5, Path(place)).told()
+        told = rehearse(read_day(DAY), 5, Path(place)).summary()
     keep = ("visits", "joined", "joined_in_time", "joins_s", "answers")
     return {"kept": told["kept"], "breaches": told["breaches"], **{k: told["service"].get(k) for k in keep}}
 
--- a/ledgehitch/cli/days.py
+++ b/ledgehitch/cli/days.py
@@ -12,7 +12,7 @@
 from ledgehitch.config import BadInput, read_day, read_site
 from ledgehitch.gateway.replay import replay_record
 from ledgehitch.proof.check import check_tapes, rule_parameters
-from ledgehitch.rehearsal.imported import imported
+from ledgehitch.rehearsal.imported import import_bench_day
 from ledgehitch.rehearsal.play import Result, rehearse
 
 
@@ -37,7 +37,7 @@
         raise BadInput(f"{directory}: is not empty, and a tape is never written over")
     result = rehearse(day, seed if seed is not None else day.seed, directory, record)
     if as_json:
-        click.echo(json.dumps(result.told(), indent=1))
+        click.echo(json.dumps(result.summary(), indent=1))
     else:
         _show(result)
     sys.exit(1 if result.breaches else 0)
@@ -45,7 +45,7 @@
 
 def _show(result: Result) -> None:
     out = Console(highlight=False)
-    told = result.told()
+    told = result.summary()
     service = told["service"]
     out.print(f"[bold]{result.day}[/bold], seed {result.seed} (simulated peers on loopback)")
     table = Table("what", "figure", box=None)
@@ -130,7 +130,7 @@
 @click.option("--out", type=click.Path(path_type=Path), default=None)
 def import_day(file: Path, scale: float, out: Path | None) -> None:
     """Writes a day script from a bench day as `lbsim draw` prints it."""
-    day, skipped = imported(file, scale)
+    day, skipped = import_bench_day(file, scale)
     for line in skipped:
         click.echo(f"left out: {line}", err=True)
     text = msgspec.json.format(msgspec.json.encode(day)).decode()
--- a/ledgehitch/rehearsal/imported.py
+++ b/ledgehitch/rehearsal/imported.py
@@ -13,7 +13,7 @@
 from ledgehitch.config import KINDS, BadInput, Day
 from ledgehitch.config.day import check_day
 
-KINDS_HERE = {
+FAULT_KINDS = {
     "crash": "crash",
     "vanish": "vanish",
     "hang": "hang",
@@ -32,7 +32,7 @@
 }
 
 
-def imported(path: Path, scale: float) -> tuple[Day, list[str]]:
+def import_bench_day(path: Path, scale: float) -> tuple[Day, list[str]]:
     """The day, and what of it could not be taken over."""
     if scale < 1:
         raise BadInput(f"a day is scaled down: the factor is 1 or more, not {scale:g}")
@@ -134,7 +134,7 @@
 
 
 def _fault(trouble: dict[str, Any], bench: dict[str, Any], skipped: list[str]) -> dict[str, Any] | None:
-    kind = KINDS_HERE.get(trouble["kind"])
+    kind = FAULT_KINDS.get(trouble["kind"])
     at, length = trouble["at"] / 1e6, trouble["len"] / 1e6
     if kind is None:
         skipped.append(f"{trouble['kind']} at {at:.1f} s: nothing here plays that kind")
--- a/ledgehitch/rehearsal/play.py
+++ b/ledgehitch/rehearsal/play.py
@@ -54,7 +54,7 @@
     started_at: float = 0.0
     directory: str = ""
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         rules = {str(rule): sum(b.rule == rule for b in self.breaches) for rule in range(1, 7)}
         return {
             "day": self.day,
--- a/ledgehitch/scale/play.py
+++ b/ledgehitch/scale/play.py
@@ -393,7 +393,7 @@
         if p.begun and (took := right_again(known, p.begun[0])) is not None:
             figures["views_right_during_s"] = took
         if p.phase.viewers:
-            figures["let_in_per_s"] = self.rig.let_in(since, until) / p.seconds
+            figures["let_in_per_s"] = self.rig.first_tune_ins(since, until) / p.seconds
         self._point(p, "control", "fleet", "hollow", figures)
         a, b = p.before, p.after
         drops = sum(n - a.dropped.get(s, 0) for s, n in b.dropped.items())
