--- a/ledgehitch/cli/__init__.py
+++ b/ledgehitch/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: arguments, output and exit codes, one file a group of commands.
+"""The command line: arguments, output and exit codes, with one module per group of commands.
 
-It decides nothing and holds no logic of the program. Start reading at `main.py`.
+It holds no program logic. Start reading at `main.py`.
 """
--- a/ledgehitch/cli/config.py
+++ b/ledgehitch/cli/config.py
@@ -1,4 +1,4 @@
-"""`config ...`: check, format, compare, show and explain files of the language."""
+"""`config ...`: checks, formats, compares, shows and explains files in the configuration language."""
 
 import json
 import sys
@@ -23,26 +23,30 @@
 
 @click.group()
 def config() -> None:
-    """Sites in the configuration language. Exit codes: 0 fine, 1 mistakes or differences, 2 not read."""
+    """Sites in the configuration language.
 
+    Exit codes: 0 success, 1 mistakes or differences found, 2 input could not be read."""
 
-def _good(path: Path) -> Loaded:
+
+def _load_valid(path: Path) -> Loaded:
+    """Returns the loaded file; prints its mistakes and exits with code 1 if it has any."""
     if not path.is_file():
         raise BadInput(f"{path}: no such file")
     loaded = load(path)
     if loaded.mistakes:
-        _tell(loaded)
+        _print_mistakes(loaded)
         sys.exit(1)
     return loaded
 
 
-def _tell(loaded: Loaded) -> None:
-    for m in loaded.mistakes:
-        click.echo(m.told(), err=True)
-        line = loaded.line(m.at)
+def _print_mistakes(loaded: Loaded) -> None:
+    """Prints each mistake to standard error, with the source line and a caret under the column."""
+    for mistake in loaded.mistakes:
+        click.echo(mistake.told(), err=True)
+        line = loaded.line(mistake.at)
         if line.strip():
             text = line.expandtabs(4)
-            column = len(line[: m.at.column - 1].expandtabs(4))
+            column = len(line[: mistake.at.column - 1].expandtabs(4))
             click.echo(f"    {text[:160]}\n    {' ' * column}^", err=True)
 
 
@@ -50,18 +54,24 @@
 @click.argument("file", type=PATH)
 @click.option("--json", "as_json", is_flag=True)
 def check_command(file: Path, as_json: bool) -> None:
-    """Names every mistake with file, line, column, and what would be right."""
+    """Lists every mistake with its file, line and column, and a hint on how to correct it."""
     if not file.is_file():
         raise BadInput(f"{file}: no such file")
     loaded = load(file)
     if as_json:
-        told = [
-            {"file": m.at.file, "line": m.at.line, "column": m.at.column, "reason": m.reason, "hint": m.hint}
-            for m in loaded.mistakes
+        mistakes = [
+            {
+                "file": mistake.at.file,
+                "line": mistake.at.line,
+                "column": mistake.at.column,
+                "reason": mistake.reason,
+                "hint": mistake.hint,
+            }
+            for mistake in loaded.mistakes
         ]
-        click.echo(json.dumps({"good": not told, "mistakes": told}))
+        click.echo(json.dumps({"good": not mistakes, "mistakes": mistakes}))
     elif loaded.mistakes:
-        _tell(loaded)
+        _print_mistakes(loaded)
         click.echo(f"{len(loaded.mistakes)} mistakes", err=True)
     else:
         click.echo(f"good: {len(loaded.texts)} files, digest {loaded.digest()[:16]}")
@@ -71,27 +81,27 @@
 @config.command()
 @click.argument("files", type=PATH, nargs=-1, required=True)
 @click.option(
-    "--check", "only_check", is_flag=True, help="Changes nothing; exit code 1 where something would."
+    "--check", "only_check", is_flag=True, help="Write nothing; exit with code 1 if a file would change."
 )
 def fmt(files: tuple[Path, ...], only_check: bool) -> None:
-    """Lays files out in the one way; the meaning never changes."""
+    """Formats files in the standard layout, without changing their meaning."""
     changed = False
     for path in files:
         try:
             text = path.read_text("utf-8")
-            new = laid_out(text, path.name)
-        except (OSError, UnicodeDecodeError) as problem:
-            raise BadInput(f"{path}: cannot be read: {problem}") from None
-        except Malformed as wrong:
-            raise BadInput(wrong.mistake.told()) from None
-        if new != text:
+            formatted = laid_out(text, path.name)
+        except (OSError, UnicodeDecodeError) as error:
+            raise BadInput(f"{path}: cannot be read: {error}") from None
+        except Malformed as error:
+            raise BadInput(error.mistake.told()) from None
+        if formatted != text:
             changed = True
             if only_check:
                 click.echo(f"{path} would change")
             else:
-                partly = path.with_name(path.name + ".new")
-                partly.write_text(new, "utf-8")
-                partly.replace(path)
+                temporary = path.with_name(path.name + ".new")
+                temporary.write_text(formatted, "utf-8")
+                temporary.replace(path)
     sys.exit(1 if only_check and changed else 0)
 
 
@@ -100,33 +110,45 @@
 @click.argument("after", type=PATH)
 @click.option("--json", "as_json", is_flag=True)
 def diff(before: Path, after: Path, as_json: bool) -> None:
-    """What changes in meaning from BEFORE to AFTER, when it takes effect and what it may break."""
-    made = changes(_good(before).data, _good(after).data)
+    """Shows what changes in meaning from BEFORE to AFTER, when it takes effect and what it may break."""
+    found_changes = changes(_load_valid(before).data, _load_valid(after).data)
     if as_json:
-        told = [
-            {"path": c.path, "before": c.before, "after": c.after, "effect": c.effect, "risk": c.risk}
-            for c in made
+        rows = [
+            {
+                "path": change.path,
+                "before": change.before,
+                "after": change.after,
+                "effect": change.effect,
+                "risk": change.risk,
+            }
+            for change in found_changes
         ]
-        click.echo(json.dumps(told))
-    elif not made:
+        click.echo(json.dumps(rows))
+    elif not found_changes:
         click.echo("the same in meaning")
     else:
         table = Table("path", "before", "after", "takes effect", "may break", box=None)
-        for c in made:
-            table.add_row(c.path, _or_none(c.before), _or_none(c.after), c.effect, c.risk)
+        for change in found_changes:
+            table.add_row(
+                change.path,
+                _json_or_dash(change.before),
+                _json_or_dash(change.after),
+                change.effect,
+                change.risk,
+            )
         Console(highlight=False, width=None if sys.stdout.isatty() else 200).print(table)
-    sys.exit(1 if made else 0)
+    sys.exit(1 if found_changes else 0)
 
 
-def _or_none(value: object) -> str:
+def _json_or_dash(value: object) -> str:
     return "-" if value is None else json.dumps(value)
 
 
 @config.command()
 @click.argument("file", type=PATH)
 def show(file: Path) -> None:
-    """The result as canonical JSON, its digest on standard error."""
-    loaded = _good(file)
+    """Prints the evaluated file as canonical JSON, and its digest on standard error."""
+    loaded = _load_valid(file)
     click.echo(canonical(loaded.data).decode())
     click.echo(f"blake3 {loaded.digest()}", err=True)
 
@@ -135,12 +157,12 @@
 @click.argument("file", type=PATH)
 @click.argument("path")
 def explain(file: Path, path: str) -> None:
-    """Where the value at PATH (as racks.a.hosts.h1.weight) comes from: every file, definition and default."""
-    loaded = _good(file)
+    """Shows each file, definition and default behind the value at PATH (such as racks.a.hosts.h1.weight)."""
+    loaded = _load_valid(file)
     assert loaded.vertex is not None
     vertex = found(loaded.evaluation, loaded.vertex, path.split("."))
     if vertex is None:
-        raise BadInput(f"{file}: the result has nothing at {path}")
+        raise BadInput(f"{file}: the evaluated file has no value at {path}")
     exact = vertex.value.exact()
     click.echo(f"{path} = {exact}" if exact is not None else path)
     for at, what, through in origins(vertex):
@@ -150,42 +172,48 @@
 @config.command("compile", hidden=True)
 @click.argument("file", type=PATH)
 def compile_command(file: Path) -> None:
-    """A checked version as a gateway takes it: JSON with digest, data, site, or the mistakes."""
-    from ledgehitch.gateway.versions import compile_site  # the other commands need no gateway
+    """Prints a checked version as a gateway reads it: JSON with digest, data and site, or the mistakes."""
+    from ledgehitch.gateway.versions import compile_site  # the other commands do not need the gateway
 
     sys.stdout.buffer.write(msgspec.json.encode(compile_site(file)))
 
 
 @config.command("reference")
 def reference_command() -> None:
-    """The reference of all fields, made from the schema."""
+    """Prints the reference of all fields, generated from the schema."""
     click.echo(reference())
 
 
 @config.command()
 @click.argument("gateways", nargs=-1, required=True)
-@click.option("--within", type=float, default=2.0, show_default=True, help="Seconds for each to answer.")
+@click.option(
+    "--within", type=float, default=2.0, show_default=True, help="Seconds to wait for each gateway's answer."
+)
 def status(gateways: tuple[str, ...], within: float) -> None:
-    """What each of GATEWAYS (http://ADDRESS) runs and was told; names those that lag (exit code 1)."""
-    lag = False
+    """Shows the version that each of GATEWAYS (http://ADDRESS) runs and the newest one that it received.
+
+    Exit code 1 if a gateway lags behind or does not answer."""
+    lagging = False
     table = Table("gateway", "runs", "told", "state", box=None)
     for at in gateways:
         try:
-            with urllib.request.urlopen(f"{at}/state", timeout=within) as answer:
-                told = json.load(answer).get("config")
-        except (OSError, urllib.error.URLError, ValueError) as problem:
-            told, lag = None, True
-            table.add_row(at, "?", "?", f"does not answer: {problem}")
+            with urllib.request.urlopen(f"{at}/state", timeout=within) as response:
+                versions = json.load(response).get("config")
+        except (OSError, urllib.error.URLError, ValueError) as error:
+            versions, lagging = None, True
+            table.add_row(at, "?", "?", f"does not answer: {error}")
             continue
-        if not told:
-            table.add_row(at, "?", "?", "runs without a configuration of versions")
+        if not versions:
+            table.add_row(at, "?", "?", "runs without versioned configuration")
             continue
-        words = ["lags"] if told["lags"] else []
-        words += (
-            [f"restart for {len(told['waits_for_restart'])} changes"] if told["waits_for_restart"] else []
+        remarks = ["lags"] if versions["lags"] else []
+        remarks += (
+            [f"restart for {len(versions['waits_for_restart'])} changes"]
+            if versions["waits_for_restart"]
+            else []
         )
-        words += [f"refused: {told['last_refusal']}"] if told["last_refusal"] else []
-        lag |= bool(told["lags"])
-        table.add_row(at, told["runs"][:16], told["told"][:16], "; ".join(words) or "up to date")
+        remarks += [f"refused: {versions['last_refusal']}"] if versions["last_refusal"] else []
+        lagging |= bool(versions["lags"])
+        table.add_row(at, versions["runs"][:16], versions["told"][:16], "; ".join(remarks) or "up to date")
     Console(highlight=False, width=None if sys.stdout.isatty() else 200).print(table)
-    sys.exit(1 if lag else 0)
+    sys.exit(1 if lagging else 0)
--- a/ledgehitch/cli/daemon.py
+++ b/ledgehitch/cli/daemon.py
@@ -1,4 +1,4 @@
-"""`daemon` and `why`: a gateway that operators run, and what it decided on a viewing."""
+"""`daemon` and `why`: runs a gateway for operators, and explains its decisions on a viewing."""
 
 import sys
 from pathlib import Path
@@ -16,20 +16,24 @@
 
 @click.command("daemon")
 @click.option("--site", "site_file", type=click.Path(path_type=Path), required=True)
-@click.option("--gateway", "name", default=None, help="Which of the site's gateways; the first if left out.")
+@click.option(
+    "--gateway", "name", default=None, help="Name of the gateway in the site; the first one by default."
+)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
     "--state",
     type=click.Path(path_type=Path),
     required=True,
-    help="Its directory: lock, admin socket, keys and what the next life begins with.",
+    help="Directory for the lock, the admin socket, keys and the state restored at the next start.",
+)
+@click.option(
+    "--record", type=click.Path(path_type=Path), default=None, help="File to write a flight record to."
 )
-@click.option("--record", type=click.Path(path_type=Path), default=None, help="Writes a flight record there.")
 @click.option(
     "--keys",
     type=click.Path(path_type=Path),
     default=None,
-    help="Directory with its certificate, for operators on other machines (`ledgehitch keys`).",
+    help="Directory with the gateway's certificate (`ledgehitch keys`), for operators on other machines.",
 )
 @click.pass_obj
 def daemon_command(
@@ -41,24 +45,24 @@
     record: Path | None,
     keys: Path | None,
 ) -> None:
-    """One gateway as a daemon, one of its name on this machine.
+    """Runs one gateway as a daemon; only one of a given name may run on a machine.
 
-    SIGTERM and SIGINT end what plays and stop; SIGUSR1 drains; SIGUSR2 opens the log file anew; SIGHUP
-    reloads the site. Operators call it at STATE/NAME.admin (`ledgehitch fleet`). Exit codes: 0 stopped as
-    told, 2 bad input, the place or the address is taken, 70 its loop stood still.
+    SIGTERM and SIGINT end all viewings and stop it. SIGUSR1 drains, SIGUSR2 reopens the log file, SIGHUP
+    reloads the site. Operators reach it at STATE/NAME.admin (`ledgehitch fleet`). Exit codes: 0 stopped on
+    request, 2 bad input, or the state directory or the address is in use, 70 the event loop hung.
     """
     site, name, source = load_start_version(site_file, name, state)
-    bearer = Keys(keys) if keys is not None else None
-    sys.exit(run_daemon(site, name, seed, state, record, source, logfile, bearer, restarts_of))
+    key_store = Keys(keys) if keys is not None else None
+    sys.exit(run_daemon(site, name, seed, state, record, source, logfile, key_store, restarts_of))
 
 
 @click.command("why")
 @click.argument("record", type=click.Path(path_type=Path))
 @click.argument("viewing", type=int)
 def why_command(record: Path, viewing: int) -> None:
-    """What was decided on VIEWING (its number) and on what, from a flight record."""
+    """Shows the decisions on VIEWING (its number) and the inputs behind them, from a flight record."""
     lines = explain_viewing(record, viewing)
     if not lines:
-        raise BadInput(f"{record}: nothing on viewing {viewing}")
+        raise BadInput(f"{record}: no entries for viewing {viewing}")
     for line in lines:
         click.echo(line)
--- a/ledgehitch/cli/days.py
+++ b/ledgehitch/cli/days.py
@@ -1,4 +1,4 @@
-"""`rehearse`, `check-tape`, `replay` and `import-day`."""
+"""`rehearse`, `check-tape`, `replay` and `import-day`: runs day scripts and checks their traces."""
 
 import json
 import sys
@@ -18,36 +18,36 @@
 
 @click.command("rehearse")
 @click.argument("day_file", metavar="DAY", type=click.Path(path_type=Path))
-@click.option("--seed", type=int, default=None, help="The day's own if left out.")
+@click.option("--seed", type=int, default=None, help="Random seed; the day's own by default.")
 @click.option(
     "--tape",
     "directory",
     type=click.Path(path_type=Path),
     default=None,
-    help="Directory for tape, logs, site and records; a temporary one if left out.",
+    help="Directory for traces, logs, site and flight records; a temporary one by default.",
 )
-@click.option("--record", is_flag=True, help="Gateways write flight records.")
+@click.option("--record", is_flag=True, help="Have the gateways write flight records.")
 @click.option("--json", "as_json", is_flag=True)
 def rehearse_command(
     day_file: Path, seed: int | None, directory: Path | None, record: bool, as_json: bool
 ) -> None:
-    """Plays the DAY on loopback. Exit code 0: rules kept, 1: broken, 2: bad input."""
+    """Runs DAY on loopback. Exit codes: 0 all rules held, 1 a rule was broken, 2 bad input."""
     day = read_day(day_file)
     if directory is not None and directory.exists() and any(directory.iterdir()):
-        raise BadInput(f"{directory}: is not empty, and a tape is never written over")
+        raise BadInput(f"{directory}: is not empty, and existing traces are never overwritten")
     result = rehearse(day, seed if seed is not None else day.seed, directory, record)
     if as_json:
         click.echo(json.dumps(result.told(), indent=1))
     else:
-        _show(result)
+        _print_result(result)
     sys.exit(1 if result.breaches else 0)
 
 
-def _show(result: Result) -> None:
+def _print_result(result: Result) -> None:
     out = Console(highlight=False)
-    told = result.told()
-    service = told["service"]
-    out.print(f"[bold]{result.day}[/bold], seed {result.seed} (simulated peers on loopback)")
+    summary = result.told()
+    service = summary["service"]
+    out.print(f"[bold]{result.day}[/bold], seed {result.seed} (with simulated peers on loopback)")
     table = Table("what", "figure", box=None)
     for name in (
         "visits",
@@ -62,16 +62,16 @@
     ):
         table.add_row(name, str(service.get(name)))
     out.print(table)
-    faults = Table("at, s", "fault", "met", "service 5 s before", "5 s from it on", box=None)
-    for f in result.faults:
-        faults.add_row(
-            str(f["at"]),
-            f["kind"],
-            ", ".join(f["met"])[:40],
-            str(f["service_before"]),
-            str(f["service_after"]),
+    fault_table = Table("at, s", "fault", "met", "service 5 s before", "5 s from it on", box=None)
+    for fault in result.faults:
+        fault_table.add_row(
+            str(fault["at"]),
+            fault["kind"],
+            ", ".join(fault["met"])[:40],
+            str(fault["service_before"]),
+            str(fault["service_after"]),
         )
-    out.print(faults)
+    out.print(fault_table)
     for breach in result.breaches[:20]:
         out.print(f"[red]{breach.describe(result.started_at)}[/red]", soft_wrap=True)
     out.print(
@@ -83,34 +83,43 @@
 @click.argument("directory", type=click.Path(path_type=Path))
 @click.option("--json", "as_json", is_flag=True)
 def check_tape(directory: Path, as_json: bool) -> None:
-    """Judges the six rules from the tapes of a rehearsal in DIRECTORY. Exit code 0, 1 or 2 as `rehearse`."""
-    tapes = directory / "tape" if (directory / "tape").is_dir() else directory
+    """Checks the six rules against the traces of a rehearsal in DIRECTORY. Exit codes as for `rehearse`."""
+    tape_directory = directory / "tape" if (directory / "tape").is_dir() else directory
     site_file = next(
-        (d / "site.json" for d in (directory, directory.parent) if (d / "site.json").exists()), None
+        (folder / "site.json" for folder in (directory, directory.parent) if (folder / "site.json").exists()),
+        None,
     )
-    if site_file is None or not list(tapes.glob("*.tape")):
-        raise BadInput(f"{directory}: no tapes with their site.json there")
-    breaches, held = check_tapes(tapes, rule_parameters(read_site(site_file)))
+    if site_file is None or not list(tape_directory.glob("*.tape")):
+        raise BadInput(f"{directory}: expected *.tape files and their site.json")
+    breaches, entry_counts = check_tapes(tape_directory, rule_parameters(read_site(site_file)))
     if as_json:
-        told = [
-            {"rule": b.rule, "what": b.message, "viewing": b.viewing, "times": b.times, "lines": b.lines}
-            for b in breaches
+        rows = [
+            {
+                "rule": breach.rule,
+                "what": breach.message,
+                "viewing": breach.viewing,
+                "times": breach.times,
+                "lines": breach.lines,
+            }
+            for breach in breaches
         ]
-        click.echo(json.dumps({"kept": not breaches, "breaches": told, "tape": held}, indent=1))
+        click.echo(json.dumps({"kept": not breaches, "breaches": rows, "tape": entry_counts}, indent=1))
     else:
         for breach in breaches:
             click.echo(breach.describe())
-        click.echo(f"rules {'BROKEN' if breaches else 'kept'}; the tape holds {held}")
+        click.echo(f"rules {'BROKEN' if breaches else 'kept'}; trace entries: {entry_counts}")
     sys.exit(1 if breaches else 0)
 
 
 @click.command()
 @click.argument("record", type=click.Path(path_type=Path))
 def replay(record: Path) -> None:
-    """Feeds a flight RECORD to the module again; exit code 1 at a difference, which is named."""
+    """Replays a flight RECORD through the decision module.
+
+    Exit code 1 if a decision differs; the first difference is printed."""
     verdict = replay_record(record)
     if not verdict.same_module:
-        click.echo("the record was written with another text of the module")
+        click.echo("the record was written by a different version of the decision module")
     click.echo(
         f"{verdict.entries} entries, {verdict.pulls} pulls, {verdict.decisions} decisions: "
         + (verdict.difference or "no difference")
@@ -125,14 +134,14 @@
     type=float,
     default=8.0,
     show_default=True,
-    help="Hosts, gateways and viewers are divided by it.",
+    help="Divisor for the numbers of hosts, gateways and viewers.",
 )
 @click.option("--out", type=click.Path(path_type=Path), default=None)
 def import_day(file: Path, scale: float, out: Path | None) -> None:
-    """Writes a day script from a bench day as `lbsim draw` prints it."""
+    """Converts a bench day, as printed by `lbsim draw`, to a day script."""
     day, skipped = imported(file, scale)
     for line in skipped:
-        click.echo(f"left out: {line}", err=True)
+        click.echo(f"skipped: {line}", err=True)
     text = msgspec.json.format(msgspec.json.encode(day)).decode()
     if out is not None:
         out.write_text(text + "\n")
--- a/ledgehitch/cli/keys.py
+++ b/ledgehitch/cli/keys.py
@@ -1,4 +1,4 @@
-"""`keys ...`: certificates of gateways and operators, and the fleet's own keys."""
+"""`keys ...`: manages the certificates of gateways and operators, and the keys of the fleet."""
 
 import time
 from pathlib import Path
@@ -16,7 +16,7 @@
 @click.option("--dir", "directory", type=click.Path(path_type=Path), default=Path("keys"), show_default=True)
 @click.pass_context
 def keys(ctx: click.Context, directory: Path) -> None:
-    """Certificates of gateways and operators, and the keys by which gateways know one another."""
+    """Certificates of gateways and operators, and the keys that authenticate gateways to one another."""
     ctx.obj = Keys(directory)
 
 
@@ -24,33 +24,42 @@
 @click.argument("name")
 @click.pass_obj
 def new_authority(store: Keys, name: str) -> None:
-    """Make the authority that signs. Its key is needed to sign and to revoke alone: keep it elsewhere."""
+    """Creates the certificate authority.
+
+    Its key is needed only to sign and to revoke: store it on another machine."""
     store.new_authority(name, time.time())
     click.echo(f"{store.ca}\n{store.ca_key}")
 
 
 @keys.command()
 @click.argument("name")
-@click.option("--role", type=click.Choice(ROLES), required=True, help="look, operate, or gateway.")
+@click.option("--role", type=click.Choice(ROLES), required=True, help="Role: look, operate or gateway.")
 @click.option("--days", type=click.FloatRange(0, 3650), default=DAYS, show_default=True)
 @click.pass_obj
 def issue(store: Keys, name: str, role: Role, days: float) -> None:
-    """Make a certificate for NAME; an older one of that name stays good until its end or until it is
-    revoked."""
+    """Issues a certificate for NAME.
+
+    An older certificate of that name stays valid until it expires or is revoked."""
     if not store.ca_key.exists():
-        raise BadInput(f"{store.ca_key}: no authority there: `keys new-authority` first")
+        raise BadInput(f"{store.ca_key}: no certificate authority found; run `keys new-authority` first")
     click.echo(store.issue(name, role, time.time(), days))
 
 
 @keys.command("list")
 @click.pass_obj
 def list_command(store: Keys) -> None:
-    """All certificates, whom they name, and how long they are still good."""
+    """Lists all certificates with their names and remaining validity."""
     table, now, revoked = Table("file", "names", "for", "good for", box=None), time.time(), store.revoked()
-    for path, one in store.certificates():
-        left = (one.ends - now) / 86400
-        word = "revoked" if one.serial in revoked else f"{left:.1f} days" if left > 0 else "expired"
-        table.add_row(path.name, one.name, ", ".join(one.roles) or "signing", word)
+    for path, certificate in store.certificates():
+        days_left = (certificate.ends - now) / 86400
+        validity = (
+            "revoked"
+            if certificate.serial in revoked
+            else f"{days_left:.1f} days"
+            if days_left > 0
+            else "expired"
+        )
+        table.add_row(path.name, certificate.name, ", ".join(certificate.roles) or "signing", validity)
     Console(highlight=False, width=120).print(table)
 
 
@@ -58,7 +67,7 @@
 @click.argument("certificate", type=click.Path(path_type=Path))
 @click.pass_obj
 def revoke(store: Keys, certificate: Path) -> None:
-    """Have a certificate refused from now on, wherever this directory's list of revoked ones is."""
+    """Revokes a certificate: it is refused wherever this directory's revocation list is installed."""
     click.echo(f"revoked {store.revoke(certificate):x}")
 
 
@@ -66,7 +75,7 @@
 @click.argument("step", type=click.Choice(["add", "use", "drop"]))
 @click.pass_obj
 def fleet_command(store: Keys, step: str) -> None:
-    """Change the fleet's key in three steps, with a rolling restart after each: add, use, drop."""
+    """Rotates the fleet's key in three steps, with a rolling restart after each: add, use, drop."""
     if step == "add":
         click.echo(f"{store.ring}: {store.add_fleet_key()} keys")
     elif step == "use":
--- a/ledgehitch/cli/main.py
+++ b/ledgehitch/cli/main.py
@@ -1,4 +1,4 @@
-"""The root command: logging, versions, and errors that people made turned into exit code 2."""
+"""The root command: sets up logging, prints the version, and turns invalid input into exit code 2."""
 
 import importlib
 import logging
@@ -12,7 +12,8 @@
 from ledgehitch.config.read import BadInput
 from ledgehitch.daemon.logfile import LogFile
 
-# Each command's module is loaded when it is called: `config check` needs no statistics, `up` no parser.
+# Command name -> (module, attribute). A module is imported only when its command is used:
+# `config check` needs no statistics libraries, `up` needs no parser.
 COMMANDS = {
     "up": ("run", "up"),
     "serve": ("run", "serve_command"),
@@ -34,6 +35,8 @@
 
 
 class Root(click.Group):
+    """Command group that imports the modules of its commands on first use."""
+
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted(COMMANDS)
 
@@ -47,8 +50,8 @@
     def invoke(self, ctx: click.Context) -> Any:
         try:
             return super().invoke(ctx)
-        except BadInput as wrong:
-            click.echo(f"ledgehitch: {wrong}", err=True)
+        except BadInput as error:
+            click.echo(f"ledgehitch: {error}", err=True)
             ctx.exit(2)
 
 
@@ -65,19 +68,21 @@
     "--log-file",
     type=click.Path(path_type=Path),
     default=None,
-    help="Standard error if left out; a daemon opens it anew on SIGUSR2.",
+    help="Log file; standard error by default. A daemon reopens it on SIGUSR2.",
 )
 @click.pass_context
 def root(ctx: click.Context, style: str, log_level: str, log_file: Path | None) -> None:
     """A session front: admits viewers to media hosts and sets the rate at which they play."""
     ctx.obj = LogFile(log_file)
-    last: Any = structlog.processors.JSONRenderer() if style == "json" else structlog.dev.ConsoleRenderer()
+    renderer: Any = (
+        structlog.processors.JSONRenderer() if style == "json" else structlog.dev.ConsoleRenderer()
+    )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info if style == "json" else lambda _, __, event: event,
-            last,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.getLevelName(log_level.upper())),
         logger_factory=structlog.WriteLoggerFactory(file=ctx.obj),
@@ -86,4 +91,5 @@
 
 
 def main() -> None:
+    """Runs the command line."""
     root(prog_name="ledgehitch")
--- a/ledgehitch/cli/scale.py
+++ b/ledgehitch/cli/scale.py
@@ -1,4 +1,4 @@
-"""`scale ...`: many hollow gateways beside real ones, and the page on capacity made from it."""
+"""`scale ...`: measures many hollow gateways next to real ones, and generates the page on capacity."""
 
 import sys
 import tempfile
@@ -12,12 +12,12 @@
 from ledgehitch.config import BadInput, read_site
 from ledgehitch.scale.facts import Kept, write_kept
 
-KEPT = Path("docs/capacity/kept")
+RESULTS_DIRECTORY = Path("docs/capacity/kept")
 
 
 @click.group()
 def scale() -> None:
-    """What a fleet of the size that is coming costs, measured with hollow gateways beside real ones."""
+    """Cost of a larger fleet, measured with hollow gateways next to real ones."""
 
 
 @scale.command()
@@ -26,25 +26,27 @@
     "--members",
     type=click.IntRange(4),
     default=None,
-    help="Instead of the plan's own; restarts in proportion.",
+    help="Number of members, in place of the plan's own; restarts scale with it.",
 )
-@click.option("--seed", type=int, default=None, help="The plan's own if left out.")
+@click.option("--seed", type=int, default=None, help="Random seed; the plan's own by default.")
 @click.option(
     "--out",
     type=click.Path(path_type=Path),
     default=None,
-    help="Keeps the points there, as JSON; the page looks in docs/capacity/kept.",
+    help="File to write the points to, as JSON; the page is made from those in docs/capacity/kept.",
 )
 @click.option(
     "--directory",
     type=click.Path(path_type=Path),
     default=None,
-    help="For tapes, logs and sites; a temporary one if left out.",
+    help="Directory for traces, logs and sites; a temporary one by default.",
 )
 def run(
     plan_file: Path, members: int | None, seed: int | None, out: Path | None, directory: Path | None
 ) -> None:
-    """Plays PLAN. Exit code 0: parts stayed within the whole and no task failed, 1: not so, 2: bad input."""
+    """Runs PLAN.
+
+    Exit codes: 0 parts stayed within the whole and no task failed, 1 otherwise, 2 bad input."""
     from ledgehitch.scale.plan import check, read_plan
     from ledgehitch.scale.play import played
     from ledgehitch.scale.rig import this_machine
@@ -52,51 +54,54 @@
     plan = read_plan(plan_file, members or 0, seed)
     check(plan, str(plan_file), this_machine())
     if directory is not None and directory.exists() and any(directory.iterdir()):
-        raise BadInput(f"{directory}: is not empty, and a tape is never written over")
+        raise BadInput(f"{directory}: is not empty, and existing traces are never overwritten")
     directory = directory or Path(tempfile.mkdtemp(prefix="ledgehitch-scale-"))
-    words = [
+    arguments = [
         str(plan_file),
         *(["--members", str(members)] if members else []),
         *(["--seed", str(seed)] if seed is not None else []),
     ]
-    came = played(plan, directory, words)
+    outcome = played(plan, directory, arguments)
     if out is not None:
-        write_kept(out, came.kept)
-    _show(came.kept)
-    for phase, found in came.over.items():
-        for figure, times in found.items():
-            click.echo(f"{phase}: {figure} of a real member is {times:.2f} times what control may take")
-    for phase, why in came.in_the_way.items():
-        click.echo(f"{phase}: no figures of control, the rig stood in their way: {why}")
-    for wrong in came.parts + came.wrong:
-        click.echo(f"WRONG: {wrong}")
-    click.echo(f"tapes and logs in {directory}; of simulated peers on loopback")
-    sys.exit(0 if came.good() else 1)
+        write_kept(out, outcome.kept)
+    _print_points(outcome.kept)
+    for phase, exceeded in outcome.over.items():
+        for figure, times in exceeded.items():
+            click.echo(
+                f"{phase}: {figure} of a real member is {times:.2f} times its limit for control traffic"
+            )
+    for phase, why in outcome.in_the_way.items():
+        click.echo(f"{phase}: no control figures, since the test rig distorted them: {why}")
+    for problem in outcome.parts + outcome.wrong:
+        click.echo(f"WRONG: {problem}")
+    click.echo(f"traces and logs in {directory}; measured with simulated peers on loopback")
+    sys.exit(0 if outcome.good() else 1)
 
 
 @scale.command()
 @click.option("--docs", type=click.Path(path_type=Path), default=Path("docs"), show_default=True)
-@click.option("--check", is_flag=True, help="Writes nothing; exit code 1 where the page is another.")
+@click.option("--check", is_flag=True, help="Write nothing; exit with code 1 if the page is out of date.")
 def report(docs: Path, check: bool) -> None:
-    """Makes the tables of DOCS/CAPACITY.md from DOCS/capacity: kept results and the target."""
+    """Generates the tables of DOCS/CAPACITY.md from the stored results and the target in DOCS/capacity."""
     from ledgehitch.scale.report import PAGE, written
 
-    same = written(docs, check)
-    click.echo(f"{docs / PAGE}: {'as it was' if same else 'another' if check else 'written'}")
-    sys.exit(1 if check and not same else 0)
+    unchanged = written(docs, check)
+    click.echo(f"{docs / PAGE}: {'unchanged' if unchanged else 'out of date' if check else 'written'}")
+    sys.exit(1 if check and not unchanged else 0)
 
 
-def _show(kept: Kept) -> None:
+def _print_points(results: Kept) -> None:
+    """Prints the main points of a run as a table."""
     table = Table("phase", "role", "mechanism", "kind", "figures", box=None)
-    for p in kept.points:
-        if p.mechanism in ("all", "difference", "fleet", "rig") or p.role == "owner":
-            told = ", ".join(f"{k} {v:.4g}" for k, v in p.figures.items())
-            table.add_row(p.phase, p.role, p.mechanism, p.kind, told)
+    for point in results.points:
+        if point.mechanism in ("all", "difference", "fleet", "rig") or point.role == "owner":
+            figures = ", ".join(f"{name} {value:.4g}" for name, value in point.figures.items())
+            table.add_row(point.phase, point.role, point.mechanism, point.kind, figures)
     Console(highlight=False, width=None if sys.stdout.isatty() else 220).print(table)
 
 
-def _inside(call: Callable[..., None]) -> Callable[..., None]:
-    """Options of the processes that a run is made of."""
+def _process_options(command: Callable[..., None]) -> Callable[..., None]:
+    """Adds the options that the processes of a run have in common."""
     for option in (
         click.option("--site", "site_file", type=click.Path(path_type=Path), required=True),
         click.option("--names", "names_file", type=click.Path(path_type=Path), required=True),
@@ -104,18 +109,18 @@
         click.option("--tape", type=click.Path(path_type=Path), required=True),
         click.option("--seed", type=int, default=1),
     ):
-        call = option(call)
-    return call
+        command = option(command)
+    return command
 
 
 @scale.command("hollow", hidden=True)
-@_inside
+@_process_options
 @click.option("--state", type=click.Path(path_type=Path), required=True)
 @click.option("--share", type=float, default=0.0)
 def hollow_command(
     site_file: Path, names_file: Path, control: Path, tape: Path, seed: int, state: Path, share: float
 ) -> None:
-    """A process of hollow gateways."""
+    """Runs a process of hollow gateways."""
     from ledgehitch.scale.hollow import run_hollow
 
     sys.exit(
@@ -124,9 +129,9 @@
 
 
 @scale.command("relay", hidden=True)
-@_inside
+@_process_options
 def relay_command(site_file: Path, names_file: Path, control: Path, tape: Path, seed: int) -> None:
-    """A process that carries datagrams to some members."""
+    """Runs a process that relays datagrams to some of the members."""
     from ledgehitch.scale.relay import run_relay
 
     sys.exit(run_relay(read_site(site_file), names_file.read_text().split(), control, tape, seed))
