--- a/ledgehitch/cli/days.py
+++ b/ledgehitch/cli/days.py
@@ -12,7 +12,7 @@
 from ledgehitch.config import BadInput, read_day, read_site
 from ledgehitch.gateway.replay import replay_record
 from ledgehitch.proof.check import check_tapes, rule_parameters
-from ledgehitch.rehearsal.imported import imported
+from ledgehitch.rehearsal.imported import import_bench_day
 from ledgehitch.rehearsal.play import Result, rehearse
 
 
@@ -37,7 +37,7 @@
         raise BadInput(f"{directory}: is not empty, and existing traces are never written over")
     result = rehearse(day, seed if seed is not None else day.seed, directory, record)
     if as_json:
-        click.echo(json.dumps(result.told(), indent=1))
+        click.echo(json.dumps(result.summary(), indent=1))
     else:
         _print_result(result)
     sys.exit(1 if result.breaches else 0)
@@ -45,7 +45,7 @@
 
 def _print_result(result: Result) -> None:
     out = Console(highlight=False)
-    summary = result.told()
+    summary = result.summary()
     service = summary["service"]
     out.print(f"[bold]{result.day}[/bold], seed {result.seed} (with simulated peers on loopback)")
     table = Table("what", "figure", box=None)
@@ -139,7 +139,7 @@
 @click.option("--out", type=click.Path(path_type=Path), default=None)
 def import_day(file: Path, scale: float, out: Path | None) -> None:
     """Converts a bench day, as printed by `lbsim draw`, to a day script."""
-    day, skipped = imported(file, scale)
+    day, skipped = import_bench_day(file, scale)
     for line in skipped:
         click.echo(f"skipped: {line}", err=True)
     text = msgspec.json.format(msgspec.json.encode(day)).decode()
